--- a/core/broker/broker.go
+++ b/core/broker/broker.go
@@ -1,13 +1,17 @@
-// Package broker decides, for the pools of a route table, which waiting request
-// goes to which upstream and which is refused.
+// Package broker decides which waiting request runs on which upstream, and which
+// requests are refused, for the pools of a route table.
 //
-// It knows model engines as batches: each runs a number of requests at once,
-// reads prompts one after another, and gives the tokens of all of them more
-// slowly the slower it is. Speeds are learned from how requests end. The broker
-// is pure: time is a duration on the caller's monotonic clock, decisions come
-// out of Decide. It is not safe for concurrent use. Invariants: an upstream
-// never holds more grants than slots; a request is granted at most once for
-// each offer; a request that is refused was not granted.
+// The leading control daemon runs one Broker for all entries; each entry runs a
+// local one that it uses while it has no connection to the leader. The package
+// does no I/O: the caller passes the time as a duration on its monotonic clock
+// and sends what Decide returns. A Broker is not safe for concurrent use.
+//
+// An engine is modelled as a batch: it runs a limited number of requests at a
+// time, prefills prompts one after another, and decodes all running requests at
+// a common speed, which the broker learns from completed requests.
+//
+// Invariants: an upstream never has more grants than slots; each offer is
+// granted at most once; a refused request was never granted.
 package broker
 
 import (
@@ -17,48 +21,53 @@
 	"github.com/verbenastep/verbenastep/core/routes"
 )
 
-// ID names a request: the entry that offered it and the entry's own number.
+// ID identifies a request by the entry that offered it and the number that the
+// entry gave it.
 type ID struct {
 	Entry  string
 	Number uint64
 }
 
-// Offer is a request that waits for an upstream, or runs on one.
+// Offer describes a request that waits for an upstream or already runs on one.
 type Offer struct {
 	ID         ID
 	Pool       string
 	Workspace  string
 	DataCentre string
 	Region     string
-	// Rank orders requests when capacity is short; 0 goes first.
+	// Rank is the priority under load; 0 is the highest.
 	Rank int
-	// PromptTokens and OutputTokens are the expected work; zero for plain calls.
+	// PromptTokens and OutputTokens are the expected token counts; zero for service
+	// calls.
 	PromptTokens int
 	OutputTokens int
-	// Charge is what the workspace's quota counts; zero where it is paid.
+	// Charge is the number of tokens to take from the workspace's quota; zero if
+	// they were taken before.
 	Charge int
-	// Reserve is the part of the quota's bucket that must be left, so that the
+	// Reserve is the fraction of the quota's burst that must remain, so that the
 	// workspace's less urgent requests are refused before its urgent ones.
 	Reserve float64
-	// Session names what the prompt shares with earlier ones, SessionTokens long.
+	// Session identifies the prefix that the prompt shares with earlier prompts;
+	// SessionTokens is its length.
 	Session       uint64
 	SessionTokens int
-	// Aim is when the first event must have come to be on time, Deadline when
+	// Aim is the time by which the first event counts as on time; Deadline is when
 	// the caller stops waiting.
 	Aim      time.Duration
 	Deadline time.Duration
-	// Latest is when a late first event is not worth waiting for any more; zero
-	// counts as the aim.
+	// Latest is the time after which a late first event is of no use; zero means
+	// Aim.
 	Latest time.Duration
-	// Fingerprint identifies the content, for requests that crash upstreams.
+	// Fingerprint is a hash of the content by which requests that crash upstreams
+	// are recognised; zero if there is none.
 	Fingerprint uint64
-	// Avoid lists upstreams that it must not be sent to.
+	// Avoid lists the upstreams that must not be granted.
 	Avoid []string
-	// Running names the upstream of a request that is granted already.
+	// Running is the upstream of a request that another broker granted.
 	Running string
 }
 
-// Upstream is one upstream as the roster knows it.
+// Upstream describes an upstream as the roster reports it.
 type Upstream struct {
 	ID         string
 	Pool       string
@@ -66,41 +75,46 @@
 	DataCentre string
 	Region     string
 	Slots      int
-	// Leaving upstreams take no new work; Silent ones are used last.
+	// Leaving upstreams get no new requests; Silent ones, whose heartbeats are
+	// overdue, are used last.
 	Leaving bool
 	Silent  bool
-	Cold    time.Duration
+	// Cold is how long the upstream still needs to warm up.
+	Cold time.Duration
 }
 
-// Grant sends a request to an upstream.
+// Grant assigns a request to an upstream.
 type Grant struct {
 	ID       ID
 	Upstream string
 	Address  string
-	// Expected is how long the first event, or the answer, should take.
+	// Expected is the estimated time to the first event, or to the answer of a
+	// service call.
 	Expected time.Duration
 	Waited   time.Duration
-	// Free and Queued are what the decision rested on.
+	// Free is the number of slots left on the upstream and Queued the number of
+	// requests left in the queue after the grant.
 	Free   int
 	Queued int
 }
 
-// Code says why a request is refused. Each means that it did not run.
+// Code is the reason why a request is refused. A refused request did not run.
 type Code string
 
-// Codes.
+// Refusal codes.
 const (
-	// Overload says that the request would not be answered on time.
+	// Overload means that the request would be served too late.
 	Overload Code = "overloaded"
-	// Limited says that the workspace's quota is used up.
+	// Limited means that the workspace's quota is used up.
 	Limited Code = "limit_exceeded"
-	// NoUpstream says that no upstream serves the pool.
+	// NoUpstream means that no upstream serves the pool.
 	NoUpstream Code = "no_upstream"
-	// Quarantined says that the content was present at several crashes.
+	// Quarantined means that several upstreams lost the connection while they ran
+	// this content.
 	Quarantined Code = "quarantined"
 )
 
-// Refusal is the final answer to a request that did not run.
+// Refusal rejects a request that did not run.
 type Refusal struct {
 	ID         ID
 	Code       Code
@@ -108,34 +122,34 @@
 	Why        string
 }
 
-// Outcome says how a granted request ended.
+// Outcome is how a granted request ended.
 type Outcome uint8
 
 // Outcomes.
 const (
-	// Done says that the whole answer arrived.
+	// Done means that the whole answer arrived.
 	Done Outcome = iota + 1
-	// NotSent says that nothing was sent to the upstream.
+	// NotSent means that nothing was sent to the upstream.
 	NotSent
-	// Canceled says that the caller went away.
+	// Canceled means that the caller disconnected.
 	Canceled
-	// Broken says that the connection broke while the upstream ran it.
+	// Broken means that the connection was lost while the upstream ran the request.
 	Broken
-	// Full says that the upstream rejected it without running it.
+	// Full means that the upstream rejected the request without running it.
 	Full
-	// Misdirected says that another process has the upstream's address.
+	// Misdirected means that another process listens on the upstream's address.
 	Misdirected
-	// Unreachable says that no connection could be made.
+	// Unreachable means that no connection could be established.
 	Unreachable
-	// Failed says that the upstream answered with a failure of its own.
+	// Failed means that the upstream answered with an error.
 	Failed
-	// Silent says that the upstream was given up on without an answer.
+	// Silent means that the upstream sent no answer in time.
 	Silent
-	// Spoiled says that the answer was not one.
+	// Spoiled means that the answer was malformed.
 	Spoiled
 )
 
-// String names the outcome for logs and metrics.
+// String returns the outcome's name in logs and metrics, "unknown" for other values.
 func (o Outcome) String() string {
 	names := [...]string{"", "done", "not_sent", "canceled", "broken", "full", "misdirected", "unreachable", "failed", "silent", "spoiled"}
 	if int(o) >= len(names) {
@@ -144,78 +158,84 @@
 	return names[o]
 }
 
-// End ends a grant and tells what was observed.
+// End reports how a granted request ended and what was measured.
 type End struct {
 	ID      ID
 	Outcome Outcome
-	// First is from sending to the first event or the answer; Decode from the
-	// first event to the last.
+	// First is the time from sending to the first event, or to the answer of a
+	// service call; Decode is the time from the first event to the last.
 	First  time.Duration
 	Decode time.Duration
-	// OutputTokens are those of the whole answer.
+	// OutputTokens is the token count of the whole answer.
 	OutputTokens int
 }
 
-// work is an offer and its state.
-type work struct {
+// request is an offer with its scheduling state.
+type request struct {
 	Offer
 	arrived time.Duration
-	// at is the upstream it is granted to; nil while it waits.
-	at *upstream
-	// expected is when it should leave the upstream.
-	expected time.Duration
-	// alone says that the upstream read no other prompt when it was granted.
-	alone bool
-	paid  int
-	// late says that it can no longer be on time: it waits behind the requests
-	// of its rank that can.
+	// assigned is the upstream that was granted; nil while the request waits.
+	assigned *upstream
+	// expectedEnd is when the upstream should have completed the request.
+	expectedEnd time.Duration
+	// prefilledAlone is true if the upstream had no other prompt to prefill when the
+	// request was granted, so that its time to the first event can be learned.
+	prefilledAlone bool
+	// chargedTokens is what was taken from the quota and may be refunded.
+	chargedTokens int
+	// late is true once the request can no longer be on time; it then waits behind
+	// the requests of its rank that still can.
 	late bool
-	// orphaned is when it is forgotten without its entry; zero for never.
-	orphaned time.Duration
+	// orphanedUntil is when a running request of a lost entry is dropped; zero while
+	// the entry is connected.
+	orphanedUntil time.Duration
 }
 
-// Broker holds the queues and the upstreams of all pools.
+// Broker schedules the requests of all pools. It is not safe for concurrent use.
 type Broker struct {
-	table   *routes.Index
-	works   map[ID]*work
-	pools   map[string]*pool
-	buckets map[string]*limits.Bucket
-	suspect map[uint64]suspicion
-	// Share is this broker's part of all capacity and quotas: 1 for the one
-	// that serves all entries, less for an entry that decides by itself.
+	table    *routes.Index
+	requests map[ID]*request
+	pools    map[string]*pool
+	buckets  map[string]*limits.Bucket
+	// suspects are keyed by content fingerprint.
+	suspects map[uint64]suspect
+	// share is the fraction of all capacity and quotas that this broker may use: 1
+	// for the broker of all entries, less for the local broker of an entry.
 	share float64
-	// name tells brokers apart that share the upstreams.
+	// name distinguishes brokers that share the upstreams.
 	name string
-	// slack is how many tokens a workspace may use beyond its quota.
-	slack float64
-	out   Decisions
+	// quotaSlackTokens is how many tokens a workspace may use beyond its quota.
+	quotaSlackTokens float64
+	// pending collects the decisions that the next Decide returns.
+	pending Decisions
 }
 
-// Decisions are what Decide settled.
+// Decisions are the grants and refusals of one call of Decide.
 type Decisions struct {
 	Grants   []Grant
 	Refusals []Refusal
 }
 
-// New returns a broker without upstreams that may use a share of each one.
+// New returns a broker without upstreams that may use the given share, in (0, 1],
+// of each upstream and quota.
 func New(share float64) *Broker {
 	return &Broker{
-		works: map[ID]*work{}, pools: map[string]*pool{}, buckets: map[string]*limits.Bucket{},
-		suspect: map[uint64]suspicion{}, share: share,
+		requests: map[ID]*request{}, pools: map[string]*pool{}, buckets: map[string]*limits.Bucket{},
+		suspects: map[uint64]suspect{}, share: share,
 	}
 }
 
-// Configure takes over a route table.
+// Configure sets the route table.
 func (b *Broker) Configure(x *routes.Index) { b.table = x }
 
-// SetName names the broker among those that share the upstreams; it must be set
-// before Upstreams.
+// SetName sets the name that distinguishes the broker from others that share the
+// upstreams. Call it before Upstreams.
 func (b *Broker) SetName(name string) { b.name = name }
 
-// SetSlack sets how many tokens a workspace may use beyond its quota.
-func (b *Broker) SetSlack(tokens int64) { b.slack = float64(tokens) }
+// SetSlack sets the number of tokens that a workspace may use beyond its quota.
+func (b *Broker) SetSlack(tokens int64) { b.quotaSlackTokens = float64(tokens) }
 
-// SetShare changes the share of capacity and quotas that the broker may use.
+// SetShare sets the fraction of capacity and quotas that the broker may use.
 func (b *Broker) SetShare(share float64) { b.share = share }
 
 func (b *Broker) pool(name string) *pool {
@@ -227,68 +247,71 @@
 	return p
 }
 
-// Offer queues a request, or counts one that runs. An offer that is known
-// changes nothing.
+// Offer queues a request, or records one that runs already. It ignores an offer
+// with a known ID.
 func (b *Broker) Offer(now time.Duration, o Offer) {
-	if _, known := b.works[o.ID]; known {
+	if _, known := b.requests[o.ID]; known {
 		return
 	}
-	w := &work{Offer: o, arrived: now}
+	req := &request{Offer: o, arrived: now}
 	if o.Running != "" {
-		b.adopt(now, w)
+		b.adopt(now, req)
 		return
 	}
 	if s, ok := b.quarantined(now, o.Fingerprint); ok {
-		b.refuse(w, Quarantined, s.until-now, "the content was present at several crashes of upstreams")
+		b.refuse(req, Quarantined, s.until-now, "the content was present at several crashes of upstreams")
 		return
 	}
-	if wait, ok := b.charge(now, w); !ok {
-		b.refuse(w, Limited, wait, "the workspace has used up its quota")
+	if wait, ok := b.charge(now, req); !ok {
+		b.refuse(req, Limited, wait, "the workspace has used up its quota")
 		return
 	}
-	b.works[o.ID] = w
-	b.pool(o.Pool).enqueue(now, w)
+	b.requests[o.ID] = req
+	b.pool(o.Pool).enqueue(now, req)
 }
 
-// adopt counts a request that another broker granted.
-func (b *Broker) adopt(now time.Duration, w *work) {
-	p := b.pool(w.Pool)
-	u := p.upstreams[w.Running]
+// adopt records a request that another broker granted. It ignores the request if
+// its upstream is unknown.
+func (b *Broker) adopt(now time.Duration, req *request) {
+	p := b.pool(req.Pool)
+	u := p.upstreams[req.Running]
 	if u == nil {
 		return
 	}
-	b.works[w.ID] = w
-	p.place(now, w, u)
+	b.requests[req.ID] = req
+	p.assign(now, req, u)
 }
 
-// slackPart is the part of the tolerated slack by which buckets are deeper than
-// the burst, so that requests of uneven size are not refused whose rate is
-// within the quota. The rest covers the change from one broker to the next.
-const slackPart = 0.5
+// burstSlackFraction is the fraction of the quota slack that is added to the burst,
+// so that requests of uneven size are not refused while their average rate is
+// within the quota. The rest of the slack covers the change of brokers.
+const burstSlackFraction = 0.5
 
-// aloneRate is how much more than its even share of a quota an entry that
-// decides by itself may use: a workspace's requests seldom spread evenly over
-// the entries, and the next broker makes up for it.
-const aloneRate = 1.5
+// localQuotaFactor is how many times its even share of a quota an entry may grant
+// without a broker: a workspace's requests are rarely spread evenly over the
+// entries, and the next broker compensates for what was used.
+const localQuotaFactor = 1.5
 
-// charge takes the request's tokens from its workspace's bucket.
-func (b *Broker) charge(now time.Duration, w *work) (time.Duration, bool) {
-	space := b.space(w.Workspace)
-	if w.Charge == 0 || space == nil {
+// charge takes the request's tokens from its workspace's bucket. If the bucket
+// holds too few, it returns how long it takes to refill and false.
+func (b *Broker) charge(now time.Duration, req *request) (time.Duration, bool) {
+	space := b.workspace(req.Workspace)
+	if req.Charge == 0 || space == nil {
 		return 0, true
 	}
 	rate, burst := b.quota(space)
-	wait, ok := b.bucket(w.Workspace).Take(now, rate, burst, w.Reserve*burst, float64(w.Charge))
+	wait, ok := b.bucket(req.Workspace).Take(now, rate, burst, req.Reserve*burst, float64(req.Charge))
 	if ok {
-		w.paid = w.Charge
+		req.chargedTokens = req.Charge
 	}
 	return wait, ok
 }
 
-// quota is what this broker may grant a workspace: tokens a second, and at once.
+// quota returns this broker's part of a workspace's quota: the rate in tokens per
+// second and the burst in tokens.
 func (b *Broker) quota(space *routes.Workspace) (rate, burst float64) {
-	rate = float64(space.TokensPerSecond) * min(1, b.share*aloneRate)
-	burst = (float64(space.TokenBurst) + b.slack*slackPart) * b.share
+	rate = float64(space.TokensPerSecond) * min(1, b.share*localQuotaFactor)
+	burst = (float64(space.TokenBurst) + b.quotaSlackTokens*burstSlackFraction) * b.share
 	return rate, burst
 }
 
@@ -301,43 +324,43 @@
 	return bucket
 }
 
-// nearlyFull is the part of a bucket from which on its level is not worth
-// passing on.
-const nearlyFull = 0.95
+// nearlyFullLevel is the fraction of a quota from which on its level is not
+// reported.
+const nearlyFullLevel = 0.95
 
-// Levels lists the part that is left of each workspace's quota where that is
-// not nearly all.
+// Levels returns, by workspace, the fraction of the quota that is left. It omits
+// workspaces whose quota is nearly unused.
 func (b *Broker) Levels(now time.Duration) map[string]float64 {
 	out := map[string]float64{}
 	for name, bucket := range b.buckets {
-		space := b.space(name)
+		space := b.workspace(name)
 		if space == nil {
 			continue
 		}
 		rate, burst := b.quota(space)
-		if part := bucket.Level(now, rate, burst) / burst; part < nearlyFull {
-			out[name] = part
+		if left := bucket.Level(now, rate, burst) / burst; left < nearlyFullLevel {
+			out[name] = left
 		}
 	}
 	return out
 }
 
-// Lower takes over how much another broker had left of the workspaces' quotas,
-// so that a change of broker grants no second burst.
+// Lower reduces the quotas to the levels that another broker reported, so that a
+// change of brokers does not grant a second burst.
 func (b *Broker) Lower(now time.Duration, levels map[string]float64) {
-	for name, part := range levels {
-		if space := b.space(name); space != nil {
+	for name, left := range levels {
+		if space := b.workspace(name); space != nil {
 			rate, burst := b.quota(space)
-			b.bucket(name).Lower(now, rate, burst, part*burst)
+			b.bucket(name).Lower(now, rate, burst, left*burst)
 		}
 	}
 }
 
-// ForgetQuotas begins all buckets anew: full, until Lower says otherwise.
+// ForgetQuotas resets all quotas to full; Lower may reduce them afterwards.
 func (b *Broker) ForgetQuotas() { clear(b.buckets) }
 
-// space returns a workspace that has a quota, or nil.
-func (b *Broker) space(name string) *routes.Workspace {
+// workspace returns the named workspace, or nil if it is unknown or has no quota.
+func (b *Broker) workspace(name string) *routes.Workspace {
 	if b.table == nil {
 		return nil
 	}
@@ -348,101 +371,107 @@
 	return space
 }
 
-func (b *Broker) refund(w *work) {
-	if bucket := b.buckets[w.Workspace]; bucket != nil && w.paid > 0 {
-		bucket.Return(float64(w.paid))
-		w.paid = 0
+// refund returns the tokens of a request that did not run to its workspace's quota.
+func (b *Broker) refund(req *request) {
+	if bucket := b.buckets[req.Workspace]; bucket != nil && req.chargedTokens > 0 {
+		bucket.Return(float64(req.chargedTokens))
+		req.chargedTokens = 0
 	}
 }
 
-func (b *Broker) refuse(w *work, code Code, after time.Duration, why string) {
-	delete(b.works, w.ID)
-	b.refund(w)
-	b.out.Refusals = append(b.out.Refusals, Refusal{ID: w.ID, Code: code, RetryAfter: after, Why: why})
+// refuse removes a request and adds a refusal to the pending decisions.
+func (b *Broker) refuse(req *request, code Code, after time.Duration, reason string) {
+	delete(b.requests, req.ID)
+	b.refund(req)
+	b.pending.Refusals = append(b.pending.Refusals, Refusal{ID: req.ID, Code: code, RetryAfter: after, Why: reason})
 }
 
-// Cancel forgets a request that waits.
+// Cancel removes a waiting request and refunds its quota. It ignores requests that
+// are unknown or granted.
 func (b *Broker) Cancel(id ID) {
-	w := b.works[id]
-	if w == nil || w.at != nil {
+	req := b.requests[id]
+	if req == nil || req.assigned != nil {
 		return
 	}
-	b.pool(w.Pool).dequeue(w)
-	b.refund(w)
-	delete(b.works, id)
+	b.pool(req.Pool).dequeue(req)
+	b.refund(req)
+	delete(b.requests, id)
 }
 
-// End frees the slot of a granted request and learns from it.
+// End releases the slot of a granted request and updates the estimates. It ignores
+// unknown requests, so a repeated end has no effect.
 func (b *Broker) End(now time.Duration, e End) {
-	w := b.works[e.ID]
-	if w == nil || w.at == nil {
+	req := b.requests[e.ID]
+	if req == nil || req.assigned == nil {
 		return
 	}
-	delete(b.works, e.ID)
+	delete(b.requests, e.ID)
 	if e.Outcome == NotSent || e.Outcome == Full || e.Outcome == Misdirected || e.Outcome == Unreachable {
-		b.refund(w)
+		b.refund(req)
 	}
-	b.noteCrash(now, w, e.Outcome)
-	p := b.pool(w.Pool)
-	p.free(w)
-	p.learn(now, w, e)
+	b.recordCrash(now, req, e.Outcome)
+	p := b.pool(req.Pool)
+	p.release(req)
+	p.learn(now, req, e)
 }
 
-// Resync replaces what is known of an entry by what it offers now.
+// Resync replaces the state of an entry by the offers that it sends when it
+// connects again.
 func (b *Broker) Resync(now time.Duration, entry string, offers []Offer) {
 	running := map[ID]bool{}
 	for _, o := range offers {
 		running[o.ID] = o.Running != ""
 	}
-	for id, w := range b.works {
+	for id, req := range b.requests {
 		if id.Entry != entry {
 			continue
 		}
-		if w.at == nil || !running[id] {
-			// A grant that did not arrive is as one that was never made.
-			b.drop(w)
+		if req.assigned == nil || !running[id] {
+			// The grant did not reach the entry; the request is offered again.
+			b.drop(req)
 			continue
 		}
-		w.orphaned = 0
+		req.orphanedUntil = 0
 	}
 	for _, o := range offers {
 		b.Offer(now, o)
 	}
 }
 
-// drop forgets a request without an answer.
-func (b *Broker) drop(w *work) {
-	delete(b.works, w.ID)
-	p := b.pool(w.Pool)
-	if w.at != nil {
-		p.free(w)
+// drop removes a request without a decision.
+func (b *Broker) drop(req *request) {
+	delete(b.requests, req.ID)
+	p := b.pool(req.Pool)
+	if req.assigned != nil {
+		p.release(req)
 		return
 	}
-	p.dequeue(w)
-	b.refund(w)
+	p.dequeue(req)
+	b.refund(req)
 }
 
-// orphanGrace is how much longer than expected a request counts as running
-// whose entry is gone: the connections of a dead entry close at once, those of
-// one that is cut off only after their time-out.
-const orphanGrace = 2 * time.Second
+// orphanTimeout is how long after its expected end an orphaned request keeps its
+// slot. The connections of a crashed entry close at once, but those of an entry
+// behind a network partition only after their timeout.
+const orphanTimeout = 2 * time.Second
 
-// LoseEntry forgets what an entry has waiting. What it runs keeps its slots
-// until it should have ended.
+// LoseEntry drops the waiting requests of a disconnected entry. Its running
+// requests keep their slots until they should have ended.
 func (b *Broker) LoseEntry(now time.Duration, entry string) {
-	for id, w := range b.works {
+	for id, req := range b.requests {
 		if id.Entry != entry {
 			continue
 		}
-		if w.at == nil {
-			b.drop(w)
+		if req.assigned == nil {
+			b.drop(req)
 			continue
 		}
-		w.orphaned = max(now, w.expected) + orphanGrace
+		req.orphanedUntil = max(now, req.expectedEnd) + orphanTimeout
 	}
 }
 
-// Upstreams replaces the roster of a pool's upstreams.
+// Upstreams replaces the upstreams of all pools. What was learned about upstreams
+// that remain is kept.
 func (b *Broker) Upstreams(list []Upstream) {
 	byPool := map[string][]Upstream{}
 	for name := range b.pools {
@@ -451,11 +480,12 @@
 	for _, u := range list {
 		byPool[u.Pool] = append(byPool[u.Pool], u)
 	}
-	for name, part := range byPool {
-		b.pool(name).take(part, b.engine(name), b.name)
+	for name, members := range byPool {
+		b.pool(name).setUpstreams(members, b.engine(name), b.name)
 	}
 }
 
+// engine returns the declared engine of a pool, or nil for a plain service.
 func (b *Broker) engine(pool string) *routes.Engine {
 	if b.table == nil {
 		return nil
@@ -466,55 +496,56 @@
 	return nil
 }
 
-// Learned is what a broker knows of an upstream by experience.
+// Learned is what a broker has learned about an upstream.
 type Learned struct {
 	ID string
-	// Token is the time per output token, Call that of a plain call, in seconds;
-	// zero where none was seen.
+	// Token is the time per output token and Call the time of a service call, in
+	// seconds; zero before the first observation.
 	Token float64
 	Call  float64
-	// Fails is the share of requests that failed lately.
+	// Fails is the moving average of the failure rate, in [0, 1].
 	Fails float64
 }
 
-// Learned lists what is known of all upstreams.
+// Learned returns what was learned about each upstream, by upstream ID.
 func (b *Broker) Learned() map[string]Learned {
 	out := map[string]Learned{}
 	for _, p := range b.pools {
 		for _, u := range p.order {
-			out[u.ID] = Learned{ID: u.ID, Token: u.speed.token, Call: u.speed.call, Fails: u.health.fails}
+			out[u.ID] = Learned{ID: u.ID, Token: u.speed.tokenTime, Call: u.speed.callTime, Fails: u.health.failureRate}
 		}
 	}
 	return out
 }
 
-// Teach takes over what another broker knows of the upstreams.
+// Teach replaces what was learned about the listed upstreams by what another
+// broker learned. It ignores unknown upstreams.
 func (b *Broker) Teach(list []Learned) {
 	for _, l := range list {
 		for _, p := range b.pools {
 			if u := p.upstreams[l.ID]; u != nil {
-				u.speed = speed{token: l.Token, call: l.Call}
-				u.health.fails = l.Fails
+				u.speed = speed{tokenTime: l.Token, callTime: l.Call}
+				u.health.failureRate = l.Fails
 			}
 		}
 	}
 }
 
-// Dump is a pool's state, for operators.
+// Dump is the state of a pool as operators see it.
 type Dump struct {
 	Pool      string         `json:"pool"`
 	Queued    int            `json:"queued"`
 	Upstreams []UpstreamDump `json:"upstreams"`
 	// TokenMS and ReadMS are the learned times per output and prompt token,
-	// OverheadMS that to the first event of an empty prompt, CallMS that of a
-	// plain call.
+	// OverheadMS the time to the first event of an empty prompt, CallMS the time
+	// of a service call.
 	TokenMS    float64 `json:"token_ms"`
 	ReadMS     float64 `json:"read_ms"`
 	OverheadMS float64 `json:"overhead_ms"`
 	CallMS     float64 `json:"call_ms"`
 }
 
-// UpstreamDump is an upstream's state, for operators.
+// UpstreamDump is the state of an upstream as operators see it.
 type UpstreamDump struct {
 	ID       string  `json:"id"`
 	InFlight int     `json:"in_flight"`
@@ -526,18 +557,18 @@
 	Silent   bool    `json:"silent"`
 }
 
-// Dump shows all pools.
+// Dump returns the state of all pools.
 func (b *Broker) Dump() []Dump {
 	out := []Dump{}
 	for _, p := range b.pools {
 		d := Dump{
-			Pool: p.name, Queued: len(p.queue), TokenMS: 1000 * p.cost.token, ReadMS: 1000 * p.cost.token * p.cost.read,
-			OverheadMS: 1000 * p.cost.token * p.cost.overhead, CallMS: 1000 * p.cost.call,
+			Pool: p.name, Queued: len(p.queue), TokenMS: 1000 * p.costs.tokenTime, ReadMS: 1000 * p.costs.tokenTime * p.costs.prefillRatio,
+			OverheadMS: 1000 * p.costs.tokenTime * p.costs.overhead, CallMS: 1000 * p.costs.callTime,
 		}
 		for _, u := range p.order {
 			d.Upstreams = append(d.Upstreams, UpstreamDump{
-				ID: u.ID, InFlight: len(u.inFlight), Slots: u.Slots, TokenMS: 1000 * u.speed.token, CallMS: 1000 * u.speed.call,
-				Fails: u.health.fails, Leaving: u.Leaving, Silent: u.Silent,
+				ID: u.ID, InFlight: len(u.inFlight), Slots: u.Slots, TokenMS: 1000 * u.speed.tokenTime, CallMS: 1000 * u.speed.callTime,
+				Fails: u.health.failureRate, Leaving: u.Leaving, Silent: u.Silent,
 			})
 		}
 		out = append(out, d)
--- a/core/broker/broker_test.go
+++ b/core/broker/broker_test.go
@@ -9,18 +9,20 @@
 	"github.com/verbenastep/verbenastep/core/routes"
 )
 
-// plain returns a broker before one upstream of a plain service.
-func plain(slots int) *Broker {
+// newServiceBroker returns a broker with one upstream "u" of a newServiceBroker service.
+func newServiceBroker(slots int) *Broker {
 	b := New(1)
 	b.Upstreams([]Upstream{{ID: "u", Pool: "p", Address: "a", Slots: slots}})
 	return b
 }
 
-func waiting(n uint64) Offer {
+// newOffer returns an offer of entry "e" that is never late.
+func newOffer(n uint64) Offer {
 	return Offer{ID: ID{Entry: "e", Number: n}, Pool: "p", Aim: time.Minute, Latest: time.Minute, Deadline: time.Hour}
 }
 
-func grants(d Decisions) []uint64 {
+// grantNumbers returns the request numbers of the grantNumbers, in order.
+func grantNumbers(d Decisions) []uint64 {
 	out := []uint64{}
 	for _, g := range d.Grants {
 		out = append(out, g.ID.Number)
@@ -28,28 +30,28 @@
 	return out
 }
 
-func TestUpstreamNeverHoldsMoreThanItsSlots(t *testing.T) {
-	b := plain(2)
+func TestUpstreamNeverExceedsItsSlots(t *testing.T) {
+	b := newServiceBroker(2)
 	for n := range uint64(5) {
-		b.Offer(0, waiting(n))
+		b.Offer(0, newOffer(n))
 	}
-	require.Equal(t, []uint64{0, 1}, grants(b.Decide(0)))
-	require.Empty(t, grants(b.Decide(time.Second)))
+	require.Equal(t, []uint64{0, 1}, grantNumbers(b.Decide(0)))
+	require.Empty(t, grantNumbers(b.Decide(time.Second)))
 	b.End(time.Second, End{ID: ID{Entry: "e", Number: 1}, Outcome: Done, First: time.Second})
 	b.End(time.Second, End{ID: ID{Entry: "e", Number: 1}, Outcome: Done, First: time.Second})
-	require.Equal(t, []uint64{2}, grants(b.Decide(time.Second)), "an end counts once")
+	require.Equal(t, []uint64{2}, grantNumbers(b.Decide(time.Second)), "a repeated end frees no second slot")
 }
 
-func TestRankGoesBeforeArrival(t *testing.T) {
-	b := plain(1)
+func TestQueueOrdersByRankBeforeArrival(t *testing.T) {
+	b := newServiceBroker(1)
 	for n, rank := range []int{2, 1, 0, 1} {
-		o := waiting(uint64(n))
+		o := newOffer(uint64(n))
 		o.Rank = rank
 		b.Offer(time.Duration(n), o)
 	}
 	order := []uint64{}
 	for now := time.Second; len(order) < 4; now += time.Second {
-		g := grants(b.Decide(now))
+		g := grantNumbers(b.Decide(now))
 		require.Len(t, g, 1)
 		order = append(order, g[0])
 		b.End(now, End{ID: ID{Entry: "e", Number: g[0]}, Outcome: Done, First: time.Millisecond})
@@ -57,62 +59,62 @@
 	require.Equal(t, []uint64{2, 1, 3, 0}, order)
 }
 
-func TestLeavingAndAvoidedUpstreamsGetNothing(t *testing.T) {
-	b := plain(4)
-	o := waiting(1)
+func TestLeavingAndAvoidedUpstreamsGetNoRequests(t *testing.T) {
+	b := newServiceBroker(4)
+	o := newOffer(1)
 	o.Avoid = []string{"u"}
 	b.Offer(0, o)
 	require.Empty(t, b.Decide(0).Grants)
 	b.Upstreams([]Upstream{{ID: "u", Pool: "p", Slots: 4, Leaving: true}})
-	b.Offer(0, waiting(2))
+	b.Offer(0, newOffer(2))
 	require.Empty(t, b.Decide(0).Grants)
-	refused := b.Decide(noUpstreamGrace).Refusals
+	refused := b.Decide(noUpstreamTimeout).Refusals
 	require.Len(t, refused, 2)
 	require.Equal(t, NoUpstream, refused[0].Code)
 	require.Positive(t, refused[0].RetryAfter)
 }
 
-func TestUnreachableUpstreamRestsLongerEachTime(t *testing.T) {
-	b := plain(4)
+func TestUnreachableUpstreamBacksOffExponentially(t *testing.T) {
+	b := newServiceBroker(4)
 	now := time.Duration(0)
-	for n, pause := range []time.Duration{firstDown, 2 * firstDown, 4 * firstDown, mostDown, mostDown} {
-		b.Offer(now, waiting(uint64(n)))
+	for n, delay := range []time.Duration{minBackOffDelay, 2 * minBackOffDelay, 4 * minBackOffDelay, maxBackOffDelay, maxBackOffDelay} {
+		b.Offer(now, newOffer(uint64(n)))
 		require.Len(t, b.Decide(now).Grants, 1)
 		b.End(now, End{ID: ID{Entry: "e", Number: uint64(n)}, Outcome: Unreachable})
-		b.Offer(now, waiting(uint64(100+n)))
-		require.Empty(t, b.Decide(now+pause-time.Millisecond).Grants)
+		b.Offer(now, newOffer(uint64(100+n)))
+		require.Empty(t, b.Decide(now+delay-time.Millisecond).Grants)
 		b.Cancel(ID{Entry: "e", Number: uint64(100 + n)})
-		now += pause
+		now += delay
 	}
 }
 
-func TestContentThatCrashesUpstreamsIsRefused(t *testing.T) {
-	b := plain(4)
-	for n := range uint64(crashesToQuarantine) {
-		o := waiting(n)
+func TestContentThatCrashesUpstreamsIsQuarantined(t *testing.T) {
+	b := newServiceBroker(4)
+	for n := range uint64(quarantineCrashes) {
+		o := newOffer(n)
 		o.Fingerprint = 7
 		b.Offer(0, o)
-		require.Len(t, b.Decide(time.Duration(n)*mostDown).Grants, 1)
-		b.End(time.Duration(n)*mostDown, End{ID: o.ID, Outcome: Broken})
+		require.Len(t, b.Decide(time.Duration(n)*maxBackOffDelay).Grants, 1)
+		b.End(time.Duration(n)*maxBackOffDelay, End{ID: o.ID, Outcome: Broken})
 	}
-	o := waiting(50)
+	o := newOffer(50)
 	o.Fingerprint = 7
-	now := 10 * mostDown
+	now := 10 * maxBackOffDelay
 	b.Offer(now, o)
 	refused := b.Decide(now).Refusals
 	require.Len(t, refused, 1)
 	require.Equal(t, Quarantined, refused[0].Code)
 	o.ID.Number = 51
-	b.Offer(now+quarantineHold, o)
-	require.Len(t, b.Decide(now+quarantineHold).Grants, 1, "it may try again later")
+	b.Offer(now+quarantineDuration, o)
+	require.Len(t, b.Decide(now+quarantineDuration).Grants, 1, "the quarantine expires")
 }
 
-func TestAnswerClearsASuspicion(t *testing.T) {
-	b := plain(4)
+func TestCompletedRequestClearsSuspect(t *testing.T) {
+	b := newServiceBroker(4)
 	for n := range uint64(9) {
-		o := waiting(n)
+		o := newOffer(n)
 		o.Fingerprint = 7
-		now := time.Duration(n) * mostDown
+		now := time.Duration(n) * maxBackOffDelay
 		b.Offer(now, o)
 		require.Len(t, b.Decide(now).Grants, 1)
 		outcome := Broken
@@ -123,49 +125,49 @@
 	}
 }
 
-// TestResyncKeepsWhatRunsAndForgetsWhatDoesNot covers a session that broke: the
-// entry tells again what it runs, a grant may not have arrived.
-func TestResyncKeepsWhatRunsAndForgetsWhatDoesNot(t *testing.T) {
-	b := plain(2)
-	b.Offer(0, waiting(1))
-	b.Offer(0, waiting(2))
-	require.Equal(t, []uint64{1, 2}, grants(b.Decide(0)))
+// TestResyncKeepsRunningRequestsAndDropsOthers covers a lost session: the entry
+// offers its running requests again, and a grant may not have reached it.
+func TestResyncKeepsRunningRequestsAndDropsOthers(t *testing.T) {
+	b := newServiceBroker(2)
+	b.Offer(0, newOffer(1))
+	b.Offer(0, newOffer(2))
+	require.Equal(t, []uint64{1, 2}, grantNumbers(b.Decide(0)))
 	b.LoseEntry(0, "e")
-	running := waiting(1)
+	running := newOffer(1)
 	running.Running = "u"
-	b.Resync(0, "e", []Offer{running, waiting(2), waiting(3)})
-	require.Equal(t, []uint64{2}, grants(b.Decide(0)), "the grant that was lost is made again, on its freed slot")
+	b.Resync(0, "e", []Offer{running, newOffer(2), newOffer(3)})
+	require.Equal(t, []uint64{2}, grantNumbers(b.Decide(0)), "the lost grant is repeated on the slot that it had")
 	b.End(0, End{ID: ID{Entry: "e", Number: 1}, Outcome: Done, First: time.Millisecond})
-	require.Equal(t, []uint64{3}, grants(b.Decide(0)))
+	require.Equal(t, []uint64{3}, grantNumbers(b.Decide(0)))
 }
 
-func TestLostEntrysSlotsAreFreedInTheEnd(t *testing.T) {
-	b := plain(1)
-	b.Offer(0, waiting(1))
+func TestSlotsOfLostEntryAreReleasedAfterTimeout(t *testing.T) {
+	b := newServiceBroker(1)
+	b.Offer(0, newOffer(1))
 	b.Decide(0)
 	b.LoseEntry(0, "e")
-	other := waiting(9)
+	other := newOffer(9)
 	other.ID.Entry = "f"
 	b.Offer(0, other)
-	require.Empty(t, b.Decide(orphanGrace/2).Grants, "it may still run")
-	require.Equal(t, []uint64{9}, grants(b.Decide(2*orphanGrace)))
+	require.Empty(t, b.Decide(orphanTimeout/2).Grants, "the orphaned request may still run")
+	require.Equal(t, []uint64{9}, grantNumbers(b.Decide(2*orphanTimeout)))
 }
 
-func TestNewBrokerTakesUpWhatRuns(t *testing.T) {
-	b := plain(1)
-	running := waiting(1)
+func TestNewBrokerAdoptsRunningRequests(t *testing.T) {
+	b := newServiceBroker(1)
+	running := newOffer(1)
 	running.Running = "u"
 	b.Offer(0, running)
-	b.Offer(0, waiting(2))
+	b.Offer(0, newOffer(2))
 	require.Empty(t, b.Decide(0).Grants)
 }
 
-func TestQuotaIsGivenBackForWhatDidNotRun(t *testing.T) {
-	b := plain(10)
+func TestQuotaIsRefundedIfRequestDidNotRun(t *testing.T) {
+	b := newServiceBroker(10)
 	b.Configure(routes.NewIndex(&routes.Table{Workspaces: []routes.Workspace{{Name: "w", TokensPerSecond: 100, TokenBurst: 1000}}}))
 	now := 20 * time.Second
 	charged := func(n uint64) Offer {
-		o := waiting(n)
+		o := newOffer(n)
 		o.Workspace, o.Charge = "w", 600
 		return o
 	}
@@ -173,25 +175,26 @@
 	require.Len(t, b.Decide(now).Grants, 1)
 	b.Offer(now, charged(2))
 	refused := b.Decide(now).Refusals
-	require.Len(t, refused, 1, "two are more than the burst")
+	require.Len(t, refused, 1, "two requests exceed the burst")
 	require.Equal(t, Limited, refused[0].Code)
 	b.End(now, End{ID: ID{Entry: "e", Number: 1}, Outcome: Full})
 	b.Offer(now, charged(3))
 	require.Empty(t, b.Decide(now).Refusals)
 }
 
-// TestChangeOfBrokerGrantsNoSecondBurst drains a quota at one broker, then asks
-// the next one and, meanwhile, nine entries that decide by themselves.
-func TestChangeOfBrokerGrantsNoSecondBurst(t *testing.T) {
+// TestBrokerChangeGrantsNoSecondBurst guards against a quota that starts full at
+// each broker: it uses up a quota at one broker, then at nine local brokers and at
+// the next broker, which got its levels.
+func TestBrokerChangeGrantsNoSecondBurst(t *testing.T) {
 	const rate, burst, entries = 1000, 5000, 9
 	table := routes.NewIndex(&routes.Table{Workspaces: []routes.Workspace{{Name: "w", TokensPerSecond: rate, TokenBurst: burst}}})
 	number := uint64(0)
-	// drain offers until the broker refuses, and returns the tokens granted.
+	// drain offers requests until one is refused and returns the granted tokens.
 	drain := func(b *Broker, now time.Duration) int {
 		granted := 0
 		for {
 			number++
-			o := waiting(number)
+			o := newOffer(number)
 			o.Workspace, o.Charge = "w", 50
 			b.Offer(now, o)
 			d := b.Decide(now)
@@ -221,7 +224,7 @@
 	next := broker(1)
 	next.Lower(now+time.Second, levels)
 	total += drain(next, now+2*time.Second)
-	require.LessOrEqual(t, total, burst+4*rate, "the burst once, and the rate of the time that passed")
+	require.LessOrEqual(t, total, burst+4*rate, "one burst, and the rate for the elapsed time")
 	fresh := broker(1)
-	require.Equal(t, burst, drain(fresh, now), "who used nothing has all of it")
+	require.Equal(t, burst, drain(fresh, now), "an unused quota has the whole burst")
 }
--- a/core/broker/decide.go
+++ b/core/broker/decide.go
@@ -7,93 +7,97 @@
 )
 
 const (
-	// farPenalty is what another region costs besides the time for the way: the
-	// link between regions is narrow and billed.
-	farPenalty = 60 * time.Millisecond
-	// awayPenalty is the same for another data centre of the region.
-	awayPenalty = 4 * time.Millisecond
-	// troublePenalty is what an upstream counts that failed all its requests
-	// lately; one that failed a part of them counts that part.
-	troublePenalty = 3 * time.Second
-	// silentPenalty is what an upstream counts that sends no heartbeats.
+	// Penalties are added to the estimated time in the choice of an upstream.
+
+	// otherRegionPenalty is for upstreams in another region, on top of the round
+	// trip: the link between regions is narrow and billed.
+	otherRegionPenalty = 60 * time.Millisecond
+	// otherDataCentrePenalty is for upstreams in another data centre of the region.
+	otherDataCentrePenalty = 4 * time.Millisecond
+	// failurePenalty is for upstreams that fail all requests; it is scaled by the
+	// failure rate.
+	failurePenalty = 3 * time.Second
+	// silentPenalty is for upstreams whose heartbeats are overdue.
 	silentPenalty = 5 * time.Second
-	// latePenalty is what missing the aim counts.
-	latePenalty = 10 * time.Second
-	// setAside is how many requests that no upstream suits are passed over
-	// before a round ends.
-	setAside = 16
-	// noUpstreamGrace is how long a pool may have no upstream before its
-	// requests are refused: one that restarts, or a broker that has just begun,
-	// hears of its upstreams within it.
-	noUpstreamGrace = 1500 * time.Millisecond
-	// shortestReturn and longestReturn bound when a refused caller is asked to
-	// come back.
-	shortestReturn = 300 * time.Millisecond
-	longestReturn  = 4 * time.Second
-	// decideEvery is the longest pause between two rounds while requests wait.
-	decideEvery = 20 * time.Millisecond
+	// missedTargetPenalty is for upstreams that would miss the latency target.
+	missedTargetPenalty = 10 * time.Second
+	// maxSkippedRequests is how many requests without a suitable upstream a round
+	// skips before it ends.
+	maxSkippedRequests = 16
+	// noUpstreamTimeout is how long a pool may have no upstream before its requests
+	// are refused. A restarted upstream, or the roster of a new broker, arrives
+	// within this time.
+	noUpstreamTimeout = 1500 * time.Millisecond
+	// minRetryDelay and maxRetryDelay bound the retry delay in refusals.
+	minRetryDelay = 300 * time.Millisecond
+	maxRetryDelay = 4 * time.Second
+	// decideInterval is the longest time between two rounds while requests wait.
+	decideInterval = 20 * time.Millisecond
 )
 
-// Decide grants what fits and refuses what would come too late.
+// Decide runs one round of decisions: it grants requests while upstreams have room
+// and refuses those that would be served too late. It returns all decisions since
+// the previous call.
 func (b *Broker) Decide(now time.Duration) Decisions {
-	b.freeOrphans(now)
+	b.dropOrphans(now)
 	for _, p := range b.pools {
-		r := p.round(now, b.share)
-		if r.slots > 0 || !p.begun {
-			p.begun = true
-			p.lastLive = now
+		r := p.newRound(now, b.share)
+		if r.slots > 0 || !p.started {
+			p.started = true
+			p.lastServed = now
 		}
 		if len(p.queue) == 0 {
 			continue
 		}
-		b.grantAll(p, r)
+		b.grantWaiting(p, r)
 		b.refuseLate(p, r)
 	}
-	out := b.out
-	b.out = Decisions{}
+	out := b.pending
+	b.pending = Decisions{}
 	return out
 }
 
-// Next returns how long Decide may wait where nothing comes in, and false
-// where nothing waits.
+// Next returns the longest delay before the next call of Decide, and false if no
+// request waits.
 func (b *Broker) Next() (time.Duration, bool) {
 	for _, p := range b.pools {
 		if len(p.queue) > 0 {
-			return decideEvery, true
+			return decideInterval, true
 		}
 	}
 	return 0, false
 }
 
-func (b *Broker) freeOrphans(now time.Duration) {
-	for _, w := range b.works {
-		if w.orphaned != 0 && w.orphaned <= now {
-			b.drop(w)
+func (b *Broker) dropOrphans(now time.Duration) {
+	for _, req := range b.requests {
+		if req.orphanedUntil != 0 && req.orphanedUntil <= now {
+			b.drop(req)
 		}
 	}
 }
 
-// round is what a round of decisions on a pool looks up once.
+// round holds what is computed once for a round of decisions on a pool.
 type round struct {
 	now   time.Duration
 	share float64
-	// open are the upstreams with a free slot, in their order.
+	// open lists the upstreams with a free slot, ordered by ID.
 	open []*upstream
-	// only is the upstream that is used though the broker's share of it is
-	// nothing; nil where it has slots.
-	only *upstream
-	// slots counts the slots of all upstreams that take work.
+	// fallback is the single upstream that the broker uses if its share amounts to
+	// no slot on any upstream; nil otherwise.
+	fallback *upstream
+	// slots is the number of this broker's slots on all available upstreams.
 	slots int
-	// token and call are the shortest times of any of them, in seconds.
-	token float64
-	call  float64
+	// minTokenTime and minCallTime are the times of the fastest upstream, in seconds.
+	minTokenTime float64
+	minCallTime  float64
 }
 
-func (p *pool) round(now time.Duration, share float64) *round {
+// newRound collects the available upstreams of the pool.
+func (p *pool) newRound(now time.Duration, share float64) *round {
 	r := &round{now: now, share: share, open: p.open[:0]}
-	least := (*upstream)(nil)
+	lowest := (*upstream)(nil)
 	for _, u := range p.order {
-		if u.Leaving || u.health.down(now) {
+		if u.Leaving || u.health.unavailable(now) {
 			continue
 		}
 		capacity := u.capacity(now, share)
@@ -101,22 +105,24 @@
 		if len(u.inFlight) < capacity {
 			r.open = append(r.open, u)
 		}
-		r.token = shortest(r.token, p.tokenTime(u))
-		r.call = shortest(r.call, p.callTime(u))
-		if least == nil || u.point < least.point {
-			least = u
+		r.minTokenTime = shortest(r.minTokenTime, p.tokenTime(u))
+		r.minCallTime = shortest(r.minCallTime, p.callTime(u))
+		if lowest == nil || u.point < lowest.point {
+			lowest = u
 		}
 	}
-	if r.slots == 0 && least != nil {
-		// A broker whose share of every upstream is nothing uses one of them.
-		r.only, r.slots = least, 1
-		if len(least.inFlight) == 0 {
-			r.open = append(r.open, least)
+	if r.slots == 0 && lowest != nil {
+		// The share is no slot on any upstream: use one upstream, so that every
+		// entry can make progress.
+		r.fallback, r.slots = lowest, 1
+		if len(lowest.inFlight) == 0 {
+			r.open = append(r.open, lowest)
 		}
 	}
 	return r
 }
 
+// shortest returns the smaller of two times; zero means that known is unset.
 func shortest(known, other float64) float64 {
 	if known == 0 {
 		return other
@@ -124,47 +130,47 @@
 	return min(known, other)
 }
 
-// taken notes that an upstream got a request.
-func (r *round) taken(u *upstream) {
-	if u != r.only && len(u.inFlight) < u.capacity(r.now, r.share) {
+// closeIfFull removes an upstream from the open ones if it has no free slot left.
+func (r *round) closeIfFull(u *upstream) {
+	if u != r.fallback && len(u.inFlight) < u.capacity(r.now, r.share) {
 		return
 	}
 	r.open = slices.DeleteFunc(r.open, func(o *upstream) bool { return o == u })
 }
 
-// grantAll grants in the queue's order while any upstream has room.
-func (b *Broker) grantAll(p *pool, r *round) {
-	passed := 0
-	for i := 0; i < len(p.queue) && passed < setAside && len(r.open) > 0; {
-		w := p.queue[i]
-		u, first := p.choose(r, w)
+// grantWaiting grants requests in queue order while any upstream has room.
+func (b *Broker) grantWaiting(p *pool, r *round) {
+	skipped := 0
+	for i := 0; i < len(p.queue) && skipped < maxSkippedRequests && len(r.open) > 0; {
+		req := p.queue[i]
+		u, first := p.choose(r, req)
 		if u == nil {
-			passed++
+			skipped++
 			i++
 			continue
 		}
 		p.queue = slices.Delete(p.queue, i, i+1)
-		p.place(r.now, w, u)
-		r.taken(u)
-		b.out.Grants = append(b.out.Grants, Grant{
-			ID: w.ID, Upstream: u.ID, Address: u.Address, Expected: first, Waited: r.now - w.arrived,
+		p.assign(r.now, req, u)
+		r.closeIfFull(u)
+		b.pending.Grants = append(b.pending.Grants, Grant{
+			ID: req.ID, Upstream: u.ID, Address: u.Address, Expected: first, Waited: r.now - req.arrived,
 			Free: u.capacity(r.now, b.share) - len(u.inFlight), Queued: len(p.queue),
 		})
 	}
 	p.open = r.open
 }
 
-// choose returns the upstream that serves a request best and when its first
-// event is expected there, or nil where none has room.
-func (p *pool) choose(r *round, w *work) (*upstream, time.Duration) {
+// choose returns the open upstream with the lowest cost for a request and the
+// estimated time to its first event there, or nil if no open upstream is suitable.
+func (p *pool) choose(r *round, req *request) (*upstream, time.Duration) {
 	best, bestCost, bestFirst := (*upstream)(nil), time.Duration(0), time.Duration(0)
-	tooSlow := p.tooSlow(r, w)
+	limit := p.maxTokenTime(r, req)
 	for _, u := range r.open {
-		if !p.fits(u, w) || (tooSlow > 0 && p.tokenTime(u) >= tooSlow) {
+		if !p.fits(u, req) || (limit > 0 && p.tokenTime(u) >= limit) {
 			continue
 		}
-		first := p.firstAt(r.now, w, u)
-		cost := p.costAt(r.now, w, u, first)
+		first := p.firstEventTime(r.now, req, u)
+		cost := p.placementCost(r.now, req, u, first)
 		if best == nil || cost < bestCost {
 			best, bestCost, bestFirst = u, cost, first
 		}
@@ -172,120 +178,126 @@
 	return best, bestFirst
 }
 
-// lengthMargin is how much longer than estimated an answer may be and still has
-// to end in time: estimates are right at the median and often far off.
-const lengthMargin = 1.6
+// outputLengthMargin is the factor by which an answer may exceed its estimated
+// length and must still end before the deadline. Estimates are right at the median
+// but often far off.
+const outputLengthMargin = 1.6
 
-// tooSlow is the time per output token, in seconds, from which an upstream can't
-// end a request's answer in time; zero where none could, or where it does not
-// matter: then it may go anywhere.
-func (p *pool) tooSlow(r *round, w *work) float64 {
-	units := p.cost.overhead + p.cost.read*float64(w.PromptTokens) + lengthMargin*float64(w.OutputTokens)
-	if p.engine == nil || w.Deadline <= r.now || units <= 0 {
+// maxTokenTime returns the time per output token, in seconds, from which an
+// upstream can't complete a request before its deadline. It returns zero, which
+// allows every upstream, if none is fast enough or the request has no deadline or
+// no engine.
+func (p *pool) maxTokenTime(r *round, req *request) float64 {
+	units := p.costs.overhead + p.costs.prefillRatio*float64(req.PromptTokens) + outputLengthMargin*float64(req.OutputTokens)
+	if p.engine == nil || req.Deadline <= r.now || units <= 0 {
 		return 0
 	}
-	limit := (w.Deadline - r.now).Seconds() / units
-	if r.token >= limit {
+	limit := (req.Deadline - r.now).Seconds() / units
+	if r.minTokenTime >= limit {
 		return 0
 	}
 	return limit
 }
 
-// firstAt is how long the first event of a request takes on an upstream.
-func (p *pool) firstAt(now time.Duration, w *work, u *upstream) time.Duration {
-	return max(0, u.readUntil-now) + p.readTime(w, u) + p.firstTime(u) + u.Cold/2
+// firstEventTime estimates the time to a request's first event on an upstream.
+func (p *pool) firstEventTime(now time.Duration, req *request, u *upstream) time.Duration {
+	return max(0, u.prefillUntil-now) + p.prefillTime(req, u) + p.overheadTime(u) + u.Cold/2
 }
 
-func (p *pool) costAt(now time.Duration, w *work, u *upstream, first time.Duration) time.Duration {
-	cost := first + p.decodeTime(w, u)/2
+// placementCost returns the estimated time of a request on an upstream with all
+// penalties; first is the time to its first event.
+func (p *pool) placementCost(now time.Duration, req *request, u *upstream, first time.Duration) time.Duration {
+	cost := first + p.decodeTime(req, u)/2
 	if p.engine == nil {
 		cost = first * time.Duration(len(u.inFlight)+u.Slots) / time.Duration(max(1, u.Slots))
 	}
 	switch {
-	case u.DataCentre == w.DataCentre:
-	case u.Region == w.Region:
-		cost += awayPenalty
+	case u.DataCentre == req.DataCentre:
+	case u.Region == req.Region:
+		cost += otherDataCentrePenalty
 	default:
-		cost += farPenalty
+		cost += otherRegionPenalty
 	}
-	if now+first > w.Aim {
-		cost += latePenalty
+	if now+first > req.Aim {
+		cost += missedTargetPenalty
 	}
 	if u.Silent {
 		cost += silentPenalty
 	}
-	return cost + time.Duration(u.health.fails*float64(troublePenalty))
+	return cost + time.Duration(u.health.failureRate*float64(failurePenalty))
 }
 
-// refuseLate refuses the requests that would wait for too long, as soon as that
-// shows. One that can't be on time any more but would be served soon after goes
-// behind those that can.
+// refuseLate refuses requests as soon as the estimate says that they would be
+// served too late. A request that will miss its latency target but would still be
+// useful moves behind the requests that can meet theirs.
 func (b *Broker) refuseLate(p *pool, r *round) {
 	if r.slots == 0 {
 		b.refuseUnserved(r.now, p)
 		return
 	}
 	ahead := 0.0
-	late := []*work{}
+	late := []*request{}
 	for i := 0; i < len(p.queue); {
-		w := p.queue[i]
-		wait := p.wait(r.now, w, ahead, float64(r.slots))
-		first := r.now + wait + p.leastFirst(r, w)
+		req := p.queue[i]
+		wait := p.queueWait(r.now, req, ahead, float64(r.slots))
+		first := r.now + wait + p.minFirstEventTime(r, req)
 		switch {
-		case first <= w.Aim, w.late && first <= w.Latest:
-			ahead += p.slotTime(w)
+		case first <= req.Aim, req.late && first <= req.Latest:
+			ahead += p.slotTime(req)
 			i++
 			continue
-		case !w.late && first <= w.Latest:
-			late = append(late, w)
+		case !req.late && first <= req.Latest:
+			late = append(late, req)
 		default:
-			why := fmt.Sprintf("%d ms of waiting behind %.1f s of work on %d slots would be too late", wait.Milliseconds(), ahead, r.slots)
-			b.refuse(w, Overload, p.comeBack(w, wait), why)
+			reason := fmt.Sprintf("%d ms of waiting behind %.1f s of work on %d slots would be too late", wait.Milliseconds(), ahead, r.slots)
+			b.refuse(req, Overload, p.retryDelay(req, wait), reason)
 		}
 		p.queue = slices.Delete(p.queue, i, i+1)
 	}
-	for _, w := range late {
-		w.late = true
-		p.insert(w)
+	for _, req := range late {
+		req.late = true
+		p.insert(req)
 	}
 }
 
-// refuseUnserved refuses the requests of a pool that no upstream serves.
+// refuseUnserved refuses the requests of a pool that has had no upstream for
+// noUpstreamTimeout, or that have missed their latency target meanwhile.
 func (b *Broker) refuseUnserved(now time.Duration, p *pool) {
 	for i := 0; i < len(p.queue); {
-		w := p.queue[i]
-		if now-p.lastLive < noUpstreamGrace && now < w.Aim {
+		req := p.queue[i]
+		if now-p.lastServed < noUpstreamTimeout && now < req.Aim {
 			i++
 			continue
 		}
 		p.queue = slices.Delete(p.queue, i, i+1)
-		b.refuse(w, NoUpstream, shortestReturn, "no upstream serves the pool")
+		b.refuse(req, NoUpstream, minRetryDelay, "no upstream serves the pool")
 	}
 }
 
-// wait is how long a request waits behind the work ahead of it in the queue and
-// the work of higher ranks that keeps arriving.
-func (p *pool) wait(now time.Duration, w *work, ahead, slots float64) time.Duration {
-	spare := slots - p.load.above(now, w.Rank)
+// queueWait estimates how long a request waits behind the requests ahead of it,
+// which hold slots for a total of ahead seconds, and behind requests of higher rank
+// that keep arriving.
+func (p *pool) queueWait(now time.Duration, req *request, ahead, slots float64) time.Duration {
+	spare := slots - p.load.higherRanks(now, req.Rank)
 	if spare < slots/20 {
 		spare = slots / 20
 	}
 	return seconds(ahead / spare)
 }
 
-// leastFirst is the shortest time to a request's first event on any upstream.
-func (p *pool) leastFirst(r *round, w *work) time.Duration {
+// minFirstEventTime estimates the time to a request's first event on the fastest
+// upstream.
+func (p *pool) minFirstEventTime(r *round, req *request) time.Duration {
 	if p.engine == nil {
-		return seconds(r.call)
+		return seconds(r.minCallTime)
 	}
-	return seconds(r.token * (p.cost.overhead + p.cost.read*float64(w.PromptTokens)))
+	return seconds(r.minTokenTime * (p.costs.overhead + p.costs.prefillRatio*float64(req.PromptTokens)))
 }
 
-// comeBack is when a refused caller is asked to come back: once the work ahead
-// of it is done, spread over as long again, so that the refused don't return at
-// once.
-func (p *pool) comeBack(w *work, wait time.Duration) time.Duration {
-	spread := float64((w.ID.Number*2654435761)%1000) / 1000
-	after := wait + time.Duration(spread*float64(max(wait, shortestReturn)))
-	return min(longestReturn, max(shortestReturn, after))
+// retryDelay returns when a refused caller should retry: after the estimated wait,
+// plus up to as long again, so that refused callers do not retry all at once.
+func (p *pool) retryDelay(req *request, wait time.Duration) time.Duration {
+	spread := float64((req.ID.Number*2654435761)%1000) / 1000
+	after := wait + time.Duration(spread*float64(max(wait, minRetryDelay)))
+	return min(maxRetryDelay, max(minRetryDelay, after))
 }
--- a/core/broker/decide_bench_test.go
+++ b/core/broker/decide_bench_test.go
@@ -6,15 +6,16 @@
 	"time"
 )
 
-// BenchmarkGrant measures an offer, its grant and its end, by upstreams.
+// BenchmarkGrant measures the offer, grant and end of one request for several
+// numbers of upstreams.
 func BenchmarkGrant(b *testing.B) {
 	for _, n := range []int{12, 66, 660} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			slow := make([]float64, n)
-			for i := range slow {
-				slow[i] = 1
+			slowness := make([]float64, n)
+			for i := range slowness {
+				slowness[i] = 1
 			}
-			s := newSim(slow...)
+			s := newSim(slowness...)
 			number := uint64(0)
 			for b.Loop() {
 				number++
@@ -28,14 +29,14 @@
 	}
 }
 
-// BenchmarkDecideBehindFullEngines measures a round in which 300 requests wait
-// and no engine has room.
-func BenchmarkDecideBehindFullEngines(b *testing.B) {
-	slow := make([]float64, 60)
-	for i := range slow {
-		slow[i] = 1
+// BenchmarkDecideWithFullEngines measures a round in which 300 requests wait and no
+// engine has a free slot.
+func BenchmarkDecideWithFullEngines(b *testing.B) {
+	slowness := make([]float64, 60)
+	for i := range slowness {
+		slowness[i] = 1
 	}
-	s := newSim(slow...)
+	s := newSim(slowness...)
 	for number := range uint64(60*simSlots + 300) {
 		id := ID{Entry: "entry", Number: number}
 		s.broker.Offer(0, Offer{ID: id, Pool: simPool, PromptTokens: 3000, OutputTokens: 100, Aim: time.Hour, Latest: time.Hour, Deadline: time.Hour})
--- a/core/broker/health.go
+++ b/core/broker/health.go
@@ -3,109 +3,115 @@
 import "time"
 
 const (
-	// firstDown is how long an upstream that can't be reached takes no work;
-	// each further failure doubles it up to mostDown.
-	firstDown = 500 * time.Millisecond
-	mostDown  = 4 * time.Second
-	// fullPause is how long one that rejected a request as full takes no work.
-	fullPause = 100 * time.Millisecond
-	// movedPause is how long one whose address another process has takes none:
-	// its own heartbeat or the other's comes within it.
-	movedPause = 3 * time.Second
-	// failGain is the weight of the newest outcome in the share of failures.
-	failGain = 0.12
-	// rowToTrial is how many failures in a row put an upstream on trial: one
-	// request at a time.
-	rowToTrial = 3
+	// minBackOffDelay is how long an upstream that can't be reached gets no requests;
+	// each further failure doubles the delay up to maxBackOffDelay.
+	minBackOffDelay = 500 * time.Millisecond
+	maxBackOffDelay = 4 * time.Second
+	// rejectedDelay is how long an upstream gets no requests after it rejected one.
+	rejectedDelay = 100 * time.Millisecond
+	// misdirectedDelay is how long an upstream gets no requests after another process
+	// answered on its address; a heartbeat of either process arrives within it.
+	misdirectedDelay = 3 * time.Second
+	// failureWeight is the weight of a new outcome in the failure rate.
+	failureWeight = 0.12
+	// probationFailures is how many consecutive failures put an upstream on
+	// probation, in which it gets one request at a time.
+	probationFailures = 3
 )
 
-// health is what outcomes tell of an upstream.
+// health tracks the outcomes of requests to one upstream.
 type health struct {
-	// fails is the share of requests that failed lately.
-	fails float64
-	row   int
-	until time.Duration
-	pause time.Duration
+	// failureRate is a moving average in [0, 1].
+	failureRate         float64
+	consecutiveFailures int
+	// unavailableUntil is when the upstream may get requests again.
+	unavailableUntil time.Duration
+	// backOffDelay is the last delay after a failure; zero after a success.
+	backOffDelay time.Duration
 }
 
-func (h *health) down(now time.Duration) bool { return now < h.until }
+func (h *health) unavailable(now time.Duration) bool { return now < h.unavailableUntil }
 
-func (h *health) trial() bool { return h.row >= rowToTrial }
+func (h *health) onProbation() bool { return h.consecutiveFailures >= probationFailures }
 
-// note takes in an outcome.
-func (h *health) note(now time.Duration, o Outcome) {
+// record updates the health by the outcome of a request.
+func (h *health) record(now time.Duration, o Outcome) {
 	switch o {
 	case Done:
-		h.fails -= failGain * h.fails
-		h.row = 0
-		h.pause = 0
+		h.failureRate -= failureWeight * h.failureRate
+		h.consecutiveFailures = 0
+		h.backOffDelay = 0
 	case Full:
-		h.until = max(h.until, now+fullPause)
+		h.unavailableUntil = max(h.unavailableUntil, now+rejectedDelay)
 	case Misdirected:
-		h.until = max(h.until, now+movedPause)
+		h.unavailableUntil = max(h.unavailableUntil, now+misdirectedDelay)
 	case Unreachable:
-		h.failed()
-		h.pause = min(mostDown, max(firstDown, 2*h.pause))
-		h.until = now + h.pause
+		h.recordFailure()
+		h.backOffDelay = min(maxBackOffDelay, max(minBackOffDelay, 2*h.backOffDelay))
+		h.unavailableUntil = now + h.backOffDelay
 	case Broken, Silent, Spoiled:
-		h.failed()
-		if h.row >= rowToTrial {
-			h.pause = min(mostDown, max(firstDown, 2*h.pause))
-			h.until = now + h.pause
+		h.recordFailure()
+		if h.consecutiveFailures >= probationFailures {
+			h.backOffDelay = min(maxBackOffDelay, max(minBackOffDelay, 2*h.backOffDelay))
+			h.unavailableUntil = now + h.backOffDelay
 		}
 	case Failed:
-		h.failed()
-		h.row = 0
+		// An error answer proves that the upstream is alive.
+		h.recordFailure()
+		h.consecutiveFailures = 0
 	}
 }
 
-func (h *health) failed() {
-	h.fails += failGain * (1 - h.fails)
-	h.row++
+func (h *health) recordFailure() {
+	h.failureRate += failureWeight * (1 - h.failureRate)
+	h.consecutiveFailures++
 }
 
-// sessions remembers the prompts that an upstream read last.
-type sessions struct {
-	at    map[uint64]uint64
-	clock uint64
+// sessionCache models which sessions an upstream has in its prefix cache, with
+// least-recently-used eviction.
+type sessionCache struct {
+	// lastUse maps a session to the time of its last prompt; the lowest bit is set
+	// if the session was cached before that prompt.
+	lastUse map[uint64]uint64
+	clock   uint64
 }
 
-// keptSessions is how many an upstream is assumed to keep. An engine with
-// memory for 500,000 tokens keeps that many prompts of 4,000.
-const keptSessions = 100
+// maxCachedSessions is how many sessions an upstream is assumed to cache. An engine
+// with memory for 500,000 tokens holds about that many prompts of 4,000 tokens.
+const maxCachedSessions = 100
 
-func newSessions() sessions { return sessions{at: map[uint64]uint64{}} }
+func newSessionCache() sessionCache { return sessionCache{lastUse: map[uint64]uint64{}} }
 
-func (s *sessions) has(id uint64) bool {
-	_, ok := s.at[id]
+// contains reports whether a session is cached; session 0 never is.
+func (c *sessionCache) contains(id uint64) bool {
+	_, ok := c.lastUse[id]
 	return ok && id != 0
 }
 
-// had tells whether a session was there before the request that touched it
-// last.
-func (s *sessions) had(id uint64) bool { return id != 0 && s.at[id]&1 == 1 }
+// wasCached reports whether a session was cached before its last touch.
+func (c *sessionCache) wasCached(id uint64) bool { return id != 0 && c.lastUse[id]&1 == 1 }
 
-// touch notes that a prompt is read; the lowest bit of its stamp says that it
-// was known before.
-func (s *sessions) touch(id uint64) {
+// touch records a prompt of a session and evicts the least recently used session if
+// there are too many.
+func (c *sessionCache) touch(id uint64) {
 	if id == 0 {
 		return
 	}
-	_, known := s.at[id]
-	s.clock += 2
-	stamp := s.clock
-	if known {
+	_, cached := c.lastUse[id]
+	c.clock += 2
+	stamp := c.clock
+	if cached {
 		stamp |= 1
 	}
-	s.at[id] = stamp
-	if len(s.at) <= keptSessions {
+	c.lastUse[id] = stamp
+	if len(c.lastUse) <= maxCachedSessions {
 		return
 	}
 	oldest, least := uint64(0), ^uint64(0)
-	for k, v := range s.at {
+	for k, v := range c.lastUse {
 		if v < least {
 			oldest, least = k, v
 		}
 	}
-	delete(s.at, oldest)
+	delete(c.lastUse, oldest)
 }
--- a/core/broker/load.go
+++ b/core/broker/load.go
@@ -6,45 +6,46 @@
 )
 
 const (
-	// loadMemory is the time constant over which arriving work is averaged.
-	// A burst of a few seconds must show in it well before it ends.
-	loadMemory = 1500 * time.Millisecond
-	// ranks bounds the ranks that are told apart; higher ones count as the last.
-	ranks = 16
+	// loadWindow is the time constant of the load average. It is short so that a
+	// burst of a few seconds shows well before it ends.
+	loadWindow = 1500 * time.Millisecond
+	// maxRanks is the number of ranks with an average of their own; higher ranks
+	// count as the last.
+	maxRanks = 16
 )
 
-// load averages the work that arrives, by rank.
+// load is an exponential moving average of the offered load by rank, in slots.
 type load struct {
-	at   time.Duration
-	rate [ranks]float64
+	updated time.Duration
+	slots   [maxRanks]float64
 }
 
 func (l *load) decay(now time.Duration) {
-	if now <= l.at {
+	if now <= l.updated {
 		return
 	}
-	keep := math.Exp(-(now - l.at).Seconds() / loadMemory.Seconds())
-	for i := range l.rate {
-		l.rate[i] *= keep
+	keep := math.Exp(-(now - l.updated).Seconds() / loadWindow.Seconds())
+	for i := range l.slots {
+		l.slots[i] *= keep
 	}
-	l.at = now
+	l.updated = now
 }
 
-// arrived counts a request by the time for which it will hold a slot, in
-// seconds.
-func (l *load) arrived(now time.Duration, rank int, slotTime float64) {
+// add counts a request that will hold a slot for slotTime seconds.
+func (l *load) add(now time.Duration, rank int, slotTime float64) {
 	l.decay(now)
-	l.rate[rankIndex(rank)] += slotTime / loadMemory.Seconds()
+	l.slots[rankIndex(rank)] += slotTime / loadWindow.Seconds()
 }
 
-// above returns how many slots the work of ranks before one keeps busy.
-func (l *load) above(now time.Duration, rank int) float64 {
+// higherRanks returns how many slots the requests of ranks before the given one
+// occupy.
+func (l *load) higherRanks(now time.Duration, rank int) float64 {
 	l.decay(now)
 	sum := 0.0
 	for i := range rankIndex(rank) {
-		sum += l.rate[i]
+		sum += l.slots[i]
 	}
 	return sum
 }
 
-func rankIndex(rank int) int { return min(max(rank, 0), ranks-1) }
+func rankIndex(rank int) int { return min(max(rank, 0), maxRanks-1) }
--- a/core/broker/pattern_test.go
+++ b/core/broker/pattern_test.go
@@ -13,41 +13,46 @@
 	"github.com/verbenastep/verbenastep/core/routes"
 )
 
-// The patterns run the broker before simulated engines, on a simulated clock.
-// Each is named for the load that it answers.
-
-// kind is a kind of request with what it is worth.
-type kind struct {
-	name      string
-	rank      int
-	prompt    int
-	output    int
-	aim       time.Duration
-	worth     float64
-	lateWorth float64
+// The pattern tests run the broker with simulated engines and a simulated clock.
+// Each is named after the load that it offers.
+
+// requestKind describes requests that arrive at random.
+type requestKind struct {
+	name string
+	rank int
+	// prompt and output are mean token counts.
+	prompt int
+	output int
+	target time.Duration
+	// value is what an answer on time counts, lateValue what a late one counts.
+	value     float64
+	lateValue float64
 	perSecond float64
 }
 
-// kinds follow the sheet of a site whose urgent requests are most of the worth.
-var kinds = []kind{
-	{name: "draft", rank: 0, prompt: 3720, output: 120, aim: time.Second, worth: 5.3, lateWorth: 0.53, perSecond: 13.8},
-	{name: "compare", rank: 1, prompt: 2890, output: 52, aim: 800 * time.Millisecond, worth: 2.6, lateWorth: 0.26, perSecond: 10.3},
-	{name: "query", rank: 2, prompt: 1110, output: 172, aim: 600 * time.Millisecond, worth: 0.3, lateWorth: 0.03, perSecond: 17.5},
+// kinds are modelled after a deployment whose most urgent requests make up most of
+// the value.
+var kinds = []requestKind{
+	{name: "draft", rank: 0, prompt: 3720, output: 120, target: time.Second, value: 5.3, lateValue: 0.53, perSecond: 13.8},
+	{name: "compare", rank: 1, prompt: 2890, output: 52, target: 800 * time.Millisecond, value: 2.6, lateValue: 0.26, perSecond: 10.3},
+	{name: "query", rank: 2, prompt: 1110, output: 172, target: 600 * time.Millisecond, value: 0.3, lateValue: 0.03, perSecond: 17.5},
 }
 
 const (
-	simTokenTime = 0.0066
-	simReadTime  = 1.0 / 56_100
-	simOverhead  = 0.093
-	simPool      = "model"
+	// simTokenTime, simPrefillTime and simOverhead are in seconds.
+	simTokenTime   = 0.0066
+	simPrefillTime = 1.0 / 56_100
+	simOverhead    = 0.093
+	simPool        = "model"
 )
 
-// simEvent happens at a time.
+// simEvent is an action at a simulated time.
 type simEvent struct {
 	at time.Duration
 	do func()
 }
 
+// simEvents is a heap of events by time.
 type simEvents []simEvent
 
 func (h simEvents) Len() int           { return len(h) }
@@ -61,25 +66,30 @@
 	return last
 }
 
-// simEngine is an engine: slow is how many times as long as usual it takes.
+// simEngine simulates an engine whose times are multiplied by slowness.
 type simEngine struct {
-	id   string
-	slow float64
-	// readUntil is when it has read all prompts that it was given.
-	readUntil time.Duration
-	running   int
+	id       string
+	slowness float64
+	// prefillUntil is when all granted prompts are prefilled.
+	prefillUntil time.Duration
+	running      int
 }
 
-// tally counts what became of a kind of request.
+// tally counts the outcomes of one kind of request.
 type tally struct {
-	offered, punctual, late, refused int
-	worth, owed                      float64
+	offered, onTime, late, refused int
+	// value is what was earned, offeredValue what all requests on time would earn.
+	value, offeredValue float64
 }
 
-func (t tally) share() float64  { return float64(t.punctual+t.late) / math.Max(1, float64(t.offered)) }
-func (t tally) onTime() float64 { return float64(t.punctual) / math.Max(1, float64(t.offered)) }
+// servedRatio is the fraction of the requests that were served, onTimeRatio the
+// fraction served on time.
+func (t tally) servedRatio() float64 {
+	return float64(t.onTime+t.late) / math.Max(1, float64(t.offered))
+}
+func (t tally) onTimeRatio() float64 { return float64(t.onTime) / math.Max(1, float64(t.offered)) }
 
-// sim runs a broker before engines.
+// sim runs a broker with simulated engines.
 type sim struct {
 	broker  *Broker
 	engines map[string]*simEngine
@@ -87,25 +97,26 @@
 	now     time.Duration
 	events  simEvents
 	next    uint64
-	open    map[ID]kind
+	open    map[ID]requestKind
 	offered map[ID]time.Duration
-	count   map[string]*tally
-	// most is the most requests that any engine ran at once.
-	most int
+	tallies map[string]*tally
+	// maxRunning is the most requests that any engine ran at once.
+	maxRunning int
 }
 
 const simSlots = 7
 
-func newSim(slow ...float64) *sim {
+// newSim returns a simulation with one engine per slowness.
+func newSim(slowness ...float64) *sim {
 	s := &sim{
 		broker: New(1), engines: map[string]*simEngine{}, rng: rand.New(rand.NewPCG(1, 2)),
-		open: map[ID]kind{}, offered: map[ID]time.Duration{}, count: map[string]*tally{},
+		open: map[ID]requestKind{}, offered: map[ID]time.Duration{}, tallies: map[string]*tally{},
 	}
 	table := &routes.Table{Version: 1, Pools: []routes.Pool{{Name: simPool, Engine: &routes.Engine{Slots: simSlots, MemoryTokens: 600_000, EventTokens: 2}}}}
 	s.broker.Configure(routes.NewIndex(table))
 	list := []Upstream{}
-	for i, x := range slow {
-		e := &simEngine{id: fmt.Sprintf("e-%02d", i), slow: x}
+	for i, x := range slowness {
+		e := &simEngine{id: fmt.Sprintf("e-%02d", i), slowness: x}
 		s.engines[e.id] = e
 		list = append(list, Upstream{ID: e.id, Pool: simPool, Address: e.id, DataCentre: "dc", Region: "r", Slots: simSlots})
 	}
@@ -115,11 +126,11 @@
 
 func (s *sim) at(when time.Duration, do func()) { heap.Push(&s.events, simEvent{at: when, do: do}) }
 
-// arrive offers requests of all kinds at a multiple of their usual rate.
-func (s *sim) arrive(from, to time.Duration, times float64) {
+// arrive schedules Poisson arrivals of all kinds at a multiple of their rate.
+func (s *sim) arrive(from, to time.Duration, factor float64) {
 	for _, k := range kinds {
 		for t := from; ; {
-			t += time.Duration(s.rng.ExpFloat64() / (k.perSecond * times) * float64(time.Second))
+			t += time.Duration(s.rng.ExpFloat64() / (k.perSecond * factor) * float64(time.Second))
 			if t >= to {
 				break
 			}
@@ -128,26 +139,26 @@
 	}
 }
 
-func (s *sim) offer(k kind) {
+func (s *sim) offer(k requestKind) {
 	s.next++
 	id := ID{Entry: "entry", Number: s.next}
 	s.open[id], s.offered[id] = k, s.now
-	c := s.of(k)
+	c := s.tally(k)
 	c.offered++
-	c.owed += k.worth
+	c.offeredValue += k.value
 	size := func(mean int) int { return max(1, int(float64(mean)*math.Exp(s.rng.NormFloat64()*0.8-0.32))) }
 	s.broker.Offer(s.now, Offer{
 		ID: id, Pool: simPool, DataCentre: "dc", Region: "r", Rank: k.rank, PromptTokens: size(k.prompt), OutputTokens: size(k.output),
-		Aim: s.now + k.aim, Latest: s.now + 2*k.aim, Deadline: s.now + 10*time.Second,
+		Aim: s.now + k.target, Latest: s.now + 2*k.target, Deadline: s.now + 10*time.Second,
 	})
 	s.decide()
 }
 
-func (s *sim) of(k kind) *tally {
-	if s.count[k.name] == nil {
-		s.count[k.name] = &tally{}
+func (s *sim) tally(k requestKind) *tally {
+	if s.tallies[k.name] == nil {
+		s.tallies[k.name] = &tally{}
 	}
-	return s.count[k.name]
+	return s.tallies[k.name]
 }
 
 func (s *sim) decide() {
@@ -156,29 +167,29 @@
 		s.start(g)
 	}
 	for _, r := range d.Refusals {
-		s.of(s.open[r.ID]).refused++
+		s.tally(s.open[r.ID]).refused++
 		delete(s.open, r.ID)
 	}
 }
 
 func (s *sim) start(g Grant) {
-	e, k, w := s.engines[g.Upstream], s.open[g.ID], s.broker.works[g.ID]
+	e, k, w := s.engines[g.Upstream], s.open[g.ID], s.broker.requests[g.ID]
 	e.running++
-	s.most = max(s.most, e.running)
-	reading := time.Duration(float64(w.PromptTokens) * simReadTime * e.slow * float64(time.Second))
-	e.readUntil = max(s.now, e.readUntil) + reading
-	first := e.readUntil + time.Duration(simOverhead*e.slow*float64(time.Second))
-	last := first + time.Duration(float64(w.OutputTokens)*simTokenTime*e.slow*float64(time.Second))
+	s.maxRunning = max(s.maxRunning, e.running)
+	prefill := time.Duration(float64(w.PromptTokens) * simPrefillTime * e.slowness * float64(time.Second))
+	e.prefillUntil = max(s.now, e.prefillUntil) + prefill
+	first := e.prefillUntil + time.Duration(simOverhead*e.slowness*float64(time.Second))
+	last := first + time.Duration(float64(w.OutputTokens)*simTokenTime*e.slowness*float64(time.Second))
 	granted, output := s.now, w.OutputTokens
 	s.at(last, func() {
 		e.running--
-		c := s.of(k)
-		if first-s.offered[g.ID] <= k.aim {
-			c.punctual++
-			c.worth += k.worth
+		c := s.tally(k)
+		if first-s.offered[g.ID] <= k.target {
+			c.onTime++
+			c.value += k.value
 		} else {
 			c.late++
-			c.worth += k.lateWorth
+			c.value += k.lateValue
 		}
 		s.broker.End(s.now, End{ID: g.ID, Outcome: Done, First: first - granted, Decode: last - first, OutputTokens: output})
 		delete(s.open, g.ID)
@@ -186,12 +197,13 @@
 	})
 }
 
-// run plays all events.
+// run processes all events and calls Decide at least every decideInterval while
+// requests are open.
 func (s *sim) run() {
 	for len(s.events) > 0 {
 		e := heap.Pop(&s.events).(simEvent)
-		for s.now+decideEvery < e.at && len(s.open) > 0 {
-			s.now += decideEvery
+		for s.now+decideInterval < e.at && len(s.open) > 0 {
+			s.now += decideInterval
 			s.decide()
 		}
 		s.now = max(s.now, e.at)
@@ -199,69 +211,71 @@
 	}
 }
 
-// worth is the share of the owed worth that was earned.
-func (s *sim) worth() float64 {
-	earned, owed := 0.0, 0.0
-	for _, c := range s.count {
-		earned += c.worth
-		owed += c.owed
+// valueRatio is the fraction of the offered value that was earned.
+func (s *sim) valueRatio() float64 {
+	earned, offered := 0.0, 0.0
+	for _, c := range s.tallies {
+		earned += c.value
+		offered += c.offeredValue
 	}
-	return earned / owed
+	return earned / offered
 }
 
-// uneven are nine engines of which a third is more than four times as slow.
+// uneven is the slowness of nine engines, a third of which are more than four times
+// as slow as the others.
 var uneven = []float64{0.68, 0.68, 3, 0.68, 0.68, 3, 0.68, 0.68, 3}
 
-func TestPatternCalmDayOnUnevenEngines(t *testing.T) {
+func TestPatternModerateLoadOnUnevenEngines(t *testing.T) {
 	s := newSim(uneven...)
 	s.arrive(0, 30*time.Second, 0.7)
 	s.run()
-	require.Greater(t, s.worth(), 0.97)
-	require.LessOrEqual(t, s.most, simSlots)
+	require.Greater(t, s.valueRatio(), 0.97)
+	require.LessOrEqual(t, s.maxRunning, simSlots)
 	for _, k := range kinds {
-		require.Greater(t, s.of(k).share(), 0.99, k.name)
+		require.Greater(t, s.tally(k).servedRatio(), 0.99, k.name)
 	}
 }
 
-func TestPatternBurstKeepsUrgentRequestsPunctual(t *testing.T) {
+func TestPatternBurstKeepsUrgentRequestsOnTime(t *testing.T) {
 	s := newSim(uneven...)
 	s.arrive(0, 5*time.Second, 1)
 	s.arrive(5*time.Second, 15*time.Second, 2.2)
 	s.run()
-	require.Greater(t, s.of(kinds[0]).onTime(), 0.9, "the most urgent kind")
-	require.Greater(t, s.worth(), 0.8)
-	require.Greater(t, s.of(kinds[0]).share(), s.of(kinds[2]).share())
+	require.Greater(t, s.tally(kinds[0]).onTimeRatio(), 0.9, "the most urgent kind")
+	require.Greater(t, s.valueRatio(), 0.8)
+	require.Greater(t, s.tally(kinds[0]).servedRatio(), s.tally(kinds[2]).servedRatio())
 }
 
-// TestPatternShortBurstOfEqualsServesLateRatherThanRefuses overloads engines by
-// requests of one rank for two seconds: who can no longer be on time waits
-// behind those who can, and is served once the burst is over.
-func TestPatternShortBurstOfEqualsServesLateRatherThanRefuses(t *testing.T) {
+// TestPatternShortBurstIsServedLateRatherThanRefused overloads the engines with
+// requests of one rank for two seconds. Requests that can no longer be on time must
+// wait behind those that can, and be served after the burst.
+func TestPatternShortBurstIsServedLateRatherThanRefused(t *testing.T) {
 	s := newSim(uneven...)
-	equals := kinds[0]
-	equals.perSecond = 140
+	burst := kinds[0]
+	burst.perSecond = 140
 	for i := range 280 {
-		s.at(time.Duration(i)*time.Second/140, func() { s.offer(equals) })
+		s.at(time.Duration(i)*time.Second/140, func() { s.offer(burst) })
 	}
 	s.run()
-	c := s.of(equals)
+	c := s.tally(burst)
 	t.Logf("%+v", *c)
-	require.Greater(t, c.share(), 0.85)
-	require.Greater(t, c.onTime(), 0.6, "those who can be on time still are")
+	require.Greater(t, c.servedRatio(), 0.85)
+	require.Greater(t, c.onTimeRatio(), 0.6, "late requests must not delay those that can be on time")
 }
 
-func TestPatternSustainedOverloadRefusesAtOnce(t *testing.T) {
+func TestPatternSustainedOverloadIsRefusedEarly(t *testing.T) {
 	s := newSim(uneven...)
 	s.arrive(0, 20*time.Second, 2.5)
 	s.run()
-	require.Greater(t, s.of(kinds[0]).onTime(), 0.85, "the most urgent kind")
-	require.Greater(t, s.of(kinds[2]).refused, s.of(kinds[2]).offered/3)
+	require.Greater(t, s.tally(kinds[0]).onTimeRatio(), 0.85, "the most urgent kind")
+	require.Greater(t, s.tally(kinds[2]).refused, s.tally(kinds[2]).offered/3)
 	require.Empty(t, s.open, "every request has a final answer")
 }
 
-// TestPatternManyEntriesAloneDontSwampEngines has every entry decide by itself
-// while each has more work than its share, as when the core is split in halves.
-func TestPatternManyEntriesAloneDontSwampEngines(t *testing.T) {
+// TestPatternLocalBrokersDoNotOverloadEngines guards against overload while all
+// entries use their local brokers with more requests than their share, as in a
+// network partition of the control daemons.
+func TestPatternLocalBrokersDoNotOverloadEngines(t *testing.T) {
 	for _, c := range []struct{ entries, engines, slots int }{{9, 9, 7}, {63, 60, 5}, {300, 60, 5}} {
 		list := []Upstream{}
 		for i := range c.engines {
@@ -276,26 +290,26 @@
 				b.Offer(0, Offer{ID: ID{Entry: "x", Number: uint64(n)}, Pool: simPool, Aim: time.Second, Latest: time.Second, Deadline: time.Second})
 			}
 			grants := b.Decide(0).Grants
-			require.NotEmpty(t, grants, "no entry is without any upstream")
+			require.NotEmpty(t, grants, "every entry can use at least one upstream")
 			for _, g := range grants {
 				held[g.Upstream]++
 			}
 		}
-		total, most := 0, 0
+		total, largest := 0, 0
 		for _, n := range held {
 			total += n
-			most = max(most, n)
+			largest = max(largest, n)
 		}
 		slots := c.engines * c.slots
-		require.LessOrEqual(t, total, 2*slots, "%+v: on average no more wait at an engine than run", c)
-		require.LessOrEqual(t, most, 4*c.slots, "%+v", c)
-		require.GreaterOrEqual(t, total, slots*9/10, "%+v: the engines are used", c)
+		require.LessOrEqual(t, total, 2*slots, "%+v: on average no more requests wait at an engine than run", c)
+		require.LessOrEqual(t, largest, 4*c.slots, "%+v", c)
+		require.GreaterOrEqual(t, total, slots*9/10, "%+v: the engines are well used", c)
 	}
 }
 
-// TestPatternPileAfterAnOutageIsServedLate offers at once what entries held
-// while no broker answered: most of it can't be on time any more.
-func TestPatternPileAfterAnOutageIsServedLate(t *testing.T) {
+// TestPatternBacklogAfterOutageIsServedLate offers at once the requests that waited
+// while no broker answered, most of which can no longer be on time.
+func TestPatternBacklogAfterOutageIsServedLate(t *testing.T) {
 	s := newSim(uneven...)
 	s.now = 10 * time.Second
 	k := kinds[0]
@@ -303,30 +317,30 @@
 		s.next++
 		id := ID{Entry: "entry", Number: s.next}
 		s.open[id], s.offered[id] = k, s.now-900*time.Millisecond
-		s.of(k).offered++
-		aim := s.offered[id] + k.aim
+		s.tally(k).offered++
+		target := s.offered[id] + k.target
 		s.broker.Offer(s.now, Offer{
 			ID: id, Pool: simPool, DataCentre: "dc", Region: "r", Rank: k.rank, PromptTokens: k.prompt, OutputTokens: k.output,
-			Aim: aim, Latest: aim + k.aim, Deadline: aim + 10*time.Second,
+			Aim: target, Latest: target + k.target, Deadline: target + 10*time.Second,
 		})
 	}
 	s.decide()
 	s.run()
-	require.Greater(t, s.of(k).share(), 0.95)
+	require.Greater(t, s.tally(k).servedRatio(), 0.95)
 }
 
-// TestPatternLongAnswersStayOffSlowEngines fills the fast engines, then offers
-// answers that only a fast engine can end within their deadline.
-func TestPatternLongAnswersStayOffSlowEngines(t *testing.T) {
+// TestPatternLongAnswersAvoidSlowEngines offers more requests than the fast engines
+// have slots for, all too long for a slow engine to complete by the deadline.
+func TestPatternLongAnswersAvoidSlowEngines(t *testing.T) {
 	s := newSim(0.68, 0.68, 3, 3)
-	teach := []Learned{}
+	learned := []Learned{}
 	for id, e := range s.engines {
-		teach = append(teach, Learned{ID: id, Token: simTokenTime * e.slow})
+		learned = append(learned, Learned{ID: id, Token: simTokenTime * e.slowness})
 	}
-	s.broker.Teach(teach)
+	s.broker.Teach(learned)
 	long := kinds[2]
 	long.output = 700
-	slow := 0
+	onSlow := 0
 	for range 20 {
 		s.next++
 		id := ID{Entry: "entry", Number: s.next}
@@ -334,9 +348,9 @@
 		s.broker.Offer(0, Offer{ID: id, Pool: simPool, PromptTokens: 1000, OutputTokens: long.output, Aim: time.Second, Latest: 2 * time.Second, Deadline: 15 * time.Second})
 	}
 	for _, g := range s.broker.Decide(0).Grants {
-		if s.engines[g.Upstream].slow > 1 {
-			slow++
+		if s.engines[g.Upstream].slowness > 1 {
+			onSlow++
 		}
 	}
-	require.Zero(t, slow, "700 tokens at 20 ms each and what the estimate may lack take longer than 15 s")
+	require.Zero(t, onSlow, "700 tokens at 20 ms each, with the margin for the estimate, take longer than 15 s")
 }
--- a/core/broker/pool.go
+++ b/core/broker/pool.go
@@ -9,81 +9,87 @@
 	"github.com/verbenastep/verbenastep/core/routes"
 )
 
-// pool is the queue and the upstreams of one pool.
+// pool holds the queue and the upstreams of one pool.
 type pool struct {
-	name      string
+	name string
+	// engine is nil for a plain service.
 	engine    *routes.Engine
 	upstreams map[string]*upstream
-	// order lists the upstreams by id, so that ties fall the same way each time.
+	// order lists the upstreams by ID, so that ties are resolved deterministically.
 	order []*upstream
-	// open is scratch space of a round.
-	open  []*upstream
-	queue []*work
-	cost  costs
+	// open is a buffer that rounds reuse.
+	open []*upstream
+	// queue is sorted by compare.
+	queue []*request
+	costs costs
 	load  load
-	// lastLive is when an upstream last took work, or the first round.
-	lastLive time.Duration
-	begun    bool
+	// lastServed is the time of the last round that had slots, or of the first round.
+	lastServed time.Duration
+	// started is true after the first round.
+	started bool
 }
 
 func newPool(name string) *pool {
-	return &pool{name: name, upstreams: map[string]*upstream{}, cost: newCosts()}
+	return &pool{name: name, upstreams: map[string]*upstream{}, costs: newCosts()}
 }
 
-// upstream is one upstream and what runs on it.
+// upstream is an upstream with its running requests and learned estimates.
 type upstream struct {
 	Upstream
-	inFlight map[ID]*work
-	// tokens are those that the running requests hold at most.
+	inFlight map[ID]*request
+	// tokens is the upper bound of the engine memory that running requests use.
 	tokens int64
-	// readUntil is when all prompts that were granted should be read.
-	readUntil time.Duration
-	speed     speed
-	health    health
-	// point in [0, 1) decides on fractions of slots; see capacity.
+	// prefillUntil is when all granted prompts should be prefilled.
+	prefillUntil time.Duration
+	speed        speed
+	health       health
+	// point is a hash in [0, 1) of upstream and broker that rounds fractional
+	// slots; see capacity.
 	point    float64
-	sessions sessions
+	sessions sessionCache
 }
 
-// take replaces the upstreams. What is learned of those that stay is kept.
-func (p *pool) take(list []Upstream, engine *routes.Engine, broker string) {
+// setUpstreams replaces the pool's upstreams and keeps what was learned about those
+// that remain. A removed upstream is kept as leaving while requests run on it.
+func (p *pool) setUpstreams(list []Upstream, engine *routes.Engine, broker string) {
 	p.engine = engine
 	p.order = p.order[:0]
-	seen := map[string]bool{}
+	listed := map[string]bool{}
 	for _, x := range list {
 		u := p.upstreams[x.ID]
 		if u == nil {
-			u = &upstream{inFlight: map[ID]*work{}, sessions: newSessions(), point: rendezvous.Point(x.ID, broker)}
+			u = &upstream{inFlight: map[ID]*request{}, sessions: newSessionCache(), point: rendezvous.Point(x.ID, broker)}
 			p.upstreams[x.ID] = u
 		}
 		u.Upstream = x
-		seen[x.ID] = true
+		listed[x.ID] = true
 		p.order = append(p.order, u)
 	}
 	for id, u := range p.upstreams {
-		if !seen[id] && len(u.inFlight) == 0 {
+		if !listed[id] && len(u.inFlight) == 0 {
 			delete(p.upstreams, id)
-		} else if !seen[id] {
+		} else if !listed[id] {
 			u.Leaving = true
 		}
 	}
 	slices.SortFunc(p.order, func(a, b *upstream) int { return strings.Compare(a.ID, b.ID) })
 }
 
-// enqueue inserts a request behind those that go before it.
-func (p *pool) enqueue(now time.Duration, w *work) {
-	p.load.arrived(now, w.Rank, p.slotTime(w))
-	p.insert(w)
+// enqueue adds a new request to the queue and to the load average.
+func (p *pool) enqueue(now time.Duration, req *request) {
+	p.load.add(now, req.Rank, p.slotTime(req))
+	p.insert(req)
 }
 
-func (p *pool) insert(w *work) {
-	at, _ := slices.BinarySearchFunc(p.queue, w, compare)
-	p.queue = slices.Insert(p.queue, at, w)
+// insert adds a request to the queue at its sorted position.
+func (p *pool) insert(req *request) {
+	at, _ := slices.BinarySearchFunc(p.queue, req, compare)
+	p.queue = slices.Insert(p.queue, at, req)
 }
 
-// compare orders the queue: by rank, those that can still be on time first,
-// then by arrival.
-func compare(a, b *work) int {
+// compare orders the queue by rank, then requests that can meet their latency
+// target before those that can't, then by arrival. IDs break ties.
+func compare(a, b *request) int {
 	switch {
 	case a.Rank != b.Rank:
 		return a.Rank - b.Rank
@@ -109,59 +115,62 @@
 	return 0
 }
 
-func (p *pool) dequeue(w *work) {
-	at, ok := slices.BinarySearchFunc(p.queue, w, compare)
+func (p *pool) dequeue(req *request) {
+	at, ok := slices.BinarySearchFunc(p.queue, req, compare)
 	if ok {
 		p.queue = slices.Delete(p.queue, at, at+1)
 	}
 }
 
-// place counts a request on its upstream.
-func (p *pool) place(now time.Duration, w *work, u *upstream) {
-	w.at = u
-	w.alone = u.readUntil <= now
-	reading := p.readTime(w, u)
-	u.readUntil = max(now, u.readUntil) + reading
-	w.expected = u.readUntil + p.decodeTime(w, u)
-	u.inFlight[w.ID] = w
-	u.tokens += w.tokens()
-	u.sessions.touch(w.Session)
+// assign adds a request to an upstream's running ones and estimates its end.
+func (p *pool) assign(now time.Duration, req *request, u *upstream) {
+	req.assigned = u
+	req.prefilledAlone = u.prefillUntil <= now
+	prefill := p.prefillTime(req, u)
+	u.prefillUntil = max(now, u.prefillUntil) + prefill
+	req.expectedEnd = u.prefillUntil + p.decodeTime(req, u)
+	u.inFlight[req.ID] = req
+	u.tokens += req.tokens()
+	u.sessions.touch(req.Session)
 }
 
-func (w *work) tokens() int64 { return int64(w.PromptTokens + w.OutputTokens) }
+// tokens returns the engine memory that the request needs at most, in tokens.
+func (r *request) tokens() int64 { return int64(r.PromptTokens + r.OutputTokens) }
 
-// free takes a request off its upstream.
-func (p *pool) free(w *work) {
-	u := w.at
-	if u.inFlight[w.ID] != w {
+// release removes a request from its upstream's running ones.
+func (p *pool) release(req *request) {
+	u := req.assigned
+	if u.inFlight[req.ID] != req {
 		return
 	}
-	delete(u.inFlight, w.ID)
-	u.tokens -= w.tokens()
+	delete(u.inFlight, req.ID)
+	u.tokens -= req.tokens()
 	if len(u.inFlight) == 0 {
-		u.readUntil = 0
+		u.prefillUntil = 0
 	}
 }
 
-// capacity is how many requests an upstream may hold of a broker that has a
-// share of it. A fraction of a slot is a whole one on that fraction of upstreams,
-// others for each broker, so that all brokers together overload none.
+// capacity returns how many requests a broker with the given share may run on the
+// upstream. A fractional slot is rounded up on that fraction of the upstreams and
+// down on the others; the choice differs between brokers, so that together they
+// overload no upstream.
 func (u *upstream) capacity(now time.Duration, share float64) int {
 	slots := float64(u.Slots) * share
 	whole := int(slots)
 	if u.point < slots-float64(whole) {
 		whole++
 	}
-	if u.health.trial() {
+	if u.health.onProbation() {
 		return min(1, whole)
 	}
 	return whole
 }
 
-// fits tells whether an upstream with a free slot may take a request.
-func (p *pool) fits(u *upstream, w *work) bool {
-	if p.engine != nil && p.engine.MemoryTokens > 0 && len(u.inFlight) > 0 && u.tokens+w.tokens() > p.engine.MemoryTokens {
+// fits reports whether an upstream with a free slot may run a request: its engine
+// has enough memory and the request does not avoid it.
+func (p *pool) fits(u *upstream, req *request) bool {
+	if p.engine != nil && p.engine.MemoryTokens > 0 && len(u.inFlight) > 0 && u.tokens+req.tokens() > p.engine.MemoryTokens {
 		return false
 	}
-	return !slices.Contains(w.Avoid, u.ID)
+	return !slices.Contains(req.Avoid, u.ID)
 }
--- a/core/broker/speed.go
+++ b/core/broker/speed.go
@@ -6,149 +6,155 @@
 )
 
 const (
-	// firstTokenTime is the time for one output token before any was seen, in
-	// seconds: that of a large model on current hardware.
-	firstTokenTime = 0.007
-	// firstReadTime is the time for one prompt token before any was seen, as a
-	// part of the time for one output token.
-	firstReadTime = 1.0 / 300
-	// firstOverhead is the time from sending to the first event without any
-	// prompt, in output tokens.
-	firstOverhead = 15
-	// firstCallTime is the time of a plain call before any was seen, in seconds.
-	firstCallTime = 0.06
-	// gain is the weight of the newest observation of one upstream; poolGain
-	// that of a pool's.
-	gain     = 0.2
-	poolGain = 0.02
-	// leastRead is the shortest prompt from which reading speed is learned, in
-	// tokens: of shorter ones the overhead is most of the time.
-	leastRead = 1500
-	// minTokens is the shortest answer from which the time per token is learned.
-	minTokens = 8
+	// initialTokenTime is the assumed time per output token, in seconds, before the
+	// first observation: that of a large model on current hardware.
+	initialTokenTime = 0.007
+	// initialPrefillRatio is the assumed time per prompt token, as a fraction of the
+	// time per output token.
+	initialPrefillRatio = 1.0 / 300
+	// initialOverhead is the assumed time to the first event of an empty prompt, in
+	// output tokens.
+	initialOverhead = 15
+	// initialCallTime is the assumed time of a service call, in seconds.
+	initialCallTime = 0.06
+	// upstreamWeight and poolWeight are the weights of a new observation in the
+	// moving averages of an upstream and of a pool.
+	upstreamWeight = 0.2
+	poolWeight     = 0.02
+	// minPrefillTokens is the shortest prompt from which the prefill time is learned,
+	// in tokens: for shorter prompts the overhead dominates.
+	minPrefillTokens = 1500
+	// minOutputTokens is the shortest answer from which the time per token is
+	// learned.
+	minOutputTokens = 8
 )
 
-// costs are what a pool's requests take on an upstream of speed 1, in units of
-// the time per output token.
+// costs are moving averages over all upstreams of a pool.
 type costs struct {
-	// token is the pool's mean time per output token, call that of a plain
+	// tokenTime is the time per output token and callTime the time of a service
 	// call, in seconds.
-	token float64
-	call  float64
-	// read is the time per prompt token, overhead the time to the first event
-	// of an empty prompt, both in times per output token.
-	read     float64
-	overhead float64
+	tokenTime float64
+	callTime  float64
+	// prefillRatio is the time per prompt token and overhead the time to the first
+	// event of an empty prompt, both in multiples of the time per output token.
+	prefillRatio float64
+	overhead     float64
 }
 
 func newCosts() costs {
-	return costs{token: firstTokenTime, call: firstCallTime, read: firstReadTime, overhead: firstOverhead}
+	return costs{tokenTime: initialTokenTime, callTime: initialCallTime, prefillRatio: initialPrefillRatio, overhead: initialOverhead}
 }
 
-// speed is what is learned of one upstream.
+// speed holds the moving averages of one upstream, in seconds; zero before the
+// first observation.
 type speed struct {
-	token float64
-	call  float64
+	tokenTime float64
+	callTime  float64
 }
 
-func blend(old, seen, g float64) float64 {
+// average returns the moving average after an observation with the given weight;
+// zero means that there was none before.
+func average(old, observed, weight float64) float64 {
 	if old == 0 {
-		return seen
+		return observed
 	}
-	return old + g*(seen-old)
+	return old + weight*(observed-old)
 }
 
-// tokenTime is an upstream's time per output token, in seconds.
+// tokenTime returns an upstream's time per output token, in seconds.
 func (p *pool) tokenTime(u *upstream) float64 {
-	if u.speed.token == 0 {
-		return p.cost.token
+	if u.speed.tokenTime == 0 {
+		return p.costs.tokenTime
 	}
-	return u.speed.token
+	return u.speed.tokenTime
 }
 
-// callTime is how long a plain call takes on an upstream, in seconds.
+// callTime returns the time of a service call on an upstream, in seconds.
 func (p *pool) callTime(u *upstream) float64 {
-	if u.speed.call == 0 {
-		return p.cost.call
+	if u.speed.callTime == 0 {
+		return p.costs.callTime
 	}
-	return u.speed.call
+	return u.speed.callTime
 }
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// readTime is how long an upstream takes to read a request's prompt.
-func (p *pool) readTime(w *work, u *upstream) time.Duration {
+// prefillTime estimates how long an upstream needs to prefill a request's prompt,
+// without the prefix that it has cached.
+func (p *pool) prefillTime(req *request, u *upstream) time.Duration {
 	if p.engine == nil {
 		return 0
 	}
-	fresh := w.PromptTokens
-	if u.sessions.has(w.Session) {
-		fresh -= w.SessionTokens
+	uncached := req.PromptTokens
+	if u.sessions.contains(req.Session) {
+		uncached -= req.SessionTokens
 	}
-	return seconds(p.tokenTime(u) * p.cost.read * float64(max(0, fresh)))
+	return seconds(p.tokenTime(u) * p.costs.prefillRatio * float64(max(0, uncached)))
 }
 
-// firstTime is how long the first event takes after the prompt is read.
-func (p *pool) firstTime(u *upstream) time.Duration {
+// overheadTime estimates the time from the end of the prefill to the first event,
+// or the time of a service call.
+func (p *pool) overheadTime(u *upstream) time.Duration {
 	if p.engine == nil {
 		return seconds(p.callTime(u))
 	}
-	return seconds(p.tokenTime(u) * p.cost.overhead)
+	return seconds(p.tokenTime(u) * p.costs.overhead)
 }
 
-// decodeTime is how long the rest of the answer takes after the prompt is read.
-func (p *pool) decodeTime(w *work, u *upstream) time.Duration {
+// decodeTime estimates the time from the end of the prefill to the end of the
+// answer.
+func (p *pool) decodeTime(req *request, u *upstream) time.Duration {
 	if p.engine == nil {
-		return p.firstTime(u)
+		return p.overheadTime(u)
 	}
-	return seconds(p.tokenTime(u) * (p.cost.overhead + float64(w.OutputTokens)))
+	return seconds(p.tokenTime(u) * (p.costs.overhead + float64(req.OutputTokens)))
 }
 
-// slotTime is how long a request holds a slot of a typical upstream, in
+// slotTime estimates how long a request holds a slot of an average upstream, in
 // seconds.
-func (p *pool) slotTime(w *work) float64 {
+func (p *pool) slotTime(req *request) float64 {
 	if p.engine == nil {
-		return p.cost.call
+		return p.costs.callTime
 	}
-	return p.cost.token * (p.cost.overhead + p.cost.read*float64(w.PromptTokens) + float64(w.OutputTokens))
+	return p.costs.tokenTime * (p.costs.overhead + p.costs.prefillRatio*float64(req.PromptTokens) + float64(req.OutputTokens))
 }
 
-// learn takes in how a request ended.
-func (p *pool) learn(now time.Duration, w *work, e End) {
-	u := w.at
-	u.health.note(now, e.Outcome)
+// learn updates the health and the moving averages from an ended request.
+func (p *pool) learn(now time.Duration, req *request, e End) {
+	u := req.assigned
+	u.health.record(now, e.Outcome)
 	if e.Outcome != Done {
 		return
 	}
 	if p.engine == nil {
-		u.speed.call = blend(u.speed.call, e.First.Seconds(), gain)
-		p.cost.call = blend(p.cost.call, e.First.Seconds(), poolGain)
+		u.speed.callTime = average(u.speed.callTime, e.First.Seconds(), upstreamWeight)
+		p.costs.callTime = average(p.costs.callTime, e.First.Seconds(), poolWeight)
 		return
 	}
-	if e.OutputTokens >= minTokens && e.Decode > 0 {
-		token := e.Decode.Seconds() / float64(e.OutputTokens)
-		u.speed.token = blend(u.speed.token, token, gain)
-		p.cost.token = blend(p.cost.token, token, poolGain)
+	if e.OutputTokens >= minOutputTokens && e.Decode > 0 {
+		tokenTime := e.Decode.Seconds() / float64(e.OutputTokens)
+		u.speed.tokenTime = average(u.speed.tokenTime, tokenTime, upstreamWeight)
+		p.costs.tokenTime = average(p.costs.tokenTime, tokenTime, poolWeight)
 	}
-	if !w.alone || u.speed.token == 0 || e.First <= 0 {
+	if !req.prefilledAlone || u.speed.tokenTime == 0 || e.First <= 0 {
 		return
 	}
-	p.learnFirst(w, e.First.Seconds()/u.speed.token, u.sessions.had(w.Session))
+	p.learnFirstEvent(req, e.First.Seconds()/u.speed.tokenTime, u.sessions.wasCached(req.Session))
 }
 
-// learnFirst takes in the time to the first event of a prompt that was read
-// alone, in times per output token.
-func (p *pool) learnFirst(w *work, first float64, cached bool) {
+// learnFirstEvent updates overhead or prefill ratio from the time to the first
+// event, in output tokens, of a prompt that was prefilled alone.
+func (p *pool) learnFirstEvent(req *request, first float64, cached bool) {
 	if cached {
 		return
 	}
-	if w.PromptTokens < leastRead {
-		rest := first - p.cost.read*float64(w.PromptTokens)
-		p.cost.overhead = blend(p.cost.overhead, math.Max(1, rest), poolGain)
+	if req.PromptTokens < minPrefillTokens {
+		overhead := first - p.costs.prefillRatio*float64(req.PromptTokens)
+		p.costs.overhead = average(p.costs.overhead, math.Max(1, overhead), poolWeight)
 		return
 	}
-	read := (first - p.cost.overhead) / float64(w.PromptTokens)
-	if read > 0 {
-		p.cost.read = blend(p.cost.read, read, poolGain)
+	ratio := (first - p.costs.overhead) / float64(req.PromptTokens)
+	if ratio > 0 {
+		p.costs.prefillRatio = average(p.costs.prefillRatio, ratio, poolWeight)
 	}
 }
--- a/core/broker/suspect.go
+++ b/core/broker/suspect.go
@@ -3,60 +3,61 @@
 import "time"
 
 const (
-	// crashesToQuarantine is how many upstreams one content may take down
-	// before it is refused. One that broke twice may have met two unrelated
-	// faults; a third is one too many to spend another upstream on.
-	crashesToQuarantine = 3
-	// quarantineHold is how long it is refused.
-	quarantineHold = 10 * time.Minute
-	// suspicionLife is how long a content that broke is remembered.
-	suspicionLife = 2 * time.Minute
-	// maxSuspects bounds the memory for them.
+	// quarantineCrashes is how many crashes of upstreams put a content into
+	// quarantine. Two may be unrelated faults; the third is not worth the risk to
+	// another upstream.
+	quarantineCrashes = 3
+	// quarantineDuration is how long requests with that content are refused.
+	quarantineDuration = 10 * time.Minute
+	// suspectTTL is how long a crash is remembered.
+	suspectTTL = 2 * time.Minute
+	// maxSuspects is the number of suspects from which on expired ones are removed.
 	maxSuspects = 10_000
 )
 
-// suspicion is what is known of one content.
-type suspicion struct {
+// suspect counts the crashes of upstreams that ran one content.
+type suspect struct {
 	crashes int
 	until   time.Duration
 }
 
-// noteCrash counts requests that ended with their connection, and clears those
-// that were answered.
-func (b *Broker) noteCrash(now time.Duration, w *work, o Outcome) {
-	if w.Fingerprint == 0 {
+// recordCrash counts a lost connection against the request's content; a complete
+// answer clears the content.
+func (b *Broker) recordCrash(now time.Duration, req *request, o Outcome) {
+	if req.Fingerprint == 0 {
 		return
 	}
 	switch o {
 	case Done:
-		delete(b.suspect, w.Fingerprint)
+		delete(b.suspects, req.Fingerprint)
 	case Broken:
-		s := b.suspect[w.Fingerprint]
+		s := b.suspects[req.Fingerprint]
 		if s.until < now {
 			s.crashes = 0
 		}
 		s.crashes++
-		s.until = now + suspicionLife
-		if s.crashes >= crashesToQuarantine {
-			s.until = now + quarantineHold
+		s.until = now + suspectTTL
+		if s.crashes >= quarantineCrashes {
+			s.until = now + quarantineDuration
 		}
-		b.forgetSuspects(now)
-		b.suspect[w.Fingerprint] = s
+		b.removeExpiredSuspects(now)
+		b.suspects[req.Fingerprint] = s
 	}
 }
 
-func (b *Broker) forgetSuspects(now time.Duration) {
-	if len(b.suspect) < maxSuspects {
+func (b *Broker) removeExpiredSuspects(now time.Duration) {
+	if len(b.suspects) < maxSuspects {
 		return
 	}
-	for f, s := range b.suspect {
+	for f, s := range b.suspects {
 		if s.until < now {
-			delete(b.suspect, f)
+			delete(b.suspects, f)
 		}
 	}
 }
 
-func (b *Broker) quarantined(now time.Duration, fingerprint uint64) (suspicion, bool) {
-	s, ok := b.suspect[fingerprint]
-	return s, ok && fingerprint != 0 && s.until > now && s.crashes >= crashesToQuarantine
+// quarantined reports whether a content is in quarantine, and until when.
+func (b *Broker) quarantined(now time.Duration, fingerprint uint64) (suspect, bool) {
+	s, ok := b.suspects[fingerprint]
+	return s, ok && fingerprint != 0 && s.until > now && s.crashes >= quarantineCrashes
 }
