--- a/core/broker/broker_test.go
+++ b/core/broker/broker_test.go
@@ -9,7 +9,7 @@
 	"github.com/verbenastep/verbenastep/core/routes"
 )
 
-// newServiceBroker returns a broker with one upstream "u" of a newServiceBroker service.
+// newServiceBroker returns a broker with one upstream "u" of a plain service.
 func newServiceBroker(slots int) *Broker {
 	b := New(1)
 	b.Upstreams([]Upstream{{ID: "u", Pool: "p", Address: "a", Slots: slots}})
@@ -21,7 +21,7 @@
 	return Offer{ID: ID{Entry: "e", Number: n}, Pool: "p", Aim: time.Minute, Latest: time.Minute, Deadline: time.Hour}
 }
 
-// grantNumbers returns the request numbers of the grantNumbers, in order.
+// grantNumbers returns the request numbers of the grants, in order.
 func grantNumbers(d Decisions) []uint64 {
 	out := []uint64{}
 	for _, g := range d.Grants {
@@ -136,7 +136,7 @@
 	running := newOffer(1)
 	running.Running = "u"
 	b.Resync(0, "e", []Offer{running, newOffer(2), newOffer(3)})
-	require.Equal(t, []uint64{2}, grantNumbers(b.Decide(0)), "the lost grant is repeated on the slot that it had")
+	require.Equal(t, []uint64{2}, grantNumbers(b.Decide(0)), "the lost grant is repeated on the slot that it released")
 	b.End(0, End{ID: ID{Entry: "e", Number: 1}, Outcome: Done, First: time.Millisecond})
 	require.Equal(t, []uint64{3}, grantNumbers(b.Decide(0)))
 }
--- a/core/limits/bucket_test.go
+++ b/core/limits/bucket_test.go
@@ -12,20 +12,20 @@
 	testBurst = 2000.0
 )
 
-// TestBucketBoundsAnyWindow spends all it can at every step: in no window may
-// more than the rate and one burst get through.
-func TestBucketBoundsAnyWindow(t *testing.T) {
+// TestBucketBoundsEveryWindow takes as many tokens as possible every 10 ms. In no
+// window of 8 s may it get more than the rate allows plus one burst.
+func TestBucketBoundsEveryWindow(t *testing.T) {
 	b := Bucket{}
 	spent := []float64{}
 	for ms := 0; ms < 20_000; ms += 10 {
-		got := 0.0
+		taken := 0.0
 		for {
 			if _, ok := b.Take(time.Duration(ms)*time.Millisecond, testRate, testBurst, 0, 50); !ok {
 				break
 			}
-			got += 50
+			taken += 50
 		}
-		spent = append(spent, got)
+		spent = append(spent, taken)
 	}
 	for from := 0; from+800 <= len(spent); from += 10 {
 		sum := 0.0
@@ -36,9 +36,9 @@
 	}
 }
 
-// TestBucketKeepsAReserveForUrgentRequests exhausts the bucket by requests that
-// leave a reserve: an urgent one still gets through.
-func TestBucketKeepsAReserveForUrgentRequests(t *testing.T) {
+// TestBucketKeepsReserveForUrgentRequests empties the bucket down to the reserve; a
+// request without a reserve must still be admitted.
+func TestBucketKeepsReserveForUrgentRequests(t *testing.T) {
 	b := Bucket{}
 	now := 10 * time.Second
 	for range 100 {
@@ -51,8 +51,9 @@
 	require.True(t, ok)
 }
 
-// TestBucketTakesWhatIsLargerThanTheBurst once it is full.
-func TestBucketTakesWhatIsLargerThanTheBurst(t *testing.T) {
+// TestBucketTakesMoreThanBurstOnceFull guards against a request larger than the burst
+// that is refused for ever.
+func TestBucketTakesMoreThanBurstOnceFull(t *testing.T) {
 	b := Bucket{}
 	b.Take(0, testRate, testBurst, 0, 100)
 	wait, ok := b.Take(0, testRate, testBurst, 0, 3*testBurst)
@@ -60,10 +61,10 @@
 	_, ok = b.Take(wait, testRate, testBurst, 0, 3*testBurst)
 	require.True(t, ok)
 	_, ok = b.Take(wait+time.Second, testRate, testBurst, 0, 1)
-	require.False(t, ok, "the debt is paid first")
+	require.False(t, ok, "the negative level must refill first")
 }
 
-func TestRepeatsStayWithinTheBudgetOfAnyWindow(t *testing.T) {
+func TestRetriesStayWithinBudgetInEveryWindow(t *testing.T) {
 	const window, ratio, slack = 10 * time.Second, 0.2, 5.0
 	r := NewRepeats(window)
 	allowed, requests := []int{}, 0
@@ -85,7 +86,7 @@
 		for _, n := range allowed[from : from+950] {
 			sum += n
 		}
-		// 200 requests fall into a window at most.
+		// A window contains at most 200 requests.
 		require.LessOrEqual(t, sum, int(ratio*200+slack))
 	}
 }
--- a/core/limits/limits.go
+++ b/core/limits/limits.go
@@ -1,9 +1,13 @@
-// Package limits counts what a workspace uses against its declared limits: a
-// rate of requests, a number of requests at once, and tokens over an hour.
+// Package limits enforces rate limits, quotas and retry budgets.
 //
-// The package is pure: time is a duration on the caller's monotonic clock. One
-// Usage counts for one workspace at one dispatcher, over all entries together,
-// so within one pool and region the count is exact.
+// Usage checks the requests of a workspace against its declared limits: a request
+// rate, a number of concurrent requests, and tokens per hour. Each dispatcher keeps
+// one Usage per workspace for the requests of all entries, so the count is exact
+// within a pool and region. Bucket is a token bucket for quotas, Repeats a retry
+// budget.
+//
+// The package does no I/O: the caller passes the time as a duration on its monotonic
+// clock. No type is safe for concurrent use.
 package limits
 
 import (
@@ -11,46 +15,47 @@
 	"time"
 )
 
-// Limits bound one workspace. Zero means no limit.
+// Limits are the declared limits of a workspace. Zero means no limit.
 type Limits struct {
 	// RequestsPerMinute is an average rate, with a burst of one tenth of it.
 	RequestsPerMinute int64
-	// Concurrency counts requests queued or in service.
+	// Concurrency limits the requests that are queued or in service.
 	Concurrency int64
-	// TokensPerHour counts uncached prompt tokens and output tokens.
+	// TokensPerHour limits the sum of uncached prompt tokens and output tokens.
 	TokensPerHour int64
 }
 
 const (
-	// burstPart divides the rate per minute into the largest burst.
-	burstPart = 10
-	// slots divide the hour over which tokens are counted.
+	// burstDivisor divides the rate per minute to give the burst.
+	burstDivisor = 10
+	// slots is the number of slots in the hour over which tokens are counted.
 	slots = 60
-	// slotLength is how long one of them is.
+	// slotLength is the length of one slot.
 	slotLength = time.Hour / slots
-	// awayPart divides the limits for a region that isn't the workspace's home.
-	awayPart = 4
+	// remoteDivisor divides the limits for regions other than the workspace's home.
+	remoteDivisor = 4
 )
 
-// Away returns the limits that a region other than the workspace's home
-// enforces: a quarter, and at least one. With the home region's full limits,
+// Away returns the limits that a region other than the workspace's home region
+// enforces: a quarter of each, but at least one. With the home region's full limits,
 // n regions together exceed the declared limit by at most (n-1)/4 of it.
 func (l Limits) Away() Limits {
 	return Limits{
-		RequestsPerMinute: part(l.RequestsPerMinute),
-		Concurrency:       part(l.Concurrency),
-		TokensPerHour:     part(l.TokensPerHour),
+		RequestsPerMinute: divide(l.RequestsPerMinute),
+		Concurrency:       divide(l.Concurrency),
+		TokensPerHour:     divide(l.TokensPerHour),
 	}
 }
 
-func part(n int64) int64 {
+// divide returns the remote part of a limit; no limit stays no limit.
+func divide(n int64) int64 {
 	if n == 0 {
 		return 0
 	}
-	return max(1, n/awayPart)
+	return max(1, n/remoteDivisor)
 }
 
-// Check returns an error where a limit is negative.
+// Check returns an *Error if a limit is negative.
 func (l Limits) Check() error {
 	if l.RequestsPerMinute < 0 || l.Concurrency < 0 || l.TokensPerHour < 0 {
 		return &Error{Message: "a limit is negative", Remedy: "declare zero for no limit, or a positive number"}
@@ -58,46 +63,48 @@
 	return nil
 }
 
-// Error says that limits are malformed.
+// Error reports invalid limits.
 type Error struct {
 	Message string
 	Remedy  string
 }
 
-// Error names the remedy.
+// Error returns the message and the remedy.
 func (e *Error) Error() string {
 	return fmt.Sprintf("%s; %s", e.Message, e.Remedy)
 }
 
-// Denial says which limit a request exceeds and when to come back.
+// Denial is the limit that a request exceeds and the delay before a retry.
 type Denial struct {
 	Limit      string
 	RetryAfter time.Duration
 }
 
-// Usage is what one workspace uses. The zero value has used nothing.
+// Usage is the usage of one workspace. The zero value is ready to use.
 type Usage struct {
 	started bool
-	// credit is how many requests may come at once, refilled up to the burst.
-	credit  float64
-	filled  time.Duration
-	present int64
-	// spent counts tokens by minute; slot is the newest minute's number.
+	// credit is the number of requests that the rate limit allows now; it was last
+	// refilled at refilled.
+	credit   float64
+	refilled time.Duration
+	inFlight int64
+	// spent counts tokens by slot and total is their sum; slot is the number of the
+	// newest slot since the clock's start.
 	spent [slots]int64
 	total int64
 	slot  int64
 }
 
-// Admit counts one request, or says which limit forbids it; then nothing
-// changes. Each admitted request ends by one Leave.
+// Admit admits a request, or returns the limit that forbids it and false. Call Leave
+// once for each admitted request when it ends.
 func (u *Usage) Admit(now time.Duration, l Limits) (Denial, bool) {
 	u.refill(now, l)
 	u.advance(now)
-	if l.Concurrency > 0 && u.present >= l.Concurrency {
+	if l.Concurrency > 0 && u.inFlight >= l.Concurrency {
 		return Denial{Limit: "concurrency", RetryAfter: time.Second}, false
 	}
 	if l.TokensPerHour > 0 && u.total >= l.TokensPerHour {
-		return Denial{Limit: "tokens_per_hour", RetryAfter: u.untilSpentFalls(now)}, false
+		return Denial{Limit: "tokens_per_hour", RetryAfter: u.untilTokensExpire(now)}, false
 	}
 	if l.RequestsPerMinute > 0 {
 		if u.credit < 1 {
@@ -106,56 +113,57 @@
 		}
 		u.credit--
 	}
-	u.present++
+	u.inFlight++
 	return Denial{}, true
 }
 
-// Resume counts a request that was admitted before, by another dispatcher.
-func (u *Usage) Resume() { u.present++ }
+// Resume counts a request that another dispatcher admitted. Call Leave when it ends.
+func (u *Usage) Resume() { u.inFlight++ }
 
-// Leave ends one admitted request.
-func (u *Usage) Leave() { u.present-- }
+// Leave counts the end of an admitted request.
+func (u *Usage) Leave() { u.inFlight-- }
 
-// Present returns how many admitted requests have not ended.
-func (u *Usage) Present() int64 { return u.present }
+// Present returns the number of admitted requests that have not ended.
+func (u *Usage) Present() int64 { return u.inFlight }
 
-// Spend counts tokens; a negative number corrects an earlier estimate.
+// Spend counts tokens; a negative number corrects an earlier estimate that was too
+// high.
 func (u *Usage) Spend(now time.Duration, tokens int64) {
 	u.advance(now)
 	u.spent[u.slot%slots] += tokens
 	u.total += tokens
 }
 
-// burst returns the most requests at once.
+// burst returns the maximum credit under a rate limit.
 func burst(l Limits) float64 {
-	return max(1, float64(l.RequestsPerMinute)/burstPart)
+	return max(1, float64(l.RequestsPerMinute)/burstDivisor)
 }
 
 func (u *Usage) refill(now time.Duration, l Limits) {
 	if !u.started {
 		u.started = true
 		u.credit = burst(l)
-		u.filled = now
+		u.refilled = now
 		return
 	}
-	u.credit += (now - u.filled).Minutes() * float64(l.RequestsPerMinute)
+	u.credit += (now - u.refilled).Minutes() * float64(l.RequestsPerMinute)
 	u.credit = min(u.credit, burst(l))
-	u.filled = now
+	u.refilled = now
 }
 
-// advance drops the minutes that are over an hour old.
+// advance drops the slots that are over an hour old.
 func (u *Usage) advance(now time.Duration) {
-	want := int64(now / slotLength)
-	for n := 0; u.slot < want && n < slots; n++ {
+	current := int64(now / slotLength)
+	for n := 0; u.slot < current && n < slots; n++ {
 		u.slot++
 		u.total -= u.spent[u.slot%slots]
 		u.spent[u.slot%slots] = 0
 	}
-	u.slot = max(u.slot, want)
+	u.slot = max(u.slot, current)
 }
 
-// untilSpentFalls returns when the oldest minute with tokens is dropped.
-func (u *Usage) untilSpentFalls(now time.Duration) time.Duration {
+// untilTokensExpire returns the time until the oldest slot with tokens is dropped.
+func (u *Usage) untilTokensExpire(now time.Duration) time.Duration {
 	for n := int64(1); n <= slots; n++ {
 		if u.spent[(u.slot+n)%slots] > 0 {
 			return time.Duration(u.slot+n)*slotLength - now
--- a/core/limits/limits_test.go
+++ b/core/limits/limits_test.go
@@ -8,13 +8,13 @@
 	"pgregory.net/rapid"
 )
 
-// TestRateIsExact admits at any times; no window sees more than the burst and
-// the refill.
-func TestRateIsExact(t *testing.T) {
+// TestRateLimitIsExact offers requests at random times; at no time may more be admitted
+// than the burst and the refill allow.
+func TestRateLimitIsExact(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := Limits{RequestsPerMinute: rapid.Int64Range(1, 600).Draw(t, "rate")}
 		u, now, admitted := Usage{}, time.Duration(0), 0
-		for range rapid.IntRange(1, 300).Draw(t, "tries") {
+		for range rapid.IntRange(1, 300).Draw(t, "attempts") {
 			now += time.Duration(rapid.IntRange(0, 2000).Draw(t, "pause")) * time.Millisecond
 			if _, ok := u.Admit(now, l); ok {
 				admitted++
@@ -24,7 +24,7 @@
 	})
 }
 
-func TestRetryAfterIsEnough(t *testing.T) {
+func TestRequestIsAdmittedAfterRetryDelay(t *testing.T) {
 	l := Limits{RequestsPerMinute: 7}
 	u := Usage{}
 	_, ok := u.Admit(0, l)
@@ -35,7 +35,7 @@
 	require.True(t, ok)
 }
 
-func TestTokensCountForAnHour(t *testing.T) {
+func TestTokensExpireAfterAnHour(t *testing.T) {
 	l := Limits{TokensPerHour: 100}
 	u := Usage{}
 	u.Spend(0, 100)
@@ -49,7 +49,7 @@
 	require.True(t, ok)
 }
 
-func TestAwayIsAQuarterAndNeverNone(t *testing.T) {
+func TestRemoteLimitsAreAQuarterAndAtLeastOne(t *testing.T) {
 	require.Equal(t, Limits{RequestsPerMinute: 25, Concurrency: 1}, Limits{RequestsPerMinute: 100, Concurrency: 2}.Away())
 	require.Error(t, Limits{Concurrency: -1}.Check())
 }
--- a/core/limits/repeats.go
+++ b/core/limits/repeats.go
@@ -2,48 +2,50 @@
 
 import "time"
 
-// repeatSlices is how many parts the window of a Repeats is counted in.
-const repeatSlices = 20
+// repeatSlots is the number of slots into which the window of a Repeats is divided.
+const repeatSlots = 20
 
-// Repeats is one daemon's part of a budget for sending requests again. The sum
-// over all daemons stays within the budget, since each counts its own requests
-// and takes an equal part of the slack.
+// Repeats is one daemon's part of a retry budget. Each daemon counts its own
+// requests and has an equal part of the slack, so that the retries of all daemons
+// together stay within the budget. It is not safe for concurrent use.
 type Repeats struct {
 	window   time.Duration
-	requests [repeatSlices]int
-	repeats  [repeatSlices]int
-	slice    int64
+	requests [repeatSlots]int
+	retries  [repeatSlots]int
+	slot     int64
 }
 
-// NewRepeats returns a budget over a sliding window.
+// NewRepeats returns a retry budget over a sliding window.
 func NewRepeats(window time.Duration) *Repeats { return &Repeats{window: window} }
 
+// advance clears the slots that have left the window and returns the index of the
+// current slot.
 func (r *Repeats) advance(now time.Duration) int {
-	at := int64(now / (r.window / repeatSlices))
-	for range min(at-r.slice, repeatSlices) {
-		r.slice++
-		r.requests[r.slice%repeatSlices] = 0
-		r.repeats[r.slice%repeatSlices] = 0
+	current := int64(now / (r.window / repeatSlots))
+	for range min(current-r.slot, repeatSlots) {
+		r.slot++
+		r.requests[r.slot%repeatSlots] = 0
+		r.retries[r.slot%repeatSlots] = 0
 	}
-	r.slice = max(r.slice, at)
-	return int(r.slice % repeatSlices)
+	r.slot = max(r.slot, current)
+	return int(r.slot % repeatSlots)
 }
 
-// Request counts a request that was sent for the first time.
+// Request counts the first attempt of a request.
 func (r *Repeats) Request(now time.Duration) { r.requests[r.advance(now)]++ }
 
-// Allow counts a repeat where the budget has room: ratio times the requests of
-// the window, and this daemon's slack.
+// Allow counts a retry and returns true if the retries in the window stay within
+// ratio times its requests plus this daemon's slack.
 func (r *Repeats) Allow(now time.Duration, ratio float64, slack float64) bool {
 	at := r.advance(now)
-	requests, repeats := 0, 0
-	for i := range repeatSlices {
+	requests, retries := 0, 0
+	for i := range repeatSlots {
 		requests += r.requests[i]
-		repeats += r.repeats[i]
+		retries += r.retries[i]
 	}
-	if float64(repeats+1) > ratio*float64(requests)+slack {
+	if float64(retries+1) > ratio*float64(requests)+slack {
 		return false
 	}
-	r.repeats[at]++
+	r.retries[at]++
 	return true
 }
--- a/core/rendezvous/rendezvous_test.go
+++ b/core/rendezvous/rendezvous_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestPointsSpreadEvenly(t *testing.T) {
+func TestPointIsUniform(t *testing.T) {
 	const n, parts = 20_000, 10
 	count := [parts]int{}
 	for i := range n {
@@ -21,8 +21,8 @@
 	}
 }
 
-func TestFewKeysMoveWhenAMemberGoes(t *testing.T) {
-	first := func(key string, members int) int {
+func TestOnlyKeysOfRemovedMemberMove(t *testing.T) {
+	owner := func(key string, members int) int {
 		best := 0
 		for m := range members {
 			if Weight(key, fmt.Sprint(m)) > Weight(key, fmt.Sprint(best)) {
@@ -34,9 +34,9 @@
 	moved := 0
 	for i := range 10_000 {
 		key := fmt.Sprint("key-", i)
-		before, after := first(key, 10), first(key, 9)
+		before, after := owner(key, 10), owner(key, 9)
 		if before != after {
-			require.Equal(t, 9, before, "only those of the member that went")
+			require.Equal(t, 9, before, "only keys of the removed member may move")
 			moved++
 		}
 	}
--- a/internal/duplex/duplex.go
+++ b/internal/duplex/duplex.go
@@ -1,5 +1,5 @@
-// Package duplex runs the long streams between entries and those who grant them
-// upstreams.
+// Package duplex runs the long-lived bidirectional streams between entries and the
+// broker or dispatcher that grants them upstreams.
 package duplex
 
 import (
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// Receive passes on what arrives on a stream until that fails, with its error, or
-// the context ends.
+// Receive sends the messages of a stream to in. It returns the error of recv, or that of
+// the context if it ends first.
 func Receive[M any](ctx context.Context, recv func() (M, error), in chan<- M) error {
 	for {
 		m, err := recv()
@@ -23,47 +23,47 @@
 	}
 }
 
-// Server is the granting side of one entry's stream.
+// Server is the server side of one entry's stream.
 type Server[In, Out any] struct {
 	Recv func() (In, error)
 	Send func(Out) error
-	// Take takes in a message, Beat makes the one of a heartbeat, and Out has
-	// those that are decided meanwhile.
+	// Take handles a received message, Beat returns a heartbeat message, and Out
+	// delivers other messages to send.
 	Take func(In)
 	Beat func() Out
 	Out  <-chan Out
-	// Heartbeat is the longest pause between two messages to the entry, Silence
-	// the longest between two of its own.
+	// Heartbeat is the interval of heartbeats to the entry. Silence is how long the
+	// entry may send nothing before the stream is ended.
 	Heartbeat time.Duration
 	Silence   time.Duration
 }
 
-// Run serves the entry until its stream or the context ends, or it falls silent.
-// It returns an error only where a message could not be sent.
-func (g Server[In, Out]) Run(ctx context.Context) error {
+// Run serves the entry until its stream or the context ends or the entry sends nothing
+// for Silence. It returns an error only if a message could not be sent.
+func (s Server[In, Out]) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	in := make(chan In)
 	go func() {
 		defer cancel()
-		// The entry knows why its stream ended; here it only is over.
-		_ = Receive(ctx, g.Recv, in)
+		// The error is of no use here: the entry knows why its stream ended.
+		_ = Receive(ctx, s.Recv, in)
 	}()
-	silence := time.NewTimer(g.Silence)
-	defer silence.Stop()
-	beat := time.NewTicker(g.Heartbeat)
-	defer beat.Stop()
+	idle := time.NewTimer(s.Silence)
+	defer idle.Stop()
+	heartbeat := time.NewTicker(s.Heartbeat)
+	defer heartbeat.Stop()
 	for {
 		err := error(nil)
 		select {
 		case m := <-in:
-			silence.Reset(g.Silence)
-			g.Take(m)
-		case m := <-g.Out:
-			err = g.Send(m)
-		case <-beat.C:
-			err = g.Send(g.Beat())
-		case <-silence.C:
+			idle.Reset(s.Silence)
+			s.Take(m)
+		case m := <-s.Out:
+			err = s.Send(m)
+		case <-heartbeat.C:
+			err = s.Send(s.Beat())
+		case <-idle.C:
 			return nil
 		case <-ctx.Done():
 			return nil
--- a/internal/wait/wait.go
+++ b/internal/wait/wait.go
@@ -1,4 +1,5 @@
-// Package wait holds what loops that wait have in common.
+// Package wait holds helpers for background loops: an interruptible sleep and a
+// coalescing notification.
 package wait
 
 import (
@@ -6,7 +7,7 @@
 	"time"
 )
 
-// For returns once a time has passed or the context has ended.
+// For returns after d or when the context is done.
 func For(ctx context.Context, d time.Duration) {
 	select {
 	case <-time.After(d):
@@ -14,8 +15,8 @@
 	}
 }
 
-// Signal wakes whoever waits on a channel of one token; a second signal before
-// that adds nothing.
+// Signal notifies the receiver of a channel with a buffer of one. It does not block; a
+// notification that is still pending is not repeated.
 func Signal(c chan<- struct{}) {
 	select {
 	case c <- struct{}{}:
