--- a/internal/broker/broker.go
+++ b/internal/broker/broker.go
@@ -1,6 +1,8 @@
-// Package broker serves the broker of the route table's pools to the entries.
-// Every control daemon tells them the roster; the one that leads the log grants
-// as well.
+// Package broker runs the broker service of a control daemon.
+//
+// Entries hold a session with one control daemon each. Every control daemon sends its
+// entries the roster of upstreams; the daemon that leads the log also grants upstreams
+// to their requests.
 package broker
 
 import (
@@ -21,81 +23,84 @@
 )
 
 const (
-	// heartbeat is the longest pause between two messages to an entry, which
-	// takes a broker that is silent for a few of them as lost.
-	heartbeat = 100 * time.Millisecond
-	// rosterEvery is how often the roster is read again where nothing changed:
-	// upstreams fall silent without a change.
-	rosterEvery = 500 * time.Millisecond
-	// newsPause is the least time for which changes of the roster are collected
-	// before they are told, newsPauseMost the longest; both are small beside the
-	// time within which a leaving upstream must be known.
-	newsPause     = 50 * time.Millisecond
-	newsPauseMost = 500 * time.Millisecond
-	// newsRest is how many times as long as reading the roster takes the pause
-	// is, so that a large roster that changes all the time takes a tenth of the
-	// processor at most.
-	newsRest = 9
-	// levelsEvery is how often what is left of quotas is passed on: a small part
-	// of the window in which they count.
-	levelsEvery = 300 * time.Millisecond
-	// sessionSilence ends an entry's session that carries nothing; entries send
-	// every 200 ms.
-	sessionSilence = 1200 * time.Millisecond
-	// restTime is the pause after a round of decisions: what comes in meanwhile
-	// shares the next one. It is small beside the way between data centres.
-	restTime = 2 * time.Millisecond
-	// outboxSize is how many messages may wait for a slow entry.
-	outboxSize = 64
+	// heartbeatInterval is the longest time between two messages to an entry. An entry
+	// that misses several of them considers the broker lost.
+	heartbeatInterval = 100 * time.Millisecond
+	// rosterInterval is how often the roster is read without a change notification:
+	// upstreams that miss heartbeats cause none.
+	rosterInterval = 500 * time.Millisecond
+	// minBatchDelay and maxBatchDelay bound the time for which roster changes are
+	// collected before they are sent; both are short compared with the time within
+	// which entries must know of a leaving upstream.
+	minBatchDelay = 50 * time.Millisecond
+	maxBatchDelay = 500 * time.Millisecond
+	// batchDelayFactor is the batch delay in multiples of the time to read the roster,
+	// so that a large roster that changes all the time uses at most a tenth of a core.
+	batchDelayFactor = 9
+	// quotaLevelInterval is how often quota levels are sent; it is short compared with
+	// the window over which quotas count.
+	quotaLevelInterval = 300 * time.Millisecond
+	// sessionTimeout is how long an entry may send nothing before its session ends;
+	// entries send every 200 ms.
+	sessionTimeout = 1200 * time.Millisecond
+	// decideDelay is the delay before a round of decisions, so that messages that arrive
+	// together share one round. It is short compared with the round trip between data
+	// centres.
+	decideDelay = 2 * time.Millisecond
+	// sendQueueLength is how many messages may wait for a slow entry.
+	sendQueueLength = 64
 )
 
-// leadership is what the replica offers besides.
+// leadership is the part of the replica service that the broker uses.
 type leadership interface {
 	Leadership() (leads bool, leader port.Leader)
 }
 
-// Service is the "broker.server" service.
+// Service is the "broker.server" service. It is safe for concurrent use.
 type Service struct {
 	rpc.DRPCBrokerUnimplementedServer
-	set    *settings.Settings
-	log    *zap.Logger
-	view   port.TableView
-	roster port.Roster
-	leader leadership
-	meters *metrics
-	began  time.Time
-	ctx    context.Context
-	cancel context.CancelFunc
-	done   sync.WaitGroup
-	wake   chan struct{}
+	set     *settings.Settings
+	log     *zap.Logger
+	view    port.TableView
+	roster  port.Roster
+	replica leadership
+	metrics *metrics
+	started time.Time
+	ctx     context.Context
+	cancel  context.CancelFunc
+	done    sync.WaitGroup
+	// wake triggers a round of decisions.
+	wake chan struct{}
 
 	mu    sync.Mutex
 	core  *broker.Broker
 	leads bool
-	// leading is the daemon that leads.
-	leading  port.Leader
+	// leader is the daemon that leads, as far as this daemon knows.
+	leader port.Leader
+	// version is that of the route table in use.
 	version  uint64
 	sessions map[string]*session
-	// told is what the entries know of each upstream, toldAt since when; nextWhole
-	// is when the whole of it may be told again.
-	told      map[string]*rpc.RosterEntry
-	toldAt    map[string]time.Time
-	nextWhole time.Time
-	// levels is when the entries were last told what is left of quotas, toldLevels
-	// what they know of it.
-	levels     time.Time
-	toldLevels map[string]float64
-	read       time.Time
-	// reading is how long the roster took to read.
-	reading time.Duration
+	// announced is the last state of each upstream that was sent to the entries, and
+	// announcedAt when it was sent. nextFullRoster is when the next full roster may be
+	// sent.
+	announced      map[string]*rpc.RosterEntry
+	announcedAt    map[string]time.Time
+	nextFullRoster time.Time
+	// levelsSentAt is when quota levels were last sent, and sentLevels what was sent.
+	levelsSentAt time.Time
+	sentLevels   map[string]float64
+	// rosterReadAt is when the roster was last read, and rosterReadTime how long the
+	// reading took.
+	rosterReadAt   time.Time
+	rosterReadTime time.Duration
 }
 
-// New returns the service.
+// New returns the service; Start starts it.
 func New(set *settings.Settings, log *zap.Logger) *Service {
 	return &Service{
-		set: set, log: log.Named("broker"), began: time.Now(), wake: make(chan struct{}, 1),
-		core: newCore(set), sessions: map[string]*session{}, told: map[string]*rpc.RosterEntry{},
-		toldAt: map[string]time.Time{}, toldLevels: map[string]float64{},
+		set: set, log: log.Named("broker"), started: time.Now(), wake: make(chan struct{}, 1),
+		core: newCore(set), sessions: map[string]*session{}, announced: map[string]*rpc.RosterEntry{},
+		announcedAt: map[string]time.Time{}, sentLevels: map[string]float64{},
 	}
 }
 
@@ -108,12 +113,12 @@
 // Name returns the service's name.
 func (s *Service) Name() string { return port.NameBroker }
 
-// Needs returns what decisions rest on.
+// Needs returns the services that Start looks up.
 func (s *Service) Needs() []string {
 	return []string{port.NameLink, port.NameView, port.NameRoster, port.NameReplica, port.NameMetrics}
 }
 
-// Start begins to serve.
+// Start registers the service with the link and starts to decide.
 func (s *Service) Start(_ context.Context, k *kernel.Kernel) error {
 	link, err := kernel.Find[port.Link](k, port.NameLink)
 	if err != nil {
@@ -125,14 +130,14 @@
 	if s.roster, err = kernel.Find[port.Roster](k, port.NameRoster); err != nil {
 		return err
 	}
-	if s.leader, err = kernel.Find[leadership](k, port.NameReplica); err != nil {
+	if s.replica, err = kernel.Find[leadership](k, port.NameReplica); err != nil {
 		return err
 	}
-	collect, err := kernel.Find[port.Metrics](k, port.NameMetrics)
+	registry, err := kernel.Find[port.Metrics](k, port.NameMetrics)
 	if err != nil {
 		return err
 	}
-	if s.meters, err = newMetrics(collect.Registerer()); err != nil {
+	if s.metrics, err = newMetrics(registry.Registerer()); err != nil {
 		return err
 	}
 	s.ctx, s.cancel = context.WithCancel(context.Background())
@@ -140,116 +145,119 @@
 	return rpc.DRPCRegisterBroker(link.Mux(), s)
 }
 
-func (s *Service) now() time.Duration { return time.Since(s.began) }
+func (s *Service) now() time.Duration { return time.Since(s.started) }
 
-// run decides whenever something came in.
+// run runs rounds of decisions after messages, changes of roster or table, and the
+// delay that the core asks for.
 func (s *Service) run() {
-	timer := time.NewTimer(heartbeat)
+	timer := time.NewTimer(heartbeatInterval)
 	defer timer.Stop()
 	for s.ctx.Err() == nil {
-		roster, tables := s.roster.Changed(), s.view.Changed()
+		rosterChanged, tableChanged := s.roster.Changed(), s.view.Changed()
 		s.refresh(false)
 		timer.Reset(s.decide())
 		select {
 		case <-s.wake:
-			time.Sleep(restTime)
-		case <-roster:
-			time.Sleep(s.newsPause())
+			time.Sleep(decideDelay)
+		case <-rosterChanged:
+			time.Sleep(s.batchDelay())
 			s.refresh(true)
-		case <-tables:
+		case <-tableChanged:
 		case <-timer.C:
 		case <-s.ctx.Done():
 		}
 	}
 }
 
-// refresh takes over leadership, table and roster.
-func (s *Service) refresh(changed bool) {
-	leads, leading := s.leader.Leadership()
+// refresh updates leadership, route table and, if it changed or is due, the roster.
+func (s *Service) refresh(rosterChanged bool) {
+	leads, leader := s.replica.Leadership()
 	table := s.view.Routes()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if leading != s.leading {
-		// Entries that are connected here look for the new leader at once.
-		s.leading = leading
+	if leader != s.leader {
+		// Let connected entries look for the new leader at once.
+		s.leader = leader
 		for _, x := range s.sessions {
 			x.send(s.reply())
 		}
 	}
 	learned := map[string]broker.Learned(nil)
-	turned := leads != s.leads
-	if turned {
+	leadershipChanged := leads != s.leads
+	if leadershipChanged {
 		learned = s.core.Learned()
-		s.lead(leads)
+		s.setLeads(leads)
 	}
-	newer := table != nil && table.Table.Version != s.version
-	if newer {
+	newTable := table != nil && table.Table.Version != s.version
+	if newTable {
 		s.version = table.Table.Version
 		s.core.Configure(table)
 	}
-	if !changed && !newer && time.Since(s.read) < rosterEvery {
+	if !rosterChanged && !newTable && time.Since(s.rosterReadAt) < rosterInterval {
 		return
 	}
-	s.read = time.Now()
+	s.rosterReadAt = time.Now()
 	list := s.roster.All()
-	if s.leads || turned {
+	if s.leads || leadershipChanged {
 		s.core.Upstreams(work.Upstreams(list, s.set.Routing.DataCentres))
 	}
 	s.core.Teach(slices.Collect(maps.Values(learned)))
-	s.tellNews(list)
-	s.reading = time.Since(s.read)
+	s.announceChanges(list)
+	s.rosterReadTime = time.Since(s.rosterReadAt)
 }
 
-// newsPause is how long changes of the roster are collected.
-func (s *Service) newsPause() time.Duration {
+// batchDelay returns how long changes of the roster are collected.
+func (s *Service) batchDelay() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return min(newsPauseMost, max(newsPause, newsRest*s.reading))
+	return min(maxBatchDelay, max(minBatchDelay, batchDelayFactor*s.rosterReadTime))
 }
 
-// lead begins or ends granting with a new core, which refresh goes on to fill; the
-// lock is held.
-func (s *Service) lead(leads bool) {
+// setLeads starts or stops granting. It replaces the core by an empty one, which refresh
+// then fills. The caller holds the lock.
+func (s *Service) setLeads(leads bool) {
 	s.leads = leads
-	s.meters.leads.Set(map[bool]float64{true: 1}[leads])
+	s.metrics.leads.Set(map[bool]float64{true: 1}[leads])
 	if leads {
-		s.meters.moves.Inc()
+		s.metrics.leadershipStarts.Inc()
 	}
 	s.log.Info("broker changed", zap.Bool("leads", leads), zap.Int("entries", len(s.sessions)))
 	s.core = newCore(s.set)
 	s.version = 0
-	s.read = time.Time{}
-	// Connected entries hear of it at once and offer all that waits or runs.
-	s.levels, s.toldLevels = time.Now(), map[string]float64{}
+	s.rosterReadAt = time.Time{}
+	// Tell connected entries at once, so that they offer all waiting and running
+	// requests.
+	s.levelsSentAt, s.sentLevels = time.Now(), map[string]float64{}
 	for _, x := range s.sessions {
-		s.tellRoster(x)
-		x.levels = false
+		s.sendRoster(x)
+		x.hasLevels = false
 		x.send(s.reply())
 	}
 }
 
-// decide sends out what the core decides and returns how long it may rest.
+// decide runs a round of decisions, sends them to the entries and returns the delay
+// before the next round.
 func (s *Service) decide() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !s.leads {
-		return heartbeat
+		return heartbeatInterval
 	}
-	decided := s.core.Decide(s.now())
-	s.meters.decided(decided)
+	decisions := s.core.Decide(s.now())
+	s.metrics.record(decisions)
 	replies := map[string]*rpc.BrokerReply{}
-	of := func(entry string) *rpc.BrokerReply {
+	replyTo := func(entry string) *rpc.BrokerReply {
 		if replies[entry] == nil {
 			replies[entry] = s.reply()
 		}
 		return replies[entry]
 	}
-	for _, g := range decided.Grants {
-		r := of(g.ID.Entry)
+	for _, g := range decisions.Grants {
+		r := replyTo(g.ID.Entry)
 		r.Grants = append(r.Grants, work.EncodeGrant(g))
 	}
-	for _, x := range decided.Refusals {
-		r := of(x.ID.Entry)
+	for _, x := range decisions.Refusals {
+		r := replyTo(x.ID.Entry)
 		r.Refusals = append(r.Refusals, work.EncodeRefusal(x))
 	}
 	for entry, r := range replies {
@@ -257,28 +265,30 @@
 			x.send(r)
 		}
 	}
-	s.tellLevels()
-	if pause, waits := s.core.Next(); waits {
-		return pause
+	s.sendLevels()
+	if delay, waits := s.core.Next(); waits {
+		return delay
 	}
-	return heartbeat
+	return heartbeatInterval
 }
 
+// reply returns a message with the state that every message carries; without anything
+// else it is a heartbeat. The caller holds the lock.
 func (s *Service) reply() *rpc.BrokerReply {
-	return &rpc.BrokerReply{Leads: s.leads, Entries: uint32(len(s.sessions)), Leader: s.leading.Address, LeaderTerm: s.leading.Term}
+	return &rpc.BrokerReply{Leads: s.leads, Entries: uint32(len(s.sessions)), Leader: s.leader.Address, LeaderTerm: s.leader.Term}
 }
 
-// Stop ends all sessions.
+// Stop ends all sessions and the rounds of decisions.
 func (s *Service) Stop(context.Context) error {
 	s.cancel()
 	s.done.Wait()
 	return nil
 }
 
-// Health returns nil.
+// Health returns nil: the service works without a leader.
 func (s *Service) Health() error { return nil }
 
-// Dump shows the pools.
+// Dump returns the state of the pools for operators.
 func (s *Service) Dump() any {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/broker/levels.go
+++ b/internal/broker/levels.go
@@ -7,46 +7,46 @@
 	"github.com/verbenastep/verbenastep/internal/work"
 )
 
-// levelNews is the change of what is left of a quota, as a part of it, that
-// entries are told of: a fifth of the tenth by which quotas may be exceeded.
-const levelNews = 0.02
+// minLevelChange is the smallest change of a quota level that is sent, as a fraction of
+// the quota: a fifth of the tenth by which quotas may be exceeded.
+const minLevelChange = 0.02
 
-// tellLevels tells the entries what is left of the workspaces' quotas, for the
-// time without a broker and for the next one; the lock is held. An entry gets
-// all of it once, then what changes.
-func (s *Service) tellLevels() {
-	if time.Since(s.levels) < levelsEvery {
+// sendLevels sends the quota levels to the entries, which use them while no broker
+// grants and pass them on to the next broker. An entry gets all levels once, then the
+// changes. The caller holds the lock.
+func (s *Service) sendLevels() {
+	if time.Since(s.levelsSentAt) < quotaLevelInterval {
 		return
 	}
-	s.levels = time.Now()
+	s.levelsSentAt = time.Now()
 	changed := s.reply()
-	changed.Quotas = work.EncodeLevels(levelChanges(s.toldLevels, s.core.Levels(s.now())))
-	whole := s.reply()
-	whole.QuotasSet = true
-	whole.Quotas = work.EncodeLevels(s.toldLevels)
+	changed.Quotas = work.EncodeLevels(levelChanges(s.sentLevels, s.core.Levels(s.now())))
+	all := s.reply()
+	all.QuotasSet = true
+	all.Quotas = work.EncodeLevels(s.sentLevels)
 	for _, x := range s.sessions {
 		switch {
-		case !x.levels:
-			x.levels = true
-			x.send(whole)
+		case !x.hasLevels:
+			x.hasLevels = true
+			x.send(all)
 		case len(changed.Quotas) > 0:
 			x.send(changed)
 		}
 	}
 }
 
-// levelChanges brings what was told up to date and returns what is new in it. A
-// workspace that is not listed has its whole quota.
-func levelChanges(told, now map[string]float64) map[string]float64 {
+// levelChanges updates the levels that were sent and returns those that changed. A
+// workspace that is not listed has its full quota.
+func levelChanges(sent, current map[string]float64) map[string]float64 {
 	out := map[string]float64{}
-	for name, left := range now {
-		if old, known := told[name]; !known || math.Abs(old-left) > levelNews {
-			told[name], out[name] = left, left
+	for name, left := range current {
+		if old, known := sent[name]; !known || math.Abs(old-left) > minLevelChange {
+			sent[name], out[name] = left, left
 		}
 	}
-	for name := range told {
-		if _, short := now[name]; !short {
-			delete(told, name)
+	for name := range sent {
+		if _, listed := current[name]; !listed {
+			delete(sent, name)
 			out[name] = 1
 		}
 	}
--- a/internal/broker/metrics.go
+++ b/internal/broker/metrics.go
@@ -6,17 +6,17 @@
 	"github.com/verbenastep/verbenastep/core/broker"
 )
 
-// waitBuckets are in seconds, up to the longest that a request may wait.
+// waitBuckets are in seconds, up to the longest time that a request may wait.
 var waitBuckets = []float64{.001, .005, .02, .05, .1, .2, .5, 1, 2}
 
-// metrics count what the broker decided.
+// metrics are the metrics of the broker service.
 type metrics struct {
-	grants   prometheus.Counter
-	refusals *prometheus.CounterVec
-	waited   prometheus.Histogram
-	leads    prometheus.Gauge
-	entries  prometheus.Gauge
-	moves    prometheus.Counter
+	grants           prometheus.Counter
+	refusals         *prometheus.CounterVec
+	waitTime         prometheus.Histogram
+	leads            prometheus.Gauge
+	entries          prometheus.Gauge
+	leadershipStarts prometheus.Counter
 }
 
 func newMetrics(r prometheus.Registerer) (*metrics, error) {
@@ -25,14 +25,14 @@
 		refusals: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Namespace: "verbenastep", Subsystem: "broker", Name: "refusals_total", Help: "Requests refused, none of which ran, by reason.",
 		}, []string{"code"}),
-		waited: prometheus.NewHistogram(prometheus.HistogramOpts{
+		waitTime: prometheus.NewHistogram(prometheus.HistogramOpts{
 			Namespace: "verbenastep", Subsystem: "broker", Name: "wait_seconds", Help: "Time from offer to grant.", Buckets: waitBuckets,
 		}),
-		leads:   prometheus.NewGauge(prometheus.GaugeOpts{Namespace: "verbenastep", Subsystem: "broker", Name: "leads", Help: "1 while this daemon grants."}),
-		entries: prometheus.NewGauge(prometheus.GaugeOpts{Namespace: "verbenastep", Subsystem: "broker", Name: "entries", Help: "Entries that are connected."}),
-		moves:   prometheus.NewCounter(prometheus.CounterOpts{Namespace: "verbenastep", Subsystem: "broker", Name: "moves_total", Help: "Times that this daemon began to grant."}),
+		leads:            prometheus.NewGauge(prometheus.GaugeOpts{Namespace: "verbenastep", Subsystem: "broker", Name: "leads", Help: "1 while this daemon grants."}),
+		entries:          prometheus.NewGauge(prometheus.GaugeOpts{Namespace: "verbenastep", Subsystem: "broker", Name: "entries", Help: "Entries that are connected."}),
+		leadershipStarts: prometheus.NewCounter(prometheus.CounterOpts{Namespace: "verbenastep", Subsystem: "broker", Name: "moves_total", Help: "Times that this daemon began to grant."}),
 	}
-	for _, c := range []prometheus.Collector{m.grants, m.refusals, m.waited, m.leads, m.entries, m.moves} {
+	for _, c := range []prometheus.Collector{m.grants, m.refusals, m.waitTime, m.leads, m.entries, m.leadershipStarts} {
 		if err := r.Register(c); err != nil {
 			return nil, err
 		}
@@ -40,11 +40,11 @@
 	return m, nil
 }
 
-// decided counts a round of decisions.
-func (m *metrics) decided(d broker.Decisions) {
+// record counts a round of decisions.
+func (m *metrics) record(d broker.Decisions) {
 	for _, g := range d.Grants {
 		m.grants.Inc()
-		m.waited.Observe(g.Waited.Seconds())
+		m.waitTime.Observe(g.Waited.Seconds())
 	}
 	for _, r := range d.Refusals {
 		m.refusals.WithLabelValues(string(r.Code)).Inc()
--- a/internal/broker/news.go
+++ b/internal/broker/news.go
@@ -10,69 +10,71 @@
 )
 
 const (
-	// speedNews is the change of a learned time, as a part of it, that entries
-	// are told of; troubleNews that of the share of failures, in thousandths.
-	// Smaller ones change no entry's choice.
-	speedNews   = 0.25
-	troubleNews = 100
+	// minTimeChange is the smallest relative change of a learned time that is sent to
+	// entries, minFailureRateChange that of the failure rate, in permille. Smaller
+	// changes do not affect the choice of an upstream.
+	minTimeChange        = 0.25
+	minFailureRateChange = 100
 )
 
-// rosterPart is the most upstreams in one message, so that a session's buffer
-// stays small: about 40 kB at 100 bytes each.
-const rosterPart = 400
+// maxRosterPart is the largest number of upstreams in one message. At 100 bytes each, a
+// message takes about 40 kB of a session's buffer.
+const maxRosterPart = 400
 
 const (
-	// rosterLife is how old an entry's roster may be for changes to suffice: half
-	// of the time for which upstreams that left are remembered.
-	rosterLife = time.Minute
-	// rosterLag is how much later than others the daemon that told the entry may
-	// have heard of a change: one that is cut off stops leading before.
-	rosterLag = 5 * time.Second
+	// maxRosterAge is the age up to which an entry's roster is updated by changes: half
+	// of the time for which gone upstreams are remembered.
+	maxRosterAge = time.Minute
+	// maxRosterLag is how much later than others the daemon that sent the entry's roster
+	// may have received a change: a daemon behind a network partition stops leading
+	// before.
+	maxRosterLag = 5 * time.Second
 )
 
-// lacksSince is from when on an entry may lack changes of the roster; zero where
-// it lacks all.
-func lacksSince(first *rpc.BrokerAsk) time.Time {
+// outdatedSince returns the time from which on an entry may lack changes of the roster;
+// zero if it needs the full roster.
+func outdatedSince(first *rpc.BrokerAsk) time.Time {
 	age := time.Duration(first.RosterAgeMs) * time.Millisecond
-	if age == 0 || age > rosterLife {
+	if age == 0 || age > maxRosterAge {
 		return time.Time{}
 	}
-	return time.Now().Add(-age - rosterLag)
+	return time.Now().Add(-age - maxRosterLag)
 }
 
-// wholePause is the pause after a whole roster was told, for each upstream in it:
-// encoding and sending one takes a few microseconds of a whole core, of which a
-// control daemon may have a fraction, and the log goes first.
-const wholePause = 40 * time.Microsecond
+// fullRosterDelay is the delay after a full roster, per upstream in it, before the next
+// one is sent. Encoding and sending an upstream takes a few microseconds of a core; a
+// control daemon may have only a fraction of a core, and the log has priority.
+const fullRosterDelay = 40 * time.Microsecond
 
-// tellRoster tells an entry what it lacks of the roster as the other entries know
-// it; the lock is held. An entry that comes from a leader hears at once what has
-// changed since. The whole roster, which the daemon that leads tells to each entry
-// once and others to those that have none, takes its turn: an entry whose turn has
-// not come is told with one of its next messages.
-func (s *Service) tellRoster(x *session) {
-	if !x.told && !x.since.IsZero() {
-		x.told = true
-		s.sendRoster(x, false)
+// sendRoster brings an entry's roster up to date with that of the other entries. An
+// entry that has a recent roster from a leader gets the changes at once. The full roster
+// is sent by the leader to each entry once, and by other daemons to entries that have
+// none. Full rosters are rate limited: an entry that must wait gets its roster after one
+// of its next messages. The caller holds the lock.
+func (s *Service) sendRoster(x *session) {
+	if !x.hasRoster && !x.outdatedSince.IsZero() {
+		x.hasRoster = true
+		s.queueRoster(x, false)
 	}
-	if x.whole || !s.leads && x.told || time.Now().Before(s.nextWhole) {
+	if x.hasFullRoster || !s.leads && x.hasRoster || time.Now().Before(s.nextFullRoster) {
 		return
 	}
-	x.told, x.whole = true, true
-	s.sendRoster(x, true)
-	s.nextWhole = time.Now().Add(time.Duration(len(s.told)) * wholePause)
+	x.hasRoster, x.hasFullRoster = true, true
+	s.queueRoster(x, true)
+	s.nextFullRoster = time.Now().Add(time.Duration(len(s.announced)) * fullRosterDelay)
 }
 
-// sendRoster sends all of the roster, or what has changed since the entry's own.
-func (s *Service) sendRoster(x *session, whole bool) {
+// queueRoster queues the full roster for an entry, or the changes that it lacks, in
+// messages of at most maxRosterPart upstreams.
+func (s *Service) queueRoster(x *session, full bool) {
 	r := s.reply()
-	r.RosterSet = whole
-	for id, e := range s.told {
-		if whole && e.Gone || !whole && s.toldAt[id].Before(x.since) {
+	r.RosterSet = full
+	for id, e := range s.announced {
+		if full && e.Gone || !full && s.announcedAt[id].Before(x.outdatedSince) {
 			continue
 		}
 		r.Roster = append(r.Roster, e)
-		if len(r.Roster) == rosterPart {
+		if len(r.Roster) == maxRosterPart {
 			x.send(r)
 			r = s.reply()
 		}
@@ -82,25 +84,25 @@
 	}
 }
 
-// tellNews tells the entries what has changed of the upstreams since they were
-// told last; the lock is held. Bytes grow with the changes, not with the roster.
-func (s *Service) tellNews(list []port.RosterEntry) {
+// announceChanges sends the entries the upstreams that changed since the last call, so
+// that traffic grows with the changes and not with the roster. The caller holds the lock.
+func (s *Service) announceChanges(list []port.RosterEntry) {
 	r := s.reply()
 	learned := s.core.Learned()
-	present := make(map[string]bool, len(list))
+	listed := make(map[string]bool, len(list))
 	for _, e := range list {
-		now := work.EncodeEntry(e, learned[e.ID])
-		present[e.ID] = true
-		if old := s.told[e.ID]; old != nil && !news(old, now) {
+		current := work.EncodeEntry(e, learned[e.ID])
+		listed[e.ID] = true
+		if old := s.announced[e.ID]; old != nil && !significantChange(old, current) {
 			continue
 		}
-		s.told[e.ID], s.toldAt[e.ID] = now, s.read
-		r.Roster = append(r.Roster, now)
+		s.announced[e.ID], s.announcedAt[e.ID] = current, s.rosterReadAt
+		r.Roster = append(r.Roster, current)
 	}
-	for id, old := range s.told {
-		if !present[id] {
-			delete(s.told, id)
-			delete(s.toldAt, id)
+	for id, old := range s.announced {
+		if !listed[id] {
+			delete(s.announced, id)
+			delete(s.announcedAt, id)
 			r.Roster = append(r.Roster, &rpc.RosterEntry{Id: id, Pool: old.Pool, Gone: true})
 		}
 	}
@@ -108,20 +110,21 @@
 		return
 	}
 	for _, x := range s.sessions {
-		if x.told {
+		if x.hasRoster {
 			x.send(r)
 		}
 	}
 }
 
-// news tells whether an entry should know of a change.
-func news(old, now *rpc.RosterEntry) bool {
-	same := old.Address == now.Address && old.Pool == now.Pool && old.Slots == now.Slots && old.Leaving == now.Leaving &&
-		old.Gone == now.Gone && old.Silent == now.Silent && old.DataCentre == now.DataCentre
-	return !same || moved(old.TokenUs, now.TokenUs) || moved(old.CallUs, now.CallUs) ||
-		math.Abs(float64(old.Trouble)-float64(now.Trouble)) > troubleNews
+// significantChange reports whether a change of an upstream is sent to entries.
+func significantChange(old, current *rpc.RosterEntry) bool {
+	equal := old.Address == current.Address && old.Pool == current.Pool && old.Slots == current.Slots && old.Leaving == current.Leaving &&
+		old.Gone == current.Gone && old.Silent == current.Silent && old.DataCentre == current.DataCentre
+	return !equal || timeChanged(old.TokenUs, current.TokenUs) || timeChanged(old.CallUs, current.CallUs) ||
+		math.Abs(float64(old.Trouble)-float64(current.Trouble)) > minFailureRateChange
 }
 
-func moved(old, now uint32) bool {
-	return math.Abs(float64(old)-float64(now)) > speedNews*float64(old)
+// timeChanged reports whether a learned time changed by more than minTimeChange.
+func timeChanged(old, current uint32) bool {
+	return math.Abs(float64(old)-float64(current)) > minTimeChange*float64(old)
 }
--- a/internal/broker/news_test.go
+++ b/internal/broker/news_test.go
@@ -18,25 +18,26 @@
 	"github.com/verbenastep/verbenastep/internal/settings"
 )
 
-// heard is a roster that the test sets.
-type heard struct{ list []port.RosterEntry }
+// fakeRoster is a roster whose upstreams the test sets.
+type fakeRoster struct{ list []port.RosterEntry }
 
-func (h *heard) Take(roster.Entry) error  { return nil }
-func (h *heard) Leave(string) error       { return nil }
-func (h *heard) All() []port.RosterEntry  { return h.list }
-func (h *heard) Changed() <-chan struct{} { return nil }
+func (h *fakeRoster) Take(roster.Entry) error  { return nil }
+func (h *fakeRoster) Leave(string) error       { return nil }
+func (h *fakeRoster) All() []port.RosterEntry  { return h.list }
+func (h *fakeRoster) Changed() <-chan struct{} { return nil }
 
 func upstream(id string) port.RosterEntry {
 	return port.RosterEntry{Entry: roster.Entry{ID: id, Pool: "p", Address: id, Slots: 2}}
 }
 
-// TestOnlyChangesAreTold keeps the bytes to an entry a matter of what changes.
-func TestOnlyChangesAreTold(t *testing.T) {
-	h := &heard{list: []port.RosterEntry{upstream("a"), upstream("b")}}
-	x := &session{out: make(chan *rpc.BrokerReply, outboxSize), end: func() {}, told: true}
-	s := &Service{core: broker.New(1), roster: h, told: map[string]*rpc.RosterEntry{}, toldAt: map[string]time.Time{}, sessions: map[string]*session{"e": x}}
-	told := func() []string {
-		s.tellNews(h.list)
+// TestOnlyChangesAreAnnounced guards against traffic that grows with the size of the
+// roster.
+func TestOnlyChangesAreAnnounced(t *testing.T) {
+	h := &fakeRoster{list: []port.RosterEntry{upstream("a"), upstream("b")}}
+	x := &session{out: make(chan *rpc.BrokerReply, sendQueueLength), end: func() {}, hasRoster: true}
+	s := &Service{core: broker.New(1), roster: h, announced: map[string]*rpc.RosterEntry{}, announcedAt: map[string]time.Time{}, sessions: map[string]*session{"e": x}}
+	announced := func() []string {
+		s.announceChanges(h.list)
 		select {
 		case r := <-x.out:
 			out := []string{}
@@ -48,30 +49,30 @@
 			return nil
 		}
 	}
-	require.Equal(t, []string{"a", "b"}, told())
+	require.Equal(t, []string{"a", "b"}, announced())
 	h.list[0].Sequence, h.list[0].Age = 9, time.Second
-	require.Nil(t, told(), "a heartbeat is no news")
+	require.Nil(t, announced(), "a heartbeat is not a change")
 	h.list[1].Leaving = true
-	require.Equal(t, []string{"b"}, told())
+	require.Equal(t, []string{"b"}, announced())
 	h.list = h.list[:1]
-	require.Equal(t, []string{"b"}, told(), "one that is forgotten is gone")
-	require.Nil(t, told())
+	require.Equal(t, []string{"b"}, announced(), "a removed upstream is announced as gone")
+	require.Nil(t, announced())
 }
 
-// TestRosterIsToldInParts keeps the memory that a session takes small however
-// large the roster is, and the parts few enough for its queue.
-func TestRosterIsToldInParts(t *testing.T) {
-	const upstreams = 10_000 // the target's
-	x := &session{out: make(chan *rpc.BrokerReply, outboxSize), end: func() { require.Fail(t, "the session's queue is too short") }}
-	s := &Service{core: broker.New(1), told: map[string]*rpc.RosterEntry{}, toldAt: map[string]time.Time{}, sessions: map[string]*session{"e": x}}
+// TestFullRosterIsSentInParts guards against messages of a size that grows with the
+// roster, and against more parts than a session's queue holds.
+func TestFullRosterIsSentInParts(t *testing.T) {
+	const upstreams = 10_000 // the size of the target deployment
+	x := &session{out: make(chan *rpc.BrokerReply, sendQueueLength), end: func() { require.Fail(t, "the session's queue is full") }}
+	s := &Service{core: broker.New(1), announced: map[string]*rpc.RosterEntry{}, announcedAt: map[string]time.Time{}, sessions: map[string]*session{"e": x}}
 	list := []port.RosterEntry{}
 	for i := range upstreams {
 		list = append(list, upstream(fmt.Sprintf("i-%08x", i)))
 	}
-	s.tellNews(list)
-	require.Empty(t, x.out, "news are for entries that have the roster")
-	s.tellRoster(x)
-	s.tellRoster(x)
+	s.announceChanges(list)
+	require.Empty(t, x.out, "changes are only sent to entries that have a roster")
+	s.sendRoster(x)
+	s.sendRoster(x)
 	seen, first := map[string]bool{}, true
 	for len(x.out) > 0 {
 		r := <-x.out
@@ -85,69 +86,70 @@
 	require.Len(t, seen, upstreams)
 }
 
-// TestWholeRostersTakeTurns bounds what a daemon spends on entries that all come
-// at once, as after a start of the whole fleet.
-func TestWholeRostersTakeTurns(t *testing.T) {
+// TestFullRostersAreRateLimited bounds the load on a daemon when all entries connect at
+// once, for example after a restart of the whole deployment.
+func TestFullRostersAreRateLimited(t *testing.T) {
 	const upstreams, entries = 3000, 300
-	s := &Service{core: broker.New(1), told: map[string]*rpc.RosterEntry{}, toldAt: map[string]time.Time{}, sessions: map[string]*session{}}
+	s := &Service{core: broker.New(1), announced: map[string]*rpc.RosterEntry{}, announcedAt: map[string]time.Time{}, sessions: map[string]*session{}}
 	list := []port.RosterEntry{}
 	for i := range upstreams {
 		list = append(list, upstream(fmt.Sprintf("i-%08x", i)))
 	}
-	s.tellNews(list)
-	told := 0
+	s.announceChanges(list)
+	served := 0
 	for range entries {
-		x := &session{out: make(chan *rpc.BrokerReply, outboxSize), end: func() {}}
-		s.tellRoster(x)
-		if x.told {
-			told++
+		x := &session{out: make(chan *rpc.BrokerReply, sendQueueLength), end: func() {}}
+		s.sendRoster(x)
+		if x.hasRoster {
+			served++
 		}
 	}
-	require.Equal(t, 1, told)
-	x := &session{out: make(chan *rpc.BrokerReply, outboxSize), end: func() {}}
+	require.Equal(t, 1, served)
+	x := &session{out: make(chan *rpc.BrokerReply, sendQueueLength), end: func() {}}
 	require.Eventually(t, func() bool {
-		s.tellRoster(x)
-		return x.whole
-	}, 10*upstreams*wholePause, time.Millisecond)
-	known := &session{out: make(chan *rpc.BrokerReply, outboxSize), end: func() {}, since: time.Now()}
-	s.tellRoster(known)
-	require.True(t, known.told, "what has changed since needs no turn")
-	require.False(t, known.whole)
+		s.sendRoster(x)
+		return x.hasFullRoster
+	}, 10*upstreams*fullRosterDelay, time.Millisecond)
+	known := &session{out: make(chan *rpc.BrokerReply, sendQueueLength), end: func() {}, outdatedSince: time.Now()}
+	s.sendRoster(known)
+	require.True(t, known.hasRoster, "changes are not rate limited")
+	require.False(t, known.hasFullRoster)
 }
 
-// TestEntryThatIsSentToTheLeaderGetsNoRoster spares it on the way there, and
-// gives it to one that stays.
-func TestEntryThatIsSentToTheLeaderGetsNoRoster(t *testing.T) {
-	h := &heard{list: []port.RosterEntry{upstream("a")}}
+// TestRedirectedEntryGetsNoRoster checks that a daemon that names the leader sends no
+// roster at first, but does if the entry stays.
+func TestRedirectedEntryGetsNoRoster(t *testing.T) {
+	h := &fakeRoster{list: []port.RosterEntry{upstream("a")}}
 	s := newFollower(t, h, "leader")
-	x := &session{out: make(chan *rpc.BrokerReply, outboxSize), end: func() {}}
+	x := &session{out: make(chan *rpc.BrokerReply, sendQueueLength), end: func() {}}
 	s.join(&rpc.BrokerAsk{Entry: "e"}, x)
 	r := <-x.out
 	require.Equal(t, "leader", r.Leader)
 	require.False(t, r.RosterSet)
-	s.take("e", x, &rpc.BrokerAsk{})
+	s.handle("e", x, &rpc.BrokerAsk{})
 	require.True(t, (<-x.out).RosterSet)
 
 	s = newFollower(t, h, "")
-	x = &session{out: make(chan *rpc.BrokerReply, outboxSize), end: func() {}}
+	x = &session{out: make(chan *rpc.BrokerReply, sendQueueLength), end: func() {}}
 	s.join(&rpc.BrokerAsk{Entry: "e"}, x)
-	require.True(t, (<-x.out).RosterSet, "nobody leads: the entry decides by itself")
+	require.True(t, (<-x.out).RosterSet, "without a leader the entry needs the roster for its local broker")
 }
 
-// TestEntryFromALeaderIsToldWhatChangedSince spares the daemons most of the
-// roster while entries look for a leader, and gives all of it once there is one.
-func TestEntryFromALeaderIsToldWhatChangedSince(t *testing.T) {
-	h := &heard{list: []port.RosterEntry{upstream("old"), upstream("left")}}
+// TestEntryWithRecentRosterGetsOnlyChanges checks that daemons send only changes to
+// entries that look for a leader with a recent roster, and the full roster once they
+// lead.
+func TestEntryWithRecentRosterGetsOnlyChanges(t *testing.T) {
+	h := &fakeRoster{list: []port.RosterEntry{upstream("old"), upstream("left")}}
 	s := newFollower(t, h, "")
 	s.refresh(true)
-	for id := range s.told {
-		s.toldAt[id] = time.Now().Add(-time.Minute)
+	for id := range s.announced {
+		s.announcedAt[id] = time.Now().Add(-time.Minute)
 	}
 	h.list[1].Gone, h.list[1].Leaving = true, true
 	h.list = append(h.list, upstream("new"))
 	s.refresh(true)
 	join := func(age time.Duration) (*session, []string) {
-		x := &session{out: make(chan *rpc.BrokerReply, outboxSize), end: func() {}}
+		x := &session{out: make(chan *rpc.BrokerReply, sendQueueLength), end: func() {}}
 		s.join(&rpc.BrokerAsk{Entry: "e", RosterAgeMs: uint32(age.Milliseconds())}, x)
 		r := <-x.out
 		ids := []string{}
@@ -159,36 +161,39 @@
 	x, ids := join(3 * time.Second)
 	require.ElementsMatch(t, []string{"left", "new"}, ids)
 	_, ids = join(0)
-	require.ElementsMatch(t, []string{"old", "new"}, ids, "it has none")
-	s.nextWhole = time.Time{}
-	_, ids = join(2 * rosterLife)
-	require.ElementsMatch(t, []string{"old", "new"}, ids, "too old")
+	require.ElementsMatch(t, []string{"old", "new"}, ids, "the entry has no roster")
+	s.nextFullRoster = time.Time{}
+	_, ids = join(2 * maxRosterAge)
+	require.ElementsMatch(t, []string{"old", "new"}, ids, "the entry's roster is too old")
 	s.leads = true
-	s.nextWhole = time.Time{}
-	s.tellRoster(x)
+	s.nextFullRoster = time.Time{}
+	s.sendRoster(x)
 	r := <-x.out
 	require.True(t, r.RosterSet)
 	require.Len(t, r.Roster, 2)
 }
 
-// newFollower returns the service of a daemon that does not lead.
-func newFollower(t *testing.T, h *heard, leader string) *Service {
+// newFollower returns the service of a daemon that does not lead and knows the given
+// leader.
+func newFollower(t *testing.T, h *fakeRoster, leader string) *Service {
 	t.Helper()
 	s := New(&settings.Settings{Routing: &settings.Routing{}}, zap.NewNop())
-	meters, err := newMetrics(prometheus.NewRegistry())
+	metrics, err := newMetrics(prometheus.NewRegistry())
 	require.NoError(t, err)
-	s.meters, s.roster, s.view, s.leader = meters, h, noTable{}, follows(leader)
+	s.metrics, s.roster, s.view, s.replica = metrics, h, emptyView{}, fakeReplica(leader)
 	return s
 }
 
-type noTable struct{}
+// emptyView is a view without route table and leader.
+type emptyView struct{}
 
-func (noTable) Routes() *routes.Index    { return nil }
-func (noTable) Leader() port.Leader      { return port.Leader{} }
-func (noTable) Changed() <-chan struct{} { return nil }
+func (emptyView) Routes() *routes.Index    { return nil }
+func (emptyView) Leader() port.Leader      { return port.Leader{} }
+func (emptyView) Changed() <-chan struct{} { return nil }
 
-type follows string
+// fakeReplica is a follower that knows the leader's address.
+type fakeReplica string
 
-func (f follows) Leadership() (leads bool, leader port.Leader) {
+func (f fakeReplica) Leadership() (leads bool, leader port.Leader) {
 	return false, port.Leader{Address: string(f)}
 }
--- a/internal/broker/session.go
+++ b/internal/broker/session.go
@@ -13,22 +13,22 @@
 	"github.com/verbenastep/verbenastep/internal/work"
 )
 
-// session is one entry's stream.
+// session is the stream of one entry.
 type session struct {
 	out chan *rpc.BrokerReply
 	end context.CancelFunc
-	// told says that the entry has the roster and hears of changes, whole that all
-	// of it came from this daemon; since is from when on its own may lack changes,
-	// zero where it has none.
-	told  bool
-	whole bool
-	since time.Time
-	// levels says that it has what is left of quotas.
-	levels bool
+	// hasRoster is true if the entry has a roster and gets its changes, hasFullRoster
+	// if this daemon sent the full roster. outdatedSince is the time from which on the
+	// entry's own roster may lack changes; zero if the entry has none.
+	hasRoster     bool
+	hasFullRoster bool
+	outdatedSince time.Time
+	// hasLevels is true if the entry got all quota levels.
+	hasLevels bool
 }
 
-// send queues a message. A session that can't keep up is ended; the entry then
-// offers again what it still waits for.
+// send queues a message. It ends a session whose queue is full; the entry then connects
+// again and offers its requests anew.
 func (x *session) send(r *rpc.BrokerReply) {
 	select {
 	case x.out <- r:
@@ -37,7 +37,8 @@
 	}
 }
 
-// Session serves one entry until it ends or falls silent.
+// Session serves one entry until the stream ends or the entry sends nothing for
+// sessionTimeout.
 func (s *Service) Session(stream rpc.DRPCBroker_SessionStream) error {
 	first, err := stream.Recv()
 	if err != nil {
@@ -47,22 +48,24 @@
 	defer cancel()
 	stop := context.AfterFunc(s.ctx, cancel)
 	defer stop()
-	x := &session{out: make(chan *rpc.BrokerReply, outboxSize), end: cancel}
+	x := &session{out: make(chan *rpc.BrokerReply, sendQueueLength), end: cancel}
 	s.join(first, x)
 	defer s.leave(first.Entry, x)
 	return duplex.Server[*rpc.BrokerAsk, *rpc.BrokerReply]{
-		Recv: stream.Recv, Send: stream.Send, Out: x.out, Heartbeat: heartbeat, Silence: sessionSilence, Beat: s.heartbeat,
-		Take: func(ask *rpc.BrokerAsk) { s.take(first.Entry, x, ask) },
+		Recv: stream.Recv, Send: stream.Send, Out: x.out, Heartbeat: heartbeatInterval, Silence: sessionTimeout, Beat: s.heartbeat,
+		Take: func(ask *rpc.BrokerAsk) { s.handle(first.Entry, x, ask) },
 	}.Run(ctx)
 }
 
+// heartbeat returns a message that carries only the state of this daemon.
 func (s *Service) heartbeat() *rpc.BrokerReply {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.reply()
 }
 
-// join replaces all that is known of an entry by what it offers now.
+// join registers the session of an entry and replaces the state of the entry by the
+// offers in its first message.
 func (s *Service) join(first *rpc.BrokerAsk, x *session) {
 	s.refresh(false)
 	s.mu.Lock()
@@ -71,15 +74,16 @@
 		old.end()
 	}
 	s.sessions[first.Entry] = x
-	x.since = lacksSince(first)
-	s.meters.entries.Set(float64(len(s.sessions)))
-	s.log.Info("entry joined", zap.String("entry", first.Entry), zap.Int("offers", len(first.Offers)), zap.Bool("leads", s.leads))
-	if !s.leads && s.leading.Address != "" {
-		// The entry moves on to the daemon that leads, or stays and asks again.
+	x.outdatedSince = outdatedSince(first)
+	s.metrics.entries.Set(float64(len(s.sessions)))
+	s.log.Info("entry connected", zap.String("entry", first.Entry), zap.Int("offers", len(first.Offers)), zap.Bool("leads", s.leads))
+	if !s.leads && s.leader.Address != "" {
+		// The entry connects to the leader instead, or stays and gets the roster with
+		// its next message.
 		x.send(s.reply())
 		return
 	}
-	s.tellRoster(x)
+	s.sendRoster(x)
 	if !s.leads {
 		return
 	}
@@ -92,6 +96,7 @@
 	wait.Signal(s.wake)
 }
 
+// leave removes a session, unless a newer one of the entry replaced it.
 func (s *Service) leave(entry string, x *session) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -99,19 +104,20 @@
 		return
 	}
 	delete(s.sessions, entry)
-	s.meters.entries.Set(float64(len(s.sessions)))
+	s.metrics.entries.Set(float64(len(s.sessions)))
 	s.core.LoseEntry(s.now(), entry)
-	s.log.Info("entry lost", zap.String("entry", entry))
+	s.log.Info("entry disconnected", zap.String("entry", entry))
 }
 
-// take reads one message; one of a session that was replaced changes nothing.
-func (s *Service) take(entry string, x *session, ask *rpc.BrokerAsk) {
+// handle handles one message of an entry. It ignores messages of sessions that were
+// replaced.
+func (s *Service) handle(entry string, x *session, ask *rpc.BrokerAsk) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.sessions[entry] != x {
 		return
 	}
-	s.tellRoster(x)
+	s.sendRoster(x)
 	if !s.leads {
 		return
 	}
