--- a/internal/brokerclient/alone.go
+++ b/internal/brokerclient/alone.go
@@ -2,54 +2,56 @@
 
 import "time"
 
-// alonePause is the longest pause between two looks at the local broker.
-const alonePause = time.Second
+// localDecideInterval is the longest time between two rounds of the local broker.
+const localDecideInterval = time.Second
 
-// brokerPatience is how long an entry that has just got its first route table
-// waits for a broker before it decides by itself: the daemon that sent the table
-// has a leader, which an entry finds within a few round trips.
-const brokerPatience = 300 * time.Millisecond
+// firstBrokerTimeout is how long an entry with its first route table waits for a broker
+// before it uses its local broker. The daemon that sent the table knows the leader, so
+// the entry finds it within a few round trips.
+const firstBrokerTimeout = 300 * time.Millisecond
 
-// decideAlone grants from the local broker while no broker does.
-func (s *Service) decideAlone() {
-	timer := time.NewTimer(alonePause)
+// runLocal runs rounds of the local broker while no other broker grants.
+func (s *Service) runLocal() {
+	timer := time.NewTimer(localDecideInterval)
 	defer timer.Stop()
 	for s.ctx.Err() == nil {
-		timer.Reset(s.decideOnce())
+		timer.Reset(s.decideLocal())
 		select {
-		case <-s.local:
+		case <-s.wakeLocal:
 		case <-timer.C:
 		case <-s.ctx.Done():
 		}
 	}
 }
 
-func (s *Service) decideOnce() time.Duration {
+// decideLocal updates the local broker's route table and, if no other broker grants, runs
+// one round of decisions. It returns the delay before the next call.
+func (s *Service) decideLocal() time.Duration {
 	table := s.view.Routes()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if table != nil && table.Table.Version != s.version {
 		if s.version == 0 {
-			s.aloneFrom = s.now() + brokerPatience
+			s.localFrom = s.now() + firstBrokerTimeout
 		}
 		s.version = table.Table.Version
-		s.core.Configure(table)
+		s.local.Configure(table)
 	}
 	if s.attached || table == nil {
-		return alonePause
+		return localDecideInterval
 	}
-	if left := s.aloneFrom - s.now(); left > 0 {
+	if left := s.localFrom - s.now(); left > 0 {
 		return left
 	}
-	decided := s.core.Decide(s.now())
-	for _, g := range decided.Grants {
-		s.granted(g, byEntry)
+	decisions := s.local.Decide(s.now())
+	for _, g := range decisions.Grants {
+		s.settleGrant(g, byEntry)
 	}
-	for _, r := range decided.Refusals {
-		s.refused(r, byEntry)
+	for _, r := range decisions.Refusals {
+		s.settleRefusal(r, byEntry)
 	}
-	if pause, waits := s.core.Next(); waits {
-		return pause
+	if delay, waits := s.local.Next(); waits {
+		return delay
 	}
-	return alonePause
+	return localDecideInterval
 }
--- a/internal/brokerclient/client.go
+++ b/internal/brokerclient/client.go
@@ -1,6 +1,9 @@
-// Package brokerclient is the entry's side of the broker: it offers requests,
-// waits for grants, and grants by itself, within its share of each upstream,
-// while no broker answers.
+// Package brokerclient is the entry's client of the broker.
+//
+// It keeps a session with the control daemon that leads, offers the entry's requests
+// there and waits for grants. While no broker grants, a local broker does, within the
+// entry's share of each upstream and quota. Package forward uses it through
+// Acquire.
 package brokerclient
 
 import (
@@ -20,84 +23,92 @@
 	"github.com/verbenastep/verbenastep/internal/work"
 )
 
-// waiter is a request on its way to a grant and through it.
-type waiter struct {
-	offer   broker.Offer
+// acquisition is a request that waits for a grant or runs.
+type acquisition struct {
+	offer broker.Offer
+	// settled is closed when the request is granted or refused; grant, failure and by
+	// are set before.
 	settled chan struct{}
 	grant   broker.Grant
 	failure *fault.Error
-	by      string
+	// by is byBroker or byEntry.
+	by string
 }
 
-// Who granted.
+// Values of the label "by": the leading broker or the entry's local broker.
 const (
 	byBroker = "broker"
 	byEntry  = "entry"
 )
 
-// Service is the "broker.client" service.
+// Service is the "broker.client" service. It is safe for concurrent use.
 type Service struct {
-	set    *settings.Settings
-	log    *zap.Logger
-	self   string
-	link   port.Link
-	view   port.TableView
-	meters *metrics
-	began  time.Time
-	ctx    context.Context
-	cancel context.CancelFunc
-	done   sync.WaitGroup
-	// wake tells the session that something is pending, local the loop that
-	// decides while no broker does.
-	wake  chan struct{}
-	local chan struct{}
-
-	mu       sync.Mutex
-	next     uint64
+	set     *settings.Settings
+	log     *zap.Logger
+	self    string
+	link    port.Link
+	view    port.TableView
+	metrics *metrics
+	started time.Time
+	ctx     context.Context
+	cancel  context.CancelFunc
+	done    sync.WaitGroup
+	// wakeSession notifies the session of pending messages, wakeLocal the loop of the
+	// local broker.
+	wakeSession chan struct{}
+	wakeLocal   chan struct{}
+
+	mu sync.Mutex
+	// lastNumber is the number of the newest request.
+	lastNumber uint64
+	// attached is true while a broker grants in the session.
 	attached bool
-	entries  int
-	waiting  map[uint64]*waiter
-	running  map[uint64]*waiter
-	pending  rpc.BrokerAsk
-	core     *broker.Broker
-	version  uint64
-	// aloneFrom is when the entry may first decide by itself.
-	aloneFrom time.Duration
-	// levels are what the last broker had left of quotas.
+	// entries is the number of entries that share the upstreams.
+	entries int
+	waiting map[uint64]*acquisition
+	running map[uint64]*acquisition
+	// pending collects what the next message to the broker carries.
+	pending rpc.BrokerAsk
+	// local is the local broker and version that of its route table.
+	local   *broker.Broker
+	version uint64
+	// localFrom is when the local broker may first grant.
+	localFrom time.Duration
+	// levels are the quota levels that the last broker sent.
 	levels map[string]float64
-	// roster are the upstreams as the broker told them; stale says that the local
-	// broker lacks a part of it, refreshed when it last had all.
-	roster    map[string]*rpc.RosterEntry
-	stale     bool
-	refreshed time.Duration
-	// rosterAt is when a daemon that leads last spoke while the entry's roster was
-	// current: the whole of it came in the session, or an earlier one is brought
-	// up to date in it.
-	rosterAt time.Duration
-	current  bool
-	// leaderless counts sessions that were left, since the last broker granted,
+	// roster holds the upstreams as the control daemon sent them. localStale is true if
+	// the local broker lacks changes of it; localUpdated is when it last had all.
+	roster       map[string]*rpc.RosterEntry
+	localStale   bool
+	localUpdated time.Duration
+	// rosterAt is when a leader last confirmed that the entry's roster is complete; zero
+	// for never. rosterCurrent is true if the daemon of the session sent the full
+	// roster, or sends the changes of an earlier one.
+	rosterAt      time.Duration
+	rosterCurrent bool
+	// leaderlessSessions counts the sessions since the last grant that were ended
 	// because the daemon knew no leader.
-	leaderless int
-	// tries counts sessions without a broker in a row; leader is where the last
-	// daemon that answered says it is, lost where the last session ended.
-	tries  int
-	leader port.Leader
-	lost   string
-	// lostUntil is until when the lost one is not asked again unless it leads in
-	// a term after lostTerm; term is the newest that was heard of.
-	lostUntil time.Duration
-	lostTerm  uint64
-	term      uint64
+	leaderlessSessions int
+	// replicaIndex selects the next of the known replicas. leader is the leader that the
+	// last session named; failedAddress is where the last session failed.
+	replicaIndex  int
+	leader        port.Leader
+	failedAddress string
+	// backOffUntil is when the daemon at failedAddress may be asked again, unless it
+	// leads in a later term than failedTerm. term is the newest known term.
+	backOffUntil time.Duration
+	failedTerm   uint64
+	term         uint64
 }
 
-// New returns the service.
+// New returns the service of the entry self; Start starts it.
 func New(set *settings.Settings, log *zap.Logger, self port.Holder) *Service {
-	core := broker.New(1)
-	core.SetName(self.String())
-	core.SetSlack(set.Routing.Quota.SlackTokens)
+	local := broker.New(1)
+	local.SetName(self.String())
+	local.SetSlack(set.Routing.Quota.SlackTokens)
 	return &Service{
-		set: set, log: log.Named("work"), meters: newMetrics(), self: self.String(), began: time.Now(), wake: make(chan struct{}, 1), local: make(chan struct{}, 1),
-		waiting: map[uint64]*waiter{}, running: map[uint64]*waiter{}, core: core, entries: 1, roster: map[string]*rpc.RosterEntry{},
+		set: set, log: log.Named("work"), metrics: newMetrics(), self: self.String(), started: time.Now(), wakeSession: make(chan struct{}, 1), wakeLocal: make(chan struct{}, 1),
+		waiting: map[uint64]*acquisition{}, running: map[uint64]*acquisition{}, local: local, entries: 1, roster: map[string]*rpc.RosterEntry{},
 		levels: map[string]float64{},
 	}
 }
@@ -105,10 +116,10 @@
 // Name returns the service's name.
 func (s *Service) Name() string { return port.NameWork }
 
-// Needs returns the link, the view, which knows who leads, and who takes metrics.
+// Needs returns the services that Start looks up; the view knows the leader.
 func (s *Service) Needs() []string { return []string{port.NameLink, port.NameView, port.NameMetrics} }
 
-// Start begins to look for a broker.
+// Start starts the session loop and the local broker.
 func (s *Service) Start(_ context.Context, k *kernel.Kernel) error {
 	err := error(nil)
 	if s.link, err = kernel.Find[port.Link](k, port.NameLink); err != nil {
@@ -117,131 +128,138 @@
 	if s.view, err = kernel.Find[port.TableView](k, port.NameView); err != nil {
 		return err
 	}
-	collect, err := kernel.Find[port.Metrics](k, port.NameMetrics)
+	registry, err := kernel.Find[port.Metrics](k, port.NameMetrics)
 	if err != nil {
 		return err
 	}
-	if err := s.meters.register(collect.Registerer()); err != nil {
+	if err := s.metrics.register(registry.Registerer()); err != nil {
 		return err
 	}
 	s.ctx, s.cancel = context.WithCancel(context.Background())
-	s.done.Go(s.follow)
-	s.done.Go(s.decideAlone)
+	s.done.Go(s.runSessions)
+	s.done.Go(s.runLocal)
 	return nil
 }
 
-func (s *Service) now() time.Duration { return time.Since(s.began) }
+func (s *Service) now() time.Duration { return time.Since(s.started) }
 
-// Acquire waits for a grant.
+// Acquire offers a request and waits for a grant. It returns a *fault.Error if the request
+// is refused, or the context's error if that ends first. The caller must call End of the
+// ticket once the request has ended; further calls have no effect.
 func (s *Service) Acquire(ctx context.Context, o port.WorkOffer) (port.WorkTicket, error) {
-	w := s.offer(o)
+	a := s.offer(o)
 	select {
-	case <-w.settled:
+	case <-a.settled:
 	case <-ctx.Done():
-		if s.withdraw(w) {
+		if s.cancelOffer(a) {
 			return port.WorkTicket{}, ctx.Err()
 		}
-		<-w.settled
+		<-a.settled
 	}
-	if w.failure != nil {
-		return port.WorkTicket{}, w.failure
+	if a.failure != nil {
+		return port.WorkTicket{}, a.failure
 	}
 	end := sync.Once{}
-	return port.WorkTicket{Grant: w.grant, By: w.by, End: func(e broker.End) { end.Do(func() { s.end(w, e) }) }}, nil
+	return port.WorkTicket{Grant: a.grant, By: a.by, End: func(e broker.End) { end.Do(func() { s.end(a, e) }) }}, nil
 }
 
-func (s *Service) offer(o port.WorkOffer) *waiter {
+// offer offers a request to the broker of the session, or to the local broker without one.
+func (s *Service) offer(o port.WorkOffer) *acquisition {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.next++
-	w := &waiter{offer: o.Offer, settled: make(chan struct{})}
-	w.offer.ID = broker.ID{Entry: s.self, Number: s.next}
-	w.offer.Aim = o.AimAt.Sub(s.began)
-	w.offer.Latest = w.offer.Aim + o.Late
-	w.offer.Deadline = o.DeadlineAt.Sub(s.began)
-	s.waiting[s.next] = w
+	s.lastNumber++
+	a := &acquisition{offer: o.Offer, settled: make(chan struct{})}
+	a.offer.ID = broker.ID{Entry: s.self, Number: s.lastNumber}
+	a.offer.Aim = o.AimAt.Sub(s.started)
+	a.offer.Latest = a.offer.Aim + o.Late
+	a.offer.Deadline = o.DeadlineAt.Sub(s.started)
+	s.waiting[s.lastNumber] = a
 	if s.attached {
-		s.pending.Offers = append(s.pending.Offers, work.EncodeOffer(s.now(), w.offer))
-		wait.Signal(s.wake)
-		return w
+		s.pending.Offers = append(s.pending.Offers, work.EncodeOffer(s.now(), a.offer))
+		wait.Signal(s.wakeSession)
+		return a
 	}
-	s.core.Offer(s.now(), w.offer)
-	wait.Signal(s.local)
-	return w
+	s.local.Offer(s.now(), a.offer)
+	wait.Signal(s.wakeLocal)
+	return a
 }
 
-// withdraw gives up waiting; it returns false where the request is settled.
-func (s *Service) withdraw(w *waiter) bool {
+// cancelOffer cancels a waiting request. It returns false if the request is granted or refused
+// already.
+func (s *Service) cancelOffer(a *acquisition) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	id := w.offer.ID
+	id := a.offer.ID
 	if _, waits := s.waiting[id.Number]; !waits {
 		return false
 	}
 	delete(s.waiting, id.Number)
-	s.core.Cancel(id)
+	s.local.Cancel(id)
 	s.pending.Cancels = append(s.pending.Cancels, id.Number)
-	wait.Signal(s.wake)
+	wait.Signal(s.wakeSession)
 	return true
 }
 
-// end frees the slot; the leading and the local broker both learn from it.
-func (s *Service) end(w *waiter, e broker.End) {
+// end reports the end of a request to the broker and to the local broker, which both
+// release the slot and learn from it.
+func (s *Service) end(a *acquisition, e broker.End) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	e.ID = w.offer.ID
+	e.ID = a.offer.ID
 	delete(s.running, e.ID.Number)
-	s.core.End(s.now(), e)
+	s.local.End(s.now(), e)
 	s.pending.Ends = append(s.pending.Ends, work.EncodeEnd(e))
-	wait.Signal(s.wake)
-	wait.Signal(s.local)
+	wait.Signal(s.wakeSession)
+	wait.Signal(s.wakeLocal)
 }
 
-// Entries is how many entries share the system's limits.
+// Entries returns the number of entries that share the system's limits, at least 1.
 func (s *Service) Entries() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.entries
 }
 
-// granted settles a request that still waits; the lock is held.
-func (s *Service) granted(g broker.Grant, by string) {
-	w, ok := s.waiting[g.ID.Number]
+// settleGrant delivers a grant to a request that still waits. The caller holds the lock.
+func (s *Service) settleGrant(g broker.Grant, by string) {
+	a, ok := s.waiting[g.ID.Number]
 	if !ok {
 		return
 	}
 	delete(s.waiting, g.ID.Number)
-	s.meters.grants.WithLabelValues(by).Inc()
-	w.grant, w.by = g, by
-	w.offer.Running = g.Upstream
-	w.offer.Charge = 0
-	s.running[g.ID.Number] = w
-	close(w.settled)
+	s.metrics.grants.WithLabelValues(by).Inc()
+	a.grant, a.by = g, by
+	a.offer.Running = g.Upstream
+	a.offer.Charge = 0
+	s.running[g.ID.Number] = a
+	close(a.settled)
 }
 
-func (s *Service) refused(r broker.Refusal, by string) {
-	w, ok := s.waiting[r.ID.Number]
+// settleRefusal delivers a refusal to a request that still waits. The caller holds the
+// lock.
+func (s *Service) settleRefusal(r broker.Refusal, by string) {
+	a, ok := s.waiting[r.ID.Number]
 	if !ok {
 		return
 	}
 	delete(s.waiting, r.ID.Number)
-	s.meters.refusals.WithLabelValues(by, string(r.Code)).Inc()
-	w.by = by
-	w.failure = fault.New(fault.Kind(r.Code), "send the request again after the stated time", "%s", r.Why).After(r.RetryAfter)
-	close(w.settled)
+	s.metrics.refusals.WithLabelValues(by, string(r.Code)).Inc()
+	a.by = by
+	a.failure = fault.New(fault.Kind(r.Code), "send the request again after the stated time", "%s", r.Why).After(r.RetryAfter)
+	close(a.settled)
 }
 
-// Stop ends the session.
+// Stop ends the session and the local broker's loop.
 func (s *Service) Stop(context.Context) error {
 	s.cancel()
 	s.done.Wait()
 	return nil
 }
 
-// Health returns nil: an entry without a broker decides by itself.
+// Health returns nil: without a broker the entry uses its local broker.
 func (s *Service) Health() error { return nil }
 
-// Dump shows what waits and runs.
+// Dump returns the state of session and local broker for operators.
 func (s *Service) Dump() any {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -251,5 +269,5 @@
 		Waiting  int           `json:"waiting"`
 		Running  int           `json:"running"`
 		Pools    []broker.Dump `json:"pools"`
-	}{s.attached, s.entries, len(s.waiting), len(s.running), s.core.Dump()}
+	}{s.attached, s.entries, len(s.waiting), len(s.running), s.local.Dump()}
 }
--- a/internal/brokerclient/metrics.go
+++ b/internal/brokerclient/metrics.go
@@ -2,12 +2,12 @@
 
 import "github.com/prometheus/client_golang/prometheus"
 
-// metrics count who decided, and how often the broker was lost.
+// metrics are the metrics of the broker client.
 type metrics struct {
-	grants   *prometheus.CounterVec
-	refusals *prometheus.CounterVec
-	attached prometheus.Gauge
-	lost     prometheus.Counter
+	grants     *prometheus.CounterVec
+	refusals   *prometheus.CounterVec
+	attached   prometheus.Gauge
+	brokerLost prometheus.Counter
 }
 
 func newMetrics() *metrics {
@@ -18,13 +18,13 @@
 		refusals: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Namespace: "verbenastep", Subsystem: "work", Name: "refusals_total", Help: "Requests refused, by the broker or by the entry alone.",
 		}, []string{"by", "code"}),
-		attached: prometheus.NewGauge(prometheus.GaugeOpts{Namespace: "verbenastep", Subsystem: "work", Name: "attached", Help: "1 while a broker grants for this entry."}),
-		lost:     prometheus.NewCounter(prometheus.CounterOpts{Namespace: "verbenastep", Subsystem: "work", Name: "broker_lost_total", Help: "Times that this entry lost its broker."}),
+		attached:   prometheus.NewGauge(prometheus.GaugeOpts{Namespace: "verbenastep", Subsystem: "work", Name: "attached", Help: "1 while a broker grants for this entry."}),
+		brokerLost: prometheus.NewCounter(prometheus.CounterOpts{Namespace: "verbenastep", Subsystem: "work", Name: "broker_lost_total", Help: "Times that this entry lost its broker."}),
 	}
 }
 
 func (m *metrics) register(r prometheus.Registerer) error {
-	for _, c := range []prometheus.Collector{m.grants, m.refusals, m.attached, m.lost} {
+	for _, c := range []prometheus.Collector{m.grants, m.refusals, m.attached, m.brokerLost} {
 		if err := r.Register(c); err != nil {
 			return err
 		}
--- a/internal/brokerclient/session.go
+++ b/internal/brokerclient/session.go
@@ -16,147 +16,149 @@
 )
 
 const (
-	// heartbeat is the longest pause between two messages to the broker.
-	heartbeat = 200 * time.Millisecond
-	// silence is how long the broker, which sends every 100 ms, may be silent
-	// before the entry decides by itself: several messages, and a lost packet
-	// that is sent again.
-	silence = 400 * time.Millisecond
-	// firstSilence bounds the wait for the first message of a session, which
-	// needs a connection before.
-	firstSilence = 600 * time.Millisecond
-	// retryPause is the wait before the next daemon is tried.
-	retryPause = 50 * time.Millisecond
-	// idleLimit is how long the first session with a daemon that does not lead is
-	// kept, for its roster, while no leader is known. Each further one is kept
-	// twice as long, up to idleMost: a daemon that is not cut off names the leader
-	// as soon as there is one, and looking elsewhere costs daemons that are busy.
-	idleLimit = 300 * time.Millisecond
-	idleMost  = 8 * idleLimit
-	// backOffTime is how long a daemon is not asked again after a session with it
-	// failed: the others need as long to elect another leader.
-	backOffTime = 1500 * time.Millisecond
+	// heartbeatInterval is the longest time between two messages to the broker.
+	heartbeatInterval = 200 * time.Millisecond
+	// brokerTimeout is how long the broker may send nothing before the entry uses its
+	// local broker. The broker sends every 100 ms; the timeout covers several messages
+	// and the retransmission of a lost packet.
+	brokerTimeout = 400 * time.Millisecond
+	// connectTimeout bounds the time to the first message of a session, including the
+	// connection setup.
+	connectTimeout = 600 * time.Millisecond
+	// reconnectDelay is the delay between two sessions.
+	reconnectDelay = 50 * time.Millisecond
+	// minLeaderlessTimeout is how long the first session with a daemon that knows no
+	// leader is kept, for its roster. The timeout doubles with each further session up
+	// to maxLeaderlessTimeout: a daemon that is not partitioned names the leader as
+	// soon as there is one, and new sessions put load on busy daemons.
+	minLeaderlessTimeout = 300 * time.Millisecond
+	maxLeaderlessTimeout = 8 * minLeaderlessTimeout
+	// backOffDelay is how long a daemon is avoided after a session with it failed: the
+	// others need that long to elect another leader.
+	backOffDelay = 1500 * time.Millisecond
 )
 
 var (
-	errSilent = errors.New("the broker fell silent")
-	errMoved  = errors.New("the daemon does not lead")
+	errBrokerTimeout = errors.New("no message from the broker before the timeout")
+	errNotLeader     = errors.New("the daemon does not lead")
 )
 
-// follow keeps a session with the daemon that leads, or with any that knows
-// the roster.
-func (s *Service) follow() {
+// runSessions keeps a session with the leader, or with another control daemon for its
+// roster while no leader is known.
+func (s *Service) runSessions() {
 	for s.ctx.Err() == nil {
-		address := s.target()
-		err := s.speak(s.ctx, address)
-		lost := s.detach(address, err)
-		if lost && s.ctx.Err() == nil {
+		address := s.nextAddress()
+		err := s.runSession(s.ctx, address)
+		wasAttached := s.detach(address, err)
+		if wasAttached && s.ctx.Err() == nil {
 			s.log.Warn("broker lost", zap.String("address", address), zap.Error(err))
 		}
-		wait.For(s.ctx, retryPause)
+		wait.For(s.ctx, reconnectDelay)
 	}
 }
 
-// target is where the broker is most likely: where the newest term that the last
-// daemon or the view told of says; but not where the last session failed, as long
-// as another daemon is left to ask.
-func (s *Service) target() string {
+// nextAddress returns the address of the daemon to ask next: the leader of the newest term
+// that the last session or the view named, otherwise the next known replica. It avoids a
+// daemon whose session has just failed while there is another one.
+func (s *Service) nextAddress() string {
 	viewed := s.view.Leader()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.term = max(s.term, viewed.Term)
-	told := []port.Leader{s.leader, viewed}
+	candidates := []port.Leader{s.leader, viewed}
 	if viewed.Term > s.leader.Term {
-		told = []port.Leader{viewed, s.leader}
+		candidates = []port.Leader{viewed, s.leader}
 	}
 	s.leader = port.Leader{}
-	for _, l := range told {
+	for _, l := range candidates {
 		if l.Address != "" && !s.backedOff(l) {
 			return l.Address
 		}
 	}
 	known := s.set.KnownReplicas()
 	for range known {
-		s.tries++
-		if address := known[s.tries%len(known)].Address; !s.backedOff(port.Leader{Address: address}) {
+		s.replicaIndex++
+		if address := known[s.replicaIndex%len(known)].Address; !s.backedOff(port.Leader{Address: address}) {
 			return address
 		}
 	}
-	return s.lost
+	return s.failedAddress
 }
 
-// backedOff tells whether a session with a daemon failed a moment ago: others may
-// go on naming it as the leader until they have elected another. One that leads
-// in a newer term has come back since.
+// backedOff reports whether a session with a daemon failed recently. Other daemons may name
+// it as the leader until they elect another. A daemon that leads in a newer term has
+// recovered. The caller holds the lock.
 func (s *Service) backedOff(l port.Leader) bool {
-	return l.Address == s.lost && l.Term <= s.lostTerm && s.now() < s.lostUntil
+	return l.Address == s.failedAddress && l.Term <= s.failedTerm && s.now() < s.backOffUntil
 }
 
-// detach ends granting by the broker: what waits goes to the local broker.
+// detach ends the use of the session's broker and offers waiting requests to the local
+// broker. It returns true if a broker granted in the session.
 func (s *Service) detach(address string, err error) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !errors.Is(err, errMoved) {
-		s.lost, s.lostTerm = address, s.term
-		s.lostUntil = s.now() + backOffTime
+	if !errors.Is(err, errNotLeader) {
+		s.failedAddress, s.failedTerm = address, s.term
+		s.backOffUntil = s.now() + backOffDelay
 	}
-	was := s.attached
+	wasAttached := s.attached
 	s.attached = false
-	s.meters.attached.Set(0)
-	if was {
-		s.meters.lost.Inc()
+	s.metrics.attached.Set(0)
+	if wasAttached {
+		s.metrics.brokerLost.Inc()
 	}
 	s.pending.Offers = nil
 	now := s.now()
-	if s.stale {
-		s.refreshLocal()
+	if s.localStale {
+		s.updateLocal()
 	}
-	if was {
-		s.core.ForgetQuotas()
-		s.core.Lower(now, s.levels)
+	if wasAttached {
+		s.local.ForgetQuotas()
+		s.local.Lower(now, s.levels)
 	}
-	for _, w := range s.waiting {
-		s.core.Offer(now, w.offer)
+	for _, a := range s.waiting {
+		s.local.Offer(now, a.offer)
 	}
-	wait.Signal(s.local)
-	return was
+	wait.Signal(s.wakeLocal)
+	return wasAttached
 }
 
-// speak holds one session until it ends, falls silent or another daemon leads.
-func (s *Service) speak(ctx context.Context, address string) error {
+// runSession runs one session until it fails, times out or another daemon leads. It returns
+// errNotLeader if the daemon itself has not failed.
+func (s *Service) runSession(ctx context.Context, address string) error {
 	if address == "" {
-		return errMoved
+		return errNotLeader
 	}
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	quiet := time.AfterFunc(firstSilence, func() { cancel(errSilent) })
-	defer quiet.Stop()
-	go s.leaveForLeader(ctx, address, s.view.Leader(), cancel)
+	timeout := time.AfterFunc(connectTimeout, func() { cancel(errBrokerTimeout) })
+	defer timeout.Stop()
+	go s.watchLeader(ctx, address, s.view.Leader(), cancel)
 	stream, err := rpc.NewDRPCBrokerClient(s.link.Conn(address)).Session(ctx)
 	if err != nil {
 		return errors.Join(err, context.Cause(ctx))
 	}
 	defer stream.Close()
-	if err := stream.Send(s.hello()); err != nil {
+	if err := stream.Send(s.firstMessage()); err != nil {
 		return err
 	}
 	in := make(chan *rpc.BrokerReply)
 	failed := make(chan error, 1)
 	go func() { failed <- duplex.Receive(ctx, stream.Recv, in) }()
-	beat := time.NewTicker(heartbeat)
-	defer beat.Stop()
-	began := time.Now()
-	limit := s.idle()
+	heartbeat := time.NewTicker(heartbeatInterval)
+	defer heartbeat.Stop()
+	started := time.Now()
+	limit := s.leaderlessTimeout()
 	for {
 		err := error(nil)
 		select {
-		case <-s.wake:
+		case <-s.wakeSession:
 			err = s.send(stream)
-		case <-beat.C:
+		case <-heartbeat.C:
 			err = s.send(stream)
 		case r := <-in:
-			quiet.Reset(silence)
-			err = s.take(address, r, time.Since(began) > limit)
+			timeout.Reset(brokerTimeout)
+			err = s.handle(address, r, time.Since(started) > limit)
 		case err = <-failed:
 		case <-ctx.Done():
 			err = context.Cause(ctx)
@@ -167,18 +169,18 @@
 	}
 }
 
-// leaveForLeader ends a session in which no broker grants as soon as the view
-// hears of a new leader: the daemon may be one that does not answer.
-func (s *Service) leaveForLeader(ctx context.Context, address string, known port.Leader, leave context.CancelCauseFunc) {
+// watchLeader ends a session without a broker as soon as the view names a new leader, since
+// the daemon of the session may not answer at all.
+func (s *Service) watchLeader(ctx context.Context, address string, known port.Leader, end context.CancelCauseFunc) {
 	for {
 		changed := s.view.Changed()
 		viewed := s.view.Leader()
 		s.mu.Lock()
 		s.term = max(s.term, viewed.Term)
-		better := !s.attached && viewed.Address != "" && viewed.Term > known.Term && viewed.Address != address && !s.backedOff(viewed)
+		newLeader := !s.attached && viewed.Address != "" && viewed.Term > known.Term && viewed.Address != address && !s.backedOff(viewed)
 		s.mu.Unlock()
-		if better {
-			leave(errMoved)
+		if newLeader {
+			end(errNotLeader)
 			return
 		}
 		select {
@@ -189,30 +191,30 @@
 	}
 }
 
-// idle is how long the next session without a leader is kept.
-func (s *Service) idle() time.Duration {
+// leaderlessTimeout returns how long the next session without a leader is kept.
+func (s *Service) leaderlessTimeout() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return min(idleMost, idleLimit<<min(s.leaderless, 8))
+	return min(maxLeaderlessTimeout, minLeaderlessTimeout<<min(s.leaderlessSessions, 8))
 }
 
-// hello lists all that runs; what waits follows once the daemon says that it
-// leads.
-func (s *Service) hello() *rpc.BrokerAsk {
+// firstMessage returns the first message of a session, with all running requests. Waiting
+// requests are offered once the daemon says that it leads.
+func (s *Service) firstMessage() *rpc.BrokerAsk {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.pending = rpc.BrokerAsk{}
 	now := s.now()
 	ask := &rpc.BrokerAsk{Entry: s.self, RosterAgeMs: s.rosterAge()}
-	s.current = ask.RosterAgeMs > 0
-	for _, w := range s.running {
-		ask.Offers = append(ask.Offers, work.EncodeOffer(now, w.offer))
+	s.rosterCurrent = ask.RosterAgeMs > 0
+	for _, a := range s.running {
+		ask.Offers = append(ask.Offers, work.EncodeOffer(now, a.offer))
 	}
 	return ask
 }
 
-// rosterAge is how long ago a daemon that leads last spoke of the roster, in
-// milliseconds; zero where none has. The lock is held.
+// rosterAge returns the time since a leader last confirmed the roster, in milliseconds but
+// at least 1; zero if none has. The caller holds the lock.
 func (s *Service) rosterAge() uint32 {
 	if s.rosterAt == 0 {
 		return 0
@@ -220,7 +222,7 @@
 	return uint32(max(1, (s.now() - s.rosterAt).Milliseconds()))
 }
 
-// send passes on what is pending, or a heartbeat.
+// send sends what is pending; an empty message is a heartbeat.
 func (s *Service) send(stream rpc.DRPCBroker_SessionClient) error {
 	s.mu.Lock()
 	ask := &rpc.BrokerAsk{Offers: s.pending.Offers, Ends: s.pending.Ends, Cancels: s.pending.Cancels, Quotas: s.pending.Quotas}
@@ -229,46 +231,49 @@
 	return stream.Send(ask)
 }
 
-// take reads one message of the broker.
-func (s *Service) take(address string, r *rpc.BrokerReply, settled bool) error {
+// handle handles one message of a control daemon. It returns errNotLeader if the session
+// should end: another daemon leads, this one stopped leading, or timedOut is set and no
+// leader is known.
+func (s *Service) handle(address string, r *rpc.BrokerReply, timedOut bool) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.entries = max(1, int(r.Entries))
-	s.core.SetShare(1 / float64(s.entries))
-	s.takeRoster(r)
-	s.takeLevels(r)
+	s.local.SetShare(1 / float64(s.entries))
+	s.updateRoster(r)
+	s.updateLevels(r)
 	leader := port.Leader{Address: r.Leader, Term: r.LeaderTerm}
 	s.term = max(s.term, leader.Term)
 	if !r.Leads {
 		s.leader = leader
 		moved := r.Leader != "" && r.Leader != address && !s.backedOff(leader)
-		idle := settled && r.Leader == ""
-		if idle {
-			s.leaderless++
+		leaderless := timedOut && r.Leader == ""
+		if leaderless {
+			s.leaderlessSessions++
 		}
-		if s.attached || moved || idle {
-			return errMoved
+		if s.attached || moved || leaderless {
+			return errNotLeader
 		}
 		return nil
 	}
 	if !s.attached {
 		s.attach(address)
 	}
-	if s.current && len(r.Roster) == 0 {
-		// What was to be told of the roster has arrived.
+	if s.rosterCurrent && len(r.Roster) == 0 {
+		// All pending parts of the roster have arrived.
 		s.rosterAt = s.now()
 	}
 	for _, g := range r.Grants {
-		s.takeGrant(work.DecodeGrant(s.self, g))
+		s.handleGrant(work.DecodeGrant(s.self, g))
 	}
 	for _, x := range r.Refusals {
-		s.refused(work.DecodeRefusal(s.self, x), byBroker)
+		s.settleRefusal(work.DecodeRefusal(s.self, x), byBroker)
 	}
 	return nil
 }
 
-// takeLevels takes in what is left of all quotas, or what has changed of it.
-func (s *Service) takeLevels(r *rpc.BrokerReply) {
+// updateLevels replaces the quota levels or applies changes. A level of 1 is a full quota,
+// which is not stored.
+func (s *Service) updateLevels(r *rpc.BrokerReply) {
 	if r.QuotasSet {
 		clear(s.levels)
 	}
@@ -281,44 +286,44 @@
 	}
 }
 
-// attach gives all that waits or runs to a broker that has just been found, or
-// has just begun to lead; the lock is held.
+// attach offers all waiting and running requests to the broker of the session, which has
+// just been found to lead. The caller holds the lock.
 func (s *Service) attach(address string) {
 	s.attached = true
-	s.meters.attached.Set(1)
-	s.leaderless = 0
-	s.lostUntil = 0
+	s.metrics.attached.Set(1)
+	s.leaderlessSessions = 0
+	s.backOffUntil = 0
 	now := s.now()
 	s.pending.Quotas = work.EncodeLevels(s.levels)
-	for _, w := range s.running {
-		s.pending.Offers = append(s.pending.Offers, work.EncodeOffer(now, w.offer))
+	for _, a := range s.running {
+		s.pending.Offers = append(s.pending.Offers, work.EncodeOffer(now, a.offer))
 	}
-	for _, w := range s.waiting {
-		s.core.Cancel(w.offer.ID)
-		s.pending.Offers = append(s.pending.Offers, work.EncodeOffer(now, w.offer))
+	for _, a := range s.waiting {
+		s.local.Cancel(a.offer.ID)
+		s.pending.Offers = append(s.pending.Offers, work.EncodeOffer(now, a.offer))
 	}
-	wait.Signal(s.wake)
+	wait.Signal(s.wakeSession)
 	s.log.Info("broker found", zap.String("address", address), zap.Int("waiting", len(s.waiting)), zap.Int("running", len(s.running)), zap.Int("entries", s.entries))
 }
 
-// takeGrant settles a request, or gives back a slot that nobody waits for.
-func (s *Service) takeGrant(g broker.Grant) {
-	w := s.waiting[g.ID.Number]
-	if w == nil {
+// handleGrant settles a request, or returns the grant if the request no longer waits.
+func (s *Service) handleGrant(g broker.Grant) {
+	a := s.waiting[g.ID.Number]
+	if a == nil {
 		s.pending.Ends = append(s.pending.Ends, work.EncodeEnd(broker.End{ID: g.ID, Outcome: broker.NotSent}))
-		wait.Signal(s.wake)
+		wait.Signal(s.wakeSession)
 		return
 	}
-	s.granted(g, byBroker)
-	s.core.Offer(s.now(), w.offer)
+	s.settleGrant(g, byBroker)
+	s.local.Offer(s.now(), a.offer)
 }
 
-// takeRoster takes in the whole roster, or what has changed of it. The entry's
-// local broker needs it only once no other answers, so it is updated less often.
-func (s *Service) takeRoster(r *rpc.BrokerReply) {
+// updateRoster replaces the roster or applies changes. The local broker is updated at a lower
+// rate while another broker grants.
+func (s *Service) updateRoster(r *rpc.BrokerReply) {
 	if r.RosterSet {
 		clear(s.roster)
-		s.current = true
+		s.rosterCurrent = true
 	}
 	for _, e := range r.Roster {
 		if e.Gone {
@@ -327,18 +332,18 @@
 			s.roster[e.Id] = e
 		}
 	}
-	s.stale = s.stale || r.RosterSet || len(r.Roster) > 0
-	if s.stale && (!s.attached || s.now()-s.refreshed > localRefresh) {
-		s.refreshLocal()
+	s.localStale = s.localStale || r.RosterSet || len(r.Roster) > 0
+	if s.localStale && (!s.attached || s.now()-s.localUpdated > localUpdateInterval) {
+		s.updateLocal()
 	}
 }
 
-// localRefresh is the least time between two updates of the local broker while
-// a broker grants.
-const localRefresh = time.Second
+// localUpdateInterval is the shortest time between two updates of the local broker while
+// another broker grants.
+const localUpdateInterval = time.Second
 
-// refreshLocal brings the local broker up to date with the roster; the lock is held.
-func (s *Service) refreshLocal() {
+// updateLocal applies the roster to the local broker. The caller holds the lock.
+func (s *Service) updateLocal() {
 	list := make([]port.RosterEntry, 0, len(s.roster))
 	learned := make([]broker.Learned, 0, len(s.roster))
 	for _, e := range s.roster {
@@ -346,7 +351,7 @@
 		list = append(list, entry)
 		learned = append(learned, l)
 	}
-	s.core.Upstreams(work.Upstreams(list, s.set.Routing.DataCentres))
-	s.core.Teach(learned)
-	s.stale, s.refreshed = false, s.now()
+	s.local.Upstreams(work.Upstreams(list, s.set.Routing.DataCentres))
+	s.local.Teach(learned)
+	s.localStale, s.localUpdated = false, s.now()
 }
--- a/internal/brokerclient/session_test.go
+++ b/internal/brokerclient/session_test.go
@@ -19,9 +19,10 @@
 	"github.com/verbenastep/verbenastep/internal/work"
 )
 
-const patience = 10 * time.Second
+// testTimeout bounds every wait of the tests.
+const testTimeout = 10 * time.Second
 
-// control is a control daemon that says what the test tells it to.
+// control is a control daemon whose replies the test sets.
 type control struct {
 	rpc.DRPCBrokerUnimplementedServer
 	address string
@@ -30,8 +31,8 @@
 	leader  string
 	term    uint64
 	silent  bool
-	// sessions counts those that began; offered are the requests of the present
-	// one, true where they run.
+	// sessions counts the sessions so far. offered holds the requests that were offered
+	// in the current session; running ones are true.
 	sessions int
 	offered  map[uint64]bool
 	grants   []*rpc.WorkGrant
@@ -71,18 +72,21 @@
 	return nil
 }
 
+// set changes the daemon under its lock.
 func (c *control) set(change func(*control)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	change(c)
 }
 
-func (c *control) see(look func(*control) bool) bool {
+// check evaluates a condition under the daemon's lock.
+func (c *control) check(condition func(*control) bool) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return look(c)
+	return condition(c)
 }
 
+// view is a view whose leader the test sets.
 type view struct {
 	index *routes.Index
 
@@ -105,8 +109,8 @@
 	return v.changed
 }
 
-// hear has the view learn of a leader.
-func (v *view) hear(leader port.Leader) {
+// setLeader sets the leader and notifies watchers.
+func (v *view) setLeader(leader port.Leader) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.leader = leader
@@ -122,7 +126,7 @@
 	return l
 }
 
-// newEntry returns an entry that knows a number of control daemons.
+// newEntry returns the started client of an entry and the n control daemons that it knows.
 func newEntry(t *testing.T, n int) (*Service, []*control) {
 	t.Helper()
 	addresses, err := freeport.Addresses(n + 1)
@@ -143,16 +147,17 @@
 	s.link = own
 	s.view = &view{index: routes.NewIndex(&routes.Table{Version: 1, Pools: []routes.Pool{{Name: "p"}}}), changed: make(chan struct{})}
 	s.ctx, s.cancel = context.WithCancel(context.Background())
-	s.done.Go(s.follow)
-	s.done.Go(s.decideAlone)
+	s.done.Go(s.runSessions)
+	s.done.Go(s.runLocal)
 	t.Cleanup(func() { _ = s.Stop(context.Background()) })
 	return s, controls
 }
 
+// acquire acquires an upstream of the only pool.
 func acquire(s *Service) (port.WorkTicket, error) {
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
-	at := time.Now().Add(patience)
+	at := time.Now().Add(testTimeout)
 	return s.Acquire(ctx, port.WorkOffer{Offer: broker.Offer{Pool: "p"}, AimAt: at, DeadlineAt: at})
 }
 
@@ -162,104 +167,104 @@
 	return s.attached
 }
 
-// TestDaemonThatBeginsToLeadKeepsItsSessions: an entry that waits with a daemon
-// offers all that runs there as soon as it leads, over the same session.
-func TestDaemonThatBeginsToLeadKeepsItsSessions(t *testing.T) {
+// TestNewLeaderKeepsItsSessions checks that an entry in a session with a follower offers its
+// running requests in the same session once the follower leads.
+func TestNewLeaderKeepsItsSessions(t *testing.T) {
 	s, c := newEntry(t, 1)
 	ticket, err := acquire(s)
-	require.NoError(t, err, "while no broker answers, the entry grants by itself")
+	require.NoError(t, err, "without a broker the local broker grants")
 	require.Equal(t, byEntry, ticket.By)
-	require.Eventually(t, func() bool { return c[0].see(func(c *control) bool { return c.sessions > 0 }) }, patience, time.Millisecond)
+	require.Eventually(t, func() bool { return c[0].check(func(c *control) bool { return c.sessions > 0 }) }, testTimeout, time.Millisecond)
 	c[0].set(func(c *control) { c.leads, c.leader = true, c.address })
 	require.Eventually(t, func() bool {
-		return c[0].see(func(c *control) bool { return c.offered[ticket.ID.Number] })
-	}, patience, time.Millisecond)
+		return c[0].check(func(c *control) bool { return c.offered[ticket.ID.Number] })
+	}, testTimeout, time.Millisecond)
 	sessions := 0
 	c[0].set(func(c *control) { sessions = c.sessions })
-	time.Sleep(2 * idleLimit)
-	require.True(t, c[0].see(func(c *control) bool { return c.sessions == sessions }))
+	time.Sleep(2 * minLeaderlessTimeout)
+	require.True(t, c[0].check(func(c *control) bool { return c.sessions == sessions }))
 }
 
-func TestEntryFollowsTheLeaderThatAnyDaemonNames(t *testing.T) {
+func TestEntryConnectsToLeaderNamedByAnyDaemon(t *testing.T) {
 	s, c := newEntry(t, 3)
 	c[2].set(func(x *control) { x.leads, x.leader = true, x.address })
 	for _, x := range c[:2] {
 		x.set(func(x *control) { x.leader = c[2].address })
 	}
-	require.Eventually(t, s.isAttached, patience, time.Millisecond)
-	require.True(t, c[2].see(func(x *control) bool { return x.sessions == 1 }))
+	require.Eventually(t, s.isAttached, testTimeout, time.Millisecond)
+	require.True(t, c[2].check(func(x *control) bool { return x.sessions == 1 }))
 }
 
-// TestSilentBrokerIsLeft has the broker freeze, and another daemon lead later:
-// the entry grants by itself meanwhile and gives what waits to the new broker.
-func TestSilentBrokerIsLeft(t *testing.T) {
+// TestEntryLeavesSilentBroker freezes the broker and lets another daemon lead later. The
+// local broker must grant meanwhile, and the new broker must get the running requests.
+func TestEntryLeavesSilentBroker(t *testing.T) {
 	s, c := newEntry(t, 2)
 	c[0].set(func(x *control) { x.leads, x.leader = true, x.address })
 	c[1].set(func(x *control) { x.leader = c[0].address })
-	require.Eventually(t, s.isAttached, patience, time.Millisecond)
+	require.Eventually(t, s.isAttached, testTimeout, time.Millisecond)
 	c[0].set(func(x *control) { x.silent = true })
 	c[1].set(func(x *control) { x.leader = "" })
-	require.Eventually(t, func() bool { return !s.isAttached() }, patience, time.Millisecond)
+	require.Eventually(t, func() bool { return !s.isAttached() }, testTimeout, time.Millisecond)
 	ticket, err := acquire(s)
 	require.NoError(t, err)
 	require.Equal(t, byEntry, ticket.By)
 	c[1].set(func(x *control) { x.leads, x.leader = true, x.address })
-	require.Eventually(t, s.isAttached, patience, time.Millisecond)
-	require.Eventually(t, func() bool { return c[1].see(func(x *control) bool { return x.offered[ticket.ID.Number] }) }, patience, time.Millisecond)
+	require.Eventually(t, s.isAttached, testTimeout, time.Millisecond)
+	require.Eventually(t, func() bool { return c[1].check(func(x *control) bool { return x.offered[ticket.ID.Number] }) }, testTimeout, time.Millisecond)
 }
 
-// TestGrantThatNobodyWaitsForIsGivenBack covers a grant that crosses the
-// caller's departure.
-func TestGrantThatNobodyWaitsForIsGivenBack(t *testing.T) {
+// TestGrantForCanceledRequestIsReturned covers a grant that arrives after the caller has
+// given up.
+func TestGrantForCanceledRequestIsReturned(t *testing.T) {
 	s, c := newEntry(t, 1)
 	c[0].set(func(x *control) { x.leads, x.leader = true, x.address })
-	require.Eventually(t, s.isAttached, patience, time.Millisecond)
+	require.Eventually(t, s.isAttached, testTimeout, time.Millisecond)
 	ctx, cancel := context.WithTimeout(context.Background(), 50*time.Millisecond)
 	defer cancel()
-	at := time.Now().Add(patience)
+	at := time.Now().Add(testTimeout)
 	_, err := s.Acquire(ctx, port.WorkOffer{Offer: broker.Offer{Pool: "p"}, AimAt: at, DeadlineAt: at})
 	require.ErrorIs(t, err, context.DeadlineExceeded)
 	s.mu.Lock()
-	s.takeGrant(broker.Grant{ID: broker.ID{Number: 1}, Upstream: "u", Address: "a"})
+	s.handleGrant(broker.Grant{ID: broker.ID{Number: 1}, Upstream: "u", Address: "a"})
 	ends := len(s.pending.Ends)
 	s.mu.Unlock()
 	require.Equal(t, 1, ends)
 }
 
-// TestLostLeaderIsNotAskedAgainWhileOthersNameIt has the leader freeze while
-// the other daemon goes on naming it until it leads itself.
-func TestLostLeaderIsNotAskedAgainWhileOthersNameIt(t *testing.T) {
+// TestFailedLeaderIsAvoidedWhileOthersNameIt freezes the leader while the other daemon still
+// names it as the leader.
+func TestFailedLeaderIsAvoidedWhileOthersNameIt(t *testing.T) {
 	s, c := newEntry(t, 2)
 	for _, x := range c {
 		x.set(func(x *control) { x.leader = c[0].address })
 	}
 	c[0].set(func(x *control) { x.leads = true })
-	require.Eventually(t, s.isAttached, patience, time.Millisecond)
+	require.Eventually(t, s.isAttached, testTimeout, time.Millisecond)
 	sessions := 0
 	c[0].set(func(x *control) { x.silent, sessions = true, x.sessions })
-	require.Eventually(t, func() bool { return c[1].see(func(x *control) bool { return x.sessions > 0 }) }, patience, time.Millisecond)
-	time.Sleep(backOffTime / 2)
-	require.True(t, c[0].see(func(x *control) bool { return x.sessions == sessions }), "the frozen daemon was asked again")
+	require.Eventually(t, func() bool { return c[1].check(func(x *control) bool { return x.sessions > 0 }) }, testTimeout, time.Millisecond)
+	time.Sleep(backOffDelay / 2)
+	require.True(t, c[0].check(func(x *control) bool { return x.sessions == sessions }), "the entry connected to the frozen daemon again")
 	c[1].set(func(x *control) { x.leads, x.leader = true, x.address })
-	require.Eventually(t, s.isAttached, patience, time.Millisecond)
+	require.Eventually(t, s.isAttached, testTimeout, time.Millisecond)
 }
 
-func TestLevelsAreReplacedOrBroughtUpToDate(t *testing.T) {
+func TestQuotaLevelsAreReplacedOrUpdated(t *testing.T) {
 	s := New(&settings.Settings{Routing: &settings.Routing{}}, zap.NewNop(), port.Holder{Name: "e"})
-	tell := func(set bool, levels map[string]float64) map[string]float64 {
-		s.takeLevels(&rpc.BrokerReply{QuotasSet: set, Quotas: work.EncodeLevels(levels)})
+	update := func(set bool, levels map[string]float64) map[string]float64 {
+		s.updateLevels(&rpc.BrokerReply{QuotasSet: set, Quotas: work.EncodeLevels(levels)})
 		return s.levels
 	}
-	require.Equal(t, map[string]float64{"a": 0.5, "b": 0.25}, tell(true, map[string]float64{"a": 0.5, "b": 0.25}))
-	require.Equal(t, map[string]float64{"a": 0.125, "b": 0.25}, tell(false, map[string]float64{"a": 0.125}))
-	require.Equal(t, map[string]float64{"b": 0.25}, tell(false, map[string]float64{"a": 1}), "its whole quota again")
-	require.Equal(t, map[string]float64{"c": 0.5}, tell(true, map[string]float64{"c": 0.5}))
-	require.Equal(t, map[string]float64{"c": 0.5}, tell(false, nil), "a heartbeat")
+	require.Equal(t, map[string]float64{"a": 0.5, "b": 0.25}, update(true, map[string]float64{"a": 0.5, "b": 0.25}))
+	require.Equal(t, map[string]float64{"a": 0.125, "b": 0.25}, update(false, map[string]float64{"a": 0.125}))
+	require.Equal(t, map[string]float64{"b": 0.25}, update(false, map[string]float64{"a": 1}), "the full quota again")
+	require.Equal(t, map[string]float64{"c": 0.5}, update(true, map[string]float64{"c": 0.5}))
+	require.Equal(t, map[string]float64{"c": 0.5}, update(false, nil), "a heartbeat")
 }
 
-// TestEntryThatFindsNoLeaderLooksElsewhereLessAndLess: entries that go from
-// daemon to daemon all the time keep a large fleet from electing a leader.
-func TestEntryThatFindsNoLeaderLooksElsewhereLessAndLess(t *testing.T) {
+// TestLeaderlessSessionsGetLonger guards against entries of a large deployment that change
+// daemons so often that the daemons can't elect a leader.
+func TestLeaderlessSessionsGetLonger(t *testing.T) {
 	s, c := newEntry(t, 2)
 	sessions := func() int {
 		sum := 0
@@ -268,73 +273,73 @@
 		}
 		return sum
 	}
-	time.Sleep(8 * idleLimit)
-	require.LessOrEqual(t, sessions(), 4, "300, 600 and 1,200 ms fill the time")
+	time.Sleep(8 * minLeaderlessTimeout)
+	require.LessOrEqual(t, sessions(), 4, "sessions of 300, 600 and 1,200 ms fill the time")
 	c[0].set(func(x *control) { x.leads, x.leader = true, x.address })
 	c[1].set(func(x *control) { x.leader = c[0].address })
-	require.Eventually(t, s.isAttached, patience, time.Millisecond)
+	require.Eventually(t, s.isAttached, testTimeout, time.Millisecond)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	require.Zero(t, s.leaderless)
+	require.Zero(t, s.leaderlessSessions)
 }
 
-// TestDaemonThatDoesNotAnswerIsLeftForALeader does not wait for its first
-// message once the view names the leader.
-func TestDaemonThatDoesNotAnswerIsLeftForALeader(t *testing.T) {
+// TestUnresponsiveDaemonIsLeftForNewLeader checks that an entry does not wait for the first
+// message of a daemon once the view names another leader.
+func TestUnresponsiveDaemonIsLeftForNewLeader(t *testing.T) {
 	s, c := newEntry(t, 2)
 	for _, x := range c {
 		x.set(func(x *control) { x.silent = true })
 	}
-	asked := func(x *control) bool { return x.sessions > 0 }
-	require.Eventually(t, func() bool { return c[0].see(asked) || c[1].see(asked) }, patience, time.Millisecond)
+	contacted := func(x *control) bool { return x.sessions > 0 }
+	require.Eventually(t, func() bool { return c[0].check(contacted) || c[1].check(contacted) }, testTimeout, time.Millisecond)
 	leader := c[0]
-	if leader.see(asked) {
+	if leader.check(contacted) {
 		leader = c[1]
 	}
 	leader.set(func(x *control) { x.leads, x.leader, x.silent = true, x.address, false })
-	began := time.Now()
-	s.view.(*view).hear(port.Leader{Address: leader.address, Term: 1})
-	require.Eventually(t, s.isAttached, patience, time.Millisecond)
-	require.Less(t, time.Since(began), firstSilence/2)
+	started := time.Now()
+	s.view.(*view).setLeader(port.Leader{Address: leader.address, Term: 1})
+	require.Eventually(t, s.isAttached, testTimeout, time.Millisecond)
+	require.Less(t, time.Since(started), connectTimeout/2)
 }
 
-// TestLeaderThatComesBackIsAskedAtOnce has the leader's sessions fail for a
-// moment; another daemon then names it again, in a newer term.
-func TestLeaderThatComesBackIsAskedAtOnce(t *testing.T) {
+// TestRecoveredLeaderIsUsedAtOnce lets the leader's session time out; another daemon then
+// names the same leader in a newer term.
+func TestRecoveredLeaderIsUsedAtOnce(t *testing.T) {
 	s, c := newEntry(t, 2)
 	for _, x := range c {
 		x.set(func(x *control) { x.leader, x.term = c[0].address, 1 })
 	}
 	c[0].set(func(x *control) { x.leads = true })
-	require.Eventually(t, s.isAttached, patience, time.Millisecond)
+	require.Eventually(t, s.isAttached, testTimeout, time.Millisecond)
 	c[0].set(func(x *control) { x.silent = true })
-	require.Eventually(t, func() bool { return !s.isAttached() }, patience, time.Millisecond)
-	began := time.Now()
+	require.Eventually(t, func() bool { return !s.isAttached() }, testTimeout, time.Millisecond)
+	started := time.Now()
 	c[0].set(func(x *control) { x.silent, x.term = false, 2 })
 	c[1].set(func(x *control) { x.term = 2 })
-	require.Eventually(t, s.isAttached, patience, time.Millisecond)
-	require.Less(t, time.Since(began), backOffTime/2)
+	require.Eventually(t, s.isAttached, testTimeout, time.Millisecond)
+	require.Less(t, time.Since(started), backOffDelay/2)
 }
 
-// TestDaemonsThatAreDownDoNotLengthenTheStay: an entry that starts before the
-// control daemons fails with them many times.
-func TestDaemonsThatAreDownDoNotLengthenTheStay(t *testing.T) {
+// TestFailedConnectionsDoNotLengthenLeaderlessTimeout covers an entry that starts before the
+// control daemons and fails to connect to them many times.
+func TestFailedConnectionsDoNotLengthenLeaderlessTimeout(t *testing.T) {
 	s, _ := newEntry(t, 0)
 	s.mu.Lock()
 	s.set.Replicas = append(s.set.Replicas, settings.Peer{Name: "down", Address: "127.0.0.1:1"})
 	s.mu.Unlock()
-	time.Sleep(10 * retryPause)
-	require.Equal(t, idleLimit, s.idle())
+	time.Sleep(10 * reconnectDelay)
+	require.Equal(t, minLeaderlessTimeout, s.leaderlessTimeout())
 }
 
-func TestEntrySaysHowOldItsRosterIs(t *testing.T) {
+func TestFirstMessageCarriesRosterAge(t *testing.T) {
 	s := New(&settings.Settings{Routing: &settings.Routing{}}, zap.NewNop(), port.Holder{Name: "e"})
-	require.Zero(t, s.hello().RosterAgeMs, "it has none")
-	early := New(&settings.Settings{Routing: &settings.Routing{}}, zap.NewNop(), port.Holder{Name: "f"})
-	require.NoError(t, early.take("a", &rpc.BrokerReply{Leads: true}, false))
-	require.Zero(t, early.hello().RosterAgeMs, "its turn for the whole has not come")
-	require.NoError(t, s.take("a", &rpc.BrokerReply{RosterSet: true, Roster: []*rpc.RosterEntry{{Id: "u", Pool: "p"}}}, false))
-	require.Zero(t, s.rosterAge(), "a daemon that does not lead may lack some of it")
-	require.NoError(t, s.take("a", &rpc.BrokerReply{Leads: true}, false))
-	require.Positive(t, s.hello().RosterAgeMs)
+	require.Zero(t, s.firstMessage().RosterAgeMs, "the entry has no roster")
+	partial := New(&settings.Settings{Routing: &settings.Routing{}}, zap.NewNop(), port.Holder{Name: "f"})
+	require.NoError(t, partial.handle("a", &rpc.BrokerReply{Leads: true}, false))
+	require.Zero(t, partial.firstMessage().RosterAgeMs, "the full roster has not arrived yet")
+	require.NoError(t, s.handle("a", &rpc.BrokerReply{RosterSet: true, Roster: []*rpc.RosterEntry{{Id: "u", Pool: "p"}}}, false))
+	require.Zero(t, s.rosterAge(), "the roster of a follower may lack changes")
+	require.NoError(t, s.handle("a", &rpc.BrokerReply{Leads: true}, false))
+	require.Positive(t, s.firstMessage().RosterAgeMs)
 }
