--- a/core/broker/broker.go
+++ b/core/broker/broker.go
@@ -238,6 +238,7 @@
 // SetShare sets the fraction of capacity and quotas that the broker may use.
 func (b *Broker) SetShare(share float64) { b.share = share }
 
+// pool returns a pool and creates it if necessary.
 func (b *Broker) pool(name string) *pool {
 	p := b.pools[name]
 	if p == nil {
@@ -295,11 +296,11 @@
 // charge takes the request's tokens from its workspace's bucket. If the bucket
 // holds too few, it returns how long it takes to refill and false.
 func (b *Broker) charge(now time.Duration, req *request) (time.Duration, bool) {
-	space := b.workspace(req.Workspace)
-	if req.Charge == 0 || space == nil {
+	workspace := b.workspace(req.Workspace)
+	if req.Charge == 0 || workspace == nil {
 		return 0, true
 	}
-	rate, burst := b.quota(space)
+	rate, burst := b.quota(workspace)
 	wait, ok := b.bucket(req.Workspace).Take(now, rate, burst, req.Reserve*burst, float64(req.Charge))
 	if ok {
 		req.chargedTokens = req.Charge
@@ -309,12 +310,13 @@
 
 // quota returns this broker's part of a workspace's quota: the rate in tokens per
 // second and the burst in tokens.
-func (b *Broker) quota(space *routes.Workspace) (rate, burst float64) {
-	rate = float64(space.TokensPerSecond) * min(1, b.share*localQuotaFactor)
-	burst = (float64(space.TokenBurst) + b.quotaSlackTokens*burstSlackFraction) * b.share
+func (b *Broker) quota(workspace *routes.Workspace) (rate, burst float64) {
+	rate = float64(workspace.TokensPerSecond) * min(1, b.share*localQuotaFactor)
+	burst = (float64(workspace.TokenBurst) + b.quotaSlackTokens*burstSlackFraction) * b.share
 	return rate, burst
 }
 
+// bucket returns the bucket of a workspace's quota and creates it if necessary.
 func (b *Broker) bucket(workspace string) *limits.Bucket {
 	bucket := b.buckets[workspace]
 	if bucket == nil {
@@ -333,11 +335,11 @@
 func (b *Broker) Levels(now time.Duration) map[string]float64 {
 	out := map[string]float64{}
 	for name, bucket := range b.buckets {
-		space := b.workspace(name)
-		if space == nil {
+		workspace := b.workspace(name)
+		if workspace == nil {
 			continue
 		}
-		rate, burst := b.quota(space)
+		rate, burst := b.quota(workspace)
 		if left := bucket.Level(now, rate, burst) / burst; left < nearlyFullLevel {
 			out[name] = left
 		}
@@ -349,8 +351,8 @@
 // change of brokers does not grant a second burst.
 func (b *Broker) Lower(now time.Duration, levels map[string]float64) {
 	for name, left := range levels {
-		if space := b.workspace(name); space != nil {
-			rate, burst := b.quota(space)
+		if workspace := b.workspace(name); workspace != nil {
+			rate, burst := b.quota(workspace)
 			b.bucket(name).Lower(now, rate, burst, left*burst)
 		}
 	}
@@ -364,11 +366,11 @@
 	if b.table == nil {
 		return nil
 	}
-	space := b.table.WorkspaceNamed(name)
-	if space == nil || space.TokensPerSecond == 0 {
+	workspace := b.table.WorkspaceNamed(name)
+	if workspace == nil || workspace.TokensPerSecond == 0 {
 		return nil
 	}
-	return space
+	return workspace
 }
 
 // refund returns the tokens of a request that did not run to its workspace's quota.
