--- a/core/claims/claims.go
+++ b/core/claims/claims.go
@@ -1,20 +1,21 @@
-// Package claims decides the path of one request, from its arrival at an entry
-// to the end of its answer.
+// Package claims implements the lifecycle of one request at an entry as a state
+// machine, from its arrival to the end of its answer. The entry drives it and
+// executes the effects that it returns.
 //
-// A Machine is pure: each Step takes what happened and returns what to do, at
-// most one thing of which is awaited and answered by the next event.
+// A Machine is pure: each Step takes an event and returns effects, at most one
+// of which is awaited and answered by the next event.
 // Invariants: a request is sent at most once, a keyed one only after its claim
 // is committed; a granted slot is released exactly once; the request ends
-// exactly once; it ends as not run only where nothing was sent under its key
-// and nothing will be; it ends whole only at the explicit end of its stream.
+// exactly once; it ends as not run only if nothing was sent under its key and
+// nothing will be; it completes only at the explicit end of its stream.
 package claims
 
 import "github.com/verbenastep/verbenastep/core/state"
 
-// State is how far a request has come.
+// State is the stage of a request's lifecycle.
 type State string
 
-// States.
+// States of a Machine.
 const (
 	New       State = "new"
 	Joining   State = "joining"
@@ -30,94 +31,102 @@
 )
 
 const (
-	// ResumeTries bounds new connections for one stream without progress.
+	// ResumeTries bounds consecutive resume attempts of one stream that bring no
+	// progress.
 	ResumeTries = 5
-	// FetchTries bounds calls on the entry that holds an answer, without
-	// progress, before it counts as gone.
+	// FetchTries bounds consecutive calls without progress to the entry that
+	// holds an answer, before that entry is considered gone.
 	FetchTries = 3
 )
 
-// Request is what the decisions depend on.
+// Request describes the request that a Machine handles.
 type Request struct {
 	Workspace string
 	Key       string
-	// Keyed says that the key is the caller's own, so that it is claimed.
+	// Keyed is set if the caller supplied the key; the request is claimed in the
+	// log before it is sent.
 	Keyed bool
-	// Join says that a claim is only followed: nothing is dispatched.
+	// Join is set if the machine only follows an existing claim and dispatches
+	// nothing.
 	Join bool
-	// Plain says that a plain service is called, which can't be resumed.
+	// Plain is set for a call to a plain service, whose reply can't be resumed.
 	Plain  bool
 	Digest string
 	Pool   string
 	// Known is the newest attempt under the key that the entry knew to be marked
-	// as not run when it accepted the request; zero for none. Only what came
-	// after such a mark may run as the next attempt.
+	// as not run when it accepted the request; zero for none. Only a request
+	// accepted after such a mark may run as the next attempt.
 	Known uint64
-	// Stream names the only dispatch that this machine makes.
+	// Stream identifies the only dispatch that this machine makes.
 	Stream string
-	// Entry is the peers' address of the entry that runs the machine.
+	// Entry is the peer address of the entry that runs the machine.
 	Entry string
 }
 
-// Machine is one request's path. It is not safe for concurrent use.
+// Machine tracks the lifecycle of one request. It is not safe for concurrent
+// use.
 type Machine struct {
 	request Request
 	state   State
 	attempt uint64
-	// stream and address name what is followed: the own dispatch or another's.
+	// stream, address and owner identify the dispatch being followed: this
+	// machine's own or another entry's.
 	stream  string
 	address string
 	owner   string
-	// upstream is the granted one; held says that its slot is not released.
-	upstream string
-	held     bool
-	// own says that this machine's claim stands, and its end is to be recorded.
-	own    bool
-	claim  state.Claim
-	length int64
-	tries  int
-	// moving says that a move to another upstream was tried.
-	moving bool
-	// refusal is what a keyed request is refused with once its key is marked.
-	refusal Failure
+	// upstream is the granted one; holdsSlot is set until its slot is released.
+	upstream  string
+	holdsSlot bool
+	// ownsClaim is set while this machine must record the end of the claim.
+	ownsClaim      bool
+	claim          state.Claim
+	received       int64
+	failedAttempts int
+	// moveAttempted is set once a move to another engine was requested; there is
+	// no second one.
+	moveAttempted bool
+	// pendingFailure is the failure that a keyed request ends with once its key
+	// is marked as not run.
+	pendingFailure Failure
 }
 
-// NewMachine returns a machine that waits for Begin.
+// NewMachine returns a machine in state New, which expects Begin.
 func NewMachine(r Request) *Machine {
 	return &Machine{request: r, state: New, attempt: 1}
 }
 
-// State returns how far the request has come.
+// State returns the current state.
 func (m *Machine) State() State { return m.state }
 
-// Step takes one event. Events that do not fit the state change nothing.
+// Step handles one event and returns the effects to execute, in order. Events
+// that are not expected in the current state change nothing and return none.
 func (m *Machine) Step(e Event) []Effect {
 	switch m.state {
 	case New:
-		return m.begin(e)
+		return m.handleNew(e)
 	case Joining:
-		return m.joining(e)
+		return m.handleJoining(e)
 	case Queued:
-		return m.queued(e)
+		return m.handleQueued(e)
 	case Granted:
-		return m.granted(e)
+		return m.handleGranted(e)
 	case Claiming:
-		return m.claiming(e)
+		return m.handleClaiming(e)
 	case Claimed:
-		return m.sending(e)
+		return m.handleClaimed(e)
 	case Streaming:
-		return m.streaming(e)
+		return m.handleStreaming(e)
 	case Resuming:
-		return m.resuming(e)
+		return m.handleResuming(e)
 	case Fetching:
-		return m.fetching(e)
+		return m.handleFetching(e)
 	case Refusing:
-		return m.refusing(e)
+		return m.handleRefusing(e)
 	}
 	return nil
 }
 
-func (m *Machine) begin(e Event) []Effect {
+func (m *Machine) handleNew(e Event) []Effect {
 	if e.Kind != Begin {
 		return nil
 	}
@@ -129,7 +138,7 @@
 	return []Effect{{Kind: Acquire}}
 }
 
-func (m *Machine) joining(e Event) []Effect {
+func (m *Machine) handleJoining(e Event) []Effect {
 	switch e.Kind {
 	case NotFound:
 		return m.enqueue()
@@ -142,7 +151,7 @@
 	return nil
 }
 
-// join follows a claim that stands under the request's key.
+// join handles a claim that already exists on the request's key.
 func (m *Machine) join(c state.Claim) []Effect {
 	switch {
 	case c.Digest != m.request.Digest:
@@ -151,15 +160,15 @@
 		m.attempt = max(c.Attempt, 1) + 1
 		return m.enqueue()
 	case c.NotRun:
-		return m.marked(c)
+		return m.failRefusedBefore(c)
 	}
 	return m.follow(c)
 }
 
-// marked ends a request whose key another entry marked as not run, perhaps
-// after this one was accepted.
-func (m *Machine) marked(c state.Claim) []Effect {
-	out := append(m.release(SlotNotSent), Effect{Kind: Remember, Claim: c})
+// failRefusedBefore ends a request whose key another entry marked as not run,
+// possibly after this request was accepted.
+func (m *Machine) failRefusedBefore(c state.Claim) []Effect {
+	out := append(m.releaseSlot(SlotNotSent), Effect{Kind: Remember, Claim: c})
 	return append(out, m.fail(Failure{Code: RefusedBefore, Ran: NotRun})...)
 }
 
@@ -171,7 +180,7 @@
 	return []Effect{{Kind: Acquire}}
 }
 
-// follow takes the answer of a dispatch that another machine made.
+// follow reads the answer of a dispatch that another machine made.
 func (m *Machine) follow(c state.Claim) []Effect {
 	m.claim = c
 	m.stream = c.Stream
@@ -185,19 +194,19 @@
 		m.state = Ended
 		return []Effect{begun, {Kind: Recorded, Claim: c}}
 	case c.Entry == m.request.Entry:
-		return append([]Effect{begun}, m.ownerGone()...)
+		return append([]Effect{begun}, m.adoptOrphaned()...)
 	}
 	m.state = Fetching
 	return []Effect{begun, {Kind: Fetch, Address: c.Entry, Stream: c.Stream}}
 }
 
-func (m *Machine) queued(e Event) []Effect {
+func (m *Machine) handleQueued(e Event) []Effect {
 	switch e.Kind {
 	case GrantGiven:
 		m.state = Granted
 		m.upstream = e.Upstream
 		m.address = e.Address
-		m.held = true
+		m.holdsSlot = true
 		return []Effect{{Kind: Dial, Address: e.Address}}
 	case Refused, Failed:
 		return m.refuse(Failure{Code: Refusal, Ran: NotRun})
@@ -209,52 +218,53 @@
 	return nil
 }
 
-// refuse ends a request that sent nothing. A keyed one marks its key first, so
-// that no other entry that has the same request runs it afterwards.
+// refuse ends a request of which nothing was sent. For a keyed request it first
+// marks the key as not run, so that no other entry that holds the same request
+// runs it afterwards.
 func (m *Machine) refuse(f Failure) []Effect {
-	out := m.release(SlotNotSent)
+	out := m.releaseSlot(SlotNotSent)
 	if !m.request.Keyed {
 		return append(out, m.fail(f)...)
 	}
 	m.state = Refusing
-	m.refusal = f
-	mark := m.proposal()
+	m.pendingFailure = f
+	mark := m.claimProposal()
 	mark.Done = true
 	mark.NotRun = true
 	return append(out, Effect{Kind: Propose, Claim: mark, Last: true})
 }
 
-func (m *Machine) refusing(e Event) []Effect {
+func (m *Machine) handleRefusing(e Event) []Effect {
 	switch e.Kind {
 	case ClaimMade:
-		return append([]Effect{{Kind: Remember, Claim: m.proposal()}}, m.fail(m.refusal)...)
+		return append([]Effect{{Kind: Remember, Claim: m.claimProposal()}}, m.fail(m.pendingFailure)...)
 	case ClaimExists:
 		if e.Claim.NotRun {
-			return m.marked(e.Claim)
+			return m.failRefusedBefore(e.Claim)
 		}
 		return m.follow(e.Claim)
 	case ClaimConflict:
 		return m.fail(Failure{Code: KeyConflict, Ran: NotRun})
 	case ClaimLost, Failed, Canceled, Expired:
-		f := m.refusal
+		f := m.pendingFailure
 		f.Ran = MayHaveRun
 		return m.fail(f)
 	}
 	return nil
 }
 
-func (m *Machine) granted(e Event) []Effect {
+func (m *Machine) handleGranted(e Event) []Effect {
 	switch e.Kind {
 	case Connected:
 		m.stream = m.request.Stream
 		if !m.request.Keyed {
-			return m.send()
+			return m.dispatch()
 		}
 		m.state = Claiming
-		return []Effect{{Kind: Propose, Claim: m.proposal()}}
+		return []Effect{{Kind: Propose, Claim: m.claimProposal()}}
 	case Unreachable:
 		m.state = Queued
-		return append(m.release(SlotNotSent), Effect{Kind: Acquire, Pause: true})
+		return append(m.releaseSlot(SlotNotSent), Effect{Kind: Acquire, Pause: true})
 	case Canceled:
 		return m.refuse(Failure{Code: CallerGone, Ran: NotRun})
 	case Expired:
@@ -263,7 +273,7 @@
 	return nil
 }
 
-func (m *Machine) proposal() state.Claim {
+func (m *Machine) claimProposal() state.Claim {
 	r := m.request
 	return state.Claim{
 		Workspace: r.Workspace, Key: r.Key, Digest: r.Digest, Entry: r.Entry, Pool: r.Pool,
@@ -271,120 +281,123 @@
 	}
 }
 
-func (m *Machine) send() []Effect {
+func (m *Machine) dispatch() []Effect {
 	m.state = Claimed
 	return []Effect{{Kind: Dispatched, Stream: m.stream}, {Kind: Send, Stream: m.stream}}
 }
 
-func (m *Machine) claiming(e Event) []Effect {
+func (m *Machine) handleClaiming(e Event) []Effect {
 	switch e.Kind {
 	case ClaimMade:
-		m.own = true
-		return m.send()
+		m.ownsClaim = true
+		return m.dispatch()
 	case ClaimExists:
 		if e.Claim.NotRun {
-			return m.marked(e.Claim)
+			return m.failRefusedBefore(e.Claim)
 		}
-		return append(m.release(SlotNotSent), m.follow(e.Claim)...)
+		return append(m.releaseSlot(SlotNotSent), m.follow(e.Claim)...)
 	case ClaimConflict:
-		return append(m.release(SlotNotSent), m.fail(Failure{Code: KeyConflict, Ran: NotRun})...)
+		return append(m.releaseSlot(SlotNotSent), m.fail(Failure{Code: KeyConflict, Ran: NotRun})...)
 	case ClaimLost:
-		// The same stream again: the log answers as it answered the first.
-		return []Effect{{Kind: Propose, Claim: m.proposal(), Pause: true}}
+		// A proposal of the same stream is idempotent: the log returns the result
+		// of the first one.
+		return []Effect{{Kind: Propose, Claim: m.claimProposal(), Pause: true}}
 	case Failed, Canceled, Expired:
-		// Whether the claim stands is not known. Nothing was sent under it, so
-		// it is settled in the background as not run.
-		out := append(m.release(SlotNotSent), Effect{Kind: Settle, Claim: m.proposal()})
+		// Whether the claim was committed is not known. Nothing was sent under
+		// it, so it is marked as not run in the background.
+		out := append(m.releaseSlot(SlotNotSent), Effect{Kind: Settle, Claim: m.claimProposal()})
 		return append(out, m.fail(Failure{Code: NoLog, Ran: MayHaveRun})...)
 	}
 	return nil
 }
 
-func (m *Machine) sending(e Event) []Effect {
+func (m *Machine) handleClaimed(e Event) []Effect {
 	switch e.Kind {
 	case Started:
 		m.state = Streaming
 		return []Effect{{Kind: Receive}}
 	case Replied:
-		m.length = e.Length
-		return m.whole()
+		m.received = e.Length
+		return m.complete()
 	case NothingSent:
-		out := append(m.release(SlotNotSent), m.finish(state.Finish{NotRun: true})...)
-		out = append(out, Effect{Kind: Remember, Claim: m.proposal()})
+		out := append(m.releaseSlot(SlotNotSent), m.finishClaim(state.Finish{NotRun: true})...)
+		out = append(out, Effect{Kind: Remember, Claim: m.claimProposal()})
 		return append(out, m.fail(Failure{Code: NotSent, Ran: NotRun})...)
 	case Rejected:
-		// The request left, so its key is used up, and only the upstream's word
-		// stands for its not having run.
-		out := append(m.release(SlotNotSent), m.finish(state.Finish{Unknown: true})...)
+		// The request was sent, so its key can't be used again. Only the upstream
+		// states that it did not run, which is no proof.
+		out := append(m.releaseSlot(SlotNotSent), m.finishClaim(state.Finish{Unknown: true})...)
 		return append(out, m.fail(Failure{Code: UpstreamRefused, Ran: MayHaveRun})...)
 	case SendBroken:
 		if m.request.Plain {
-			return m.unknown()
+			return m.failUnknown()
 		}
 		m.state = Resuming
 		return []Effect{{Kind: Resume, Address: m.address, Stream: m.stream}}
 	case Canceled:
-		return m.canceled(Failure{Code: CallerGone, Ran: MayHaveRun})
+		return m.abort(Failure{Code: CallerGone, Ran: MayHaveRun})
 	case Expired:
-		return m.canceled(Failure{Code: TooLate, Ran: MayHaveRun})
+		return m.abort(Failure{Code: TooLate, Ran: MayHaveRun})
 	}
 	return nil
 }
 
-func (m *Machine) streaming(e Event) []Effect {
+func (m *Machine) handleStreaming(e Event) []Effect {
 	switch e.Kind {
 	case FrameRead:
-		return m.frame(e.Frame)
+		return m.handleFrame(e.Frame)
 	case Broken:
 		return m.retry()
 	case Moved:
-		// What the old engine still sends is read to its end; from there on the
-		// stream is resumed at the new one.
+		// Frames that the old engine still sends are read until its connection
+		// ends; the stream is then resumed at the new engine.
 		m.address = e.Address
 		return []Effect{{Kind: Receive}}
 	case MoveFailed:
 		return []Effect{{Kind: Receive}}
 	case Canceled:
-		return m.canceled(Failure{Code: CallerGone, Ran: DidRun})
+		return m.abort(Failure{Code: CallerGone, Ran: DidRun})
 	case Expired:
-		return m.canceled(Failure{Code: TooLate, Ran: DidRun})
+		return m.abort(Failure{Code: TooLate, Ran: DidRun})
 	}
 	return nil
 }
 
-// frame takes a piece only where it continues this stream at this offset.
-func (m *Machine) frame(f Frame) []Effect {
-	if f.Stream != m.stream || f.Offset != m.length || f.Length < 0 {
+// handleFrame accepts a frame only if it continues this stream at the current
+// offset; any other frame makes the stream resume over a new connection.
+func (m *Machine) handleFrame(f Frame) []Effect {
+	if f.Stream != m.stream || f.Offset != m.received || f.Length < 0 {
 		return m.retry()
 	}
 	if f.Error != "" {
-		return m.upstreamFailed(f)
+		return m.failUpstream(f)
 	}
 	if f.Length > 0 {
-		m.tries = 0
+		m.failedAttempts = 0
 	}
-	m.length += f.Length
+	m.received += f.Length
 	out := []Effect{{Kind: Deliver}}
 	if f.End {
-		return append(out, m.whole()...)
+		return append(out, m.complete()...)
 	}
-	if f.Leaving && m.held && !m.moving {
-		m.moving = true
+	if f.Leaving && m.holdsSlot && !m.moveAttempted {
+		m.moveAttempted = true
 		return append(out, Effect{Kind: Move, Address: m.address, Stream: m.stream})
 	}
 	return append(out, Effect{Kind: Receive})
 }
 
-func (m *Machine) upstreamFailed(f Frame) []Effect {
-	out := append(m.release(SlotBroken), m.finish(state.Finish{Unknown: true})...)
+func (m *Machine) failUpstream(f Frame) []Effect {
+	out := append(m.releaseSlot(SlotBroken), m.finishClaim(state.Finish{Unknown: true})...)
 	return append(out, m.fail(Failure{Code: UpstreamFailed, Ran: DidRun, Detail: f.Error})...)
 }
 
-// whole ends the request with its complete answer. A plain service's reply is
-// recorded before the caller has it, because nobody could get it again.
-func (m *Machine) whole() []Effect {
-	out := m.release(SlotDone)
-	record := m.finish(state.Finish{Length: m.length})
+// complete ends the request with its complete answer. A plain service's reply is
+// recorded before it is delivered to the caller, because it can't be fetched
+// again.
+func (m *Machine) complete() []Effect {
+	out := m.releaseSlot(SlotDone)
+	record := m.finishClaim(state.Finish{Length: m.received})
 	end := Effect{Kind: End}
 	m.state = Ended
 	if m.request.Plain {
@@ -393,18 +406,19 @@
 	return append(append(out, end), record...)
 }
 
-// retry retires the connection and goes on over a new one, within bounds.
+// retry closes the connection and resumes the stream over a new one. After
+// ResumeTries attempts without progress the outcome is unknown.
 func (m *Machine) retry() []Effect {
-	m.tries++
+	m.failedAttempts++
 	retire := Effect{Kind: Retire}
-	if m.tries > ResumeTries {
-		return append([]Effect{retire}, m.unknown()...)
+	if m.failedAttempts > ResumeTries {
+		return append([]Effect{retire}, m.failUnknown()...)
 	}
 	m.state = Resuming
-	return []Effect{retire, {Kind: Resume, Address: m.address, Stream: m.stream, Offset: m.length, Pause: m.tries > 1}}
+	return []Effect{retire, {Kind: Resume, Address: m.address, Stream: m.stream, Offset: m.received, Pause: m.failedAttempts > 1}}
 }
 
-func (m *Machine) resuming(e Event) []Effect {
+func (m *Machine) handleResuming(e Event) []Effect {
 	switch e.Kind {
 	case Started:
 		m.state = Streaming
@@ -412,14 +426,14 @@
 	case Broken, Unreachable, Rejected, SendBroken, NothingSent:
 		return m.retry()
 	case Canceled:
-		return m.canceled(Failure{Code: CallerGone, Ran: MayHaveRun})
+		return m.abort(Failure{Code: CallerGone, Ran: MayHaveRun})
 	case Expired:
-		return m.canceled(Failure{Code: TooLate, Ran: MayHaveRun})
+		return m.abort(Failure{Code: TooLate, Ran: MayHaveRun})
 	}
 	return nil
 }
 
-func (m *Machine) fetching(e Event) []Effect {
+func (m *Machine) handleFetching(e Event) []Effect {
 	switch e.Kind {
 	case Fetched:
 		m.state = Ended
@@ -427,18 +441,18 @@
 	case FetchFailed:
 		return m.fail(Failure{Code: OwnersFailure})
 	case FetchBroken:
-		m.tries++
-		if e.Length > m.length {
-			m.tries = 0
+		m.failedAttempts++
+		if e.Length > m.received {
+			m.failedAttempts = 0
 		}
-		m.length = max(m.length, e.Length)
-		if m.tries < FetchTries {
-			return []Effect{{Kind: Fetch, Address: m.owner, Stream: m.stream, Offset: m.length, Pause: true}}
+		m.received = max(m.received, e.Length)
+		if m.failedAttempts < FetchTries {
+			return []Effect{{Kind: Fetch, Address: m.owner, Stream: m.stream, Offset: m.received, Pause: true}}
 		}
-		return m.ownerGone()
+		return m.adoptOrphaned()
 	case FetchUnheld, OwnerDead:
-		m.length = max(m.length, e.Length)
-		return m.ownerGone()
+		m.received = max(m.received, e.Length)
+		return m.adoptOrphaned()
 	case Canceled:
 		return m.fail(Failure{Code: CallerGone, Ran: MayHaveRun})
 	case Expired:
@@ -447,56 +461,57 @@
 	return nil
 }
 
-// ownerGone goes on without the entry that dispatched the request: an engine
-// resumes its stream, a plain service's outcome stays unknown.
-func (m *Machine) ownerGone() []Effect {
-	m.tries = 0
+// adoptOrphaned continues a request whose dispatching entry is gone: an engine's
+// stream is resumed, the outcome of a plain service's call is unknown.
+func (m *Machine) adoptOrphaned() []Effect {
+	m.failedAttempts = 0
 	if !m.request.Plain {
-		m.own = !m.claim.Done
+		m.ownsClaim = !m.claim.Done
 		m.state = Resuming
-		return []Effect{{Kind: Resume, Address: m.address, Stream: m.stream, Offset: m.length}}
+		return []Effect{{Kind: Resume, Address: m.address, Stream: m.stream, Offset: m.received}}
 	}
 	if m.claim.Done {
 		return m.fail(Failure{Code: AnswerLost, Ran: DidRun})
 	}
-	m.own = true
-	return m.unknown()
+	m.ownsClaim = true
+	return m.failUnknown()
 }
 
-// unknown ends a dispatch of which nobody can tell how it ended.
-func (m *Machine) unknown() []Effect {
-	out := append(m.release(SlotBroken), m.finish(state.Finish{Unknown: true})...)
+// failUnknown ends a request whose outcome can't be determined.
+func (m *Machine) failUnknown() []Effect {
+	out := append(m.releaseSlot(SlotBroken), m.finishClaim(state.Finish{Unknown: true})...)
 	return append(out, m.fail(Failure{Code: OutcomeUnknown, Ran: MayHaveRun})...)
 }
 
-func (m *Machine) canceled(f Failure) []Effect {
+func (m *Machine) abort(f Failure) []Effect {
 	out := []Effect{{Kind: Retire}}
 	if m.stream != m.request.Stream {
-		// Another's dispatch goes on without this reader.
+		// The dispatch belongs to another entry and continues without this reader.
 		return append(out, m.fail(f)...)
 	}
 	if !m.request.Plain {
 		out = append(out, Effect{Kind: Cancel, Address: m.address, Stream: m.stream})
 	}
-	out = append(out, m.release(SlotCanceled)...)
-	out = append(out, m.finish(state.Finish{Unknown: true})...)
+	out = append(out, m.releaseSlot(SlotCanceled)...)
+	out = append(out, m.finishClaim(state.Finish{Unknown: true})...)
 	return append(out, m.fail(f)...)
 }
 
-func (m *Machine) release(s Slot) []Effect {
-	if !m.held {
+func (m *Machine) releaseSlot(s Slot) []Effect {
+	if !m.holdsSlot {
 		return nil
 	}
-	m.held = false
+	m.holdsSlot = false
 	return []Effect{{Kind: Release, Slot: s}}
 }
 
-// finish records the end of a claim; the shell adds the reply's content.
-func (m *Machine) finish(f state.Finish) []Effect {
-	if !m.own {
+// finishClaim records the end of a claim that this machine owns; the caller of
+// Step adds the reply's content.
+func (m *Machine) finishClaim(f state.Finish) []Effect {
+	if !m.ownsClaim {
 		return nil
 	}
-	m.own = false
+	m.ownsClaim = false
 	f.Workspace = m.request.Workspace
 	f.Key = m.request.Key
 	f.Stream = m.stream
--- a/core/claims/claims_test.go
+++ b/core/claims/claims_test.go
@@ -9,47 +9,48 @@
 	"github.com/verbenastep/verbenastep/core/state"
 )
 
-// allEvents is every kind, so that each fault meets each step.
+// allEvents lists every event kind.
 var allEvents = []EventKind{
 	Begin, Found, NotFound, GrantGiven, Refused, Connected, Unreachable, ClaimMade, ClaimExists, ClaimConflict,
 	ClaimLost, Started, Replied, NothingSent, Rejected, SendBroken, FrameRead, Broken, Moved, MoveFailed, Fetched, FetchFailed,
 	FetchBroken, FetchUnheld, OwnerDead, Canceled, Expired, Failed,
 }
 
-// tally watches the invariants over one request's effects.
-type tally struct {
-	sent, granted, released, ended int
-	claimed, whole, reached        bool
-	failure                        Failure
+// invariantChecker counts events and effects of one request and checks the
+// machine's invariants.
+type invariantChecker struct {
+	sends, grants, releases, ends        int
+	hasClaim, completed, reachedUpstream bool
+	failure                              Failure
 }
 
-func (c *tally) event(e Event) {
+func (c *invariantChecker) observeEvent(e Event) {
 	switch e.Kind {
 	case GrantGiven:
-		c.granted++
+		c.grants++
 	case ClaimMade:
-		c.claimed = true
+		c.hasClaim = true
 	case Started, Replied, SendBroken, Rejected:
-		c.reached = true
+		c.reachedUpstream = true
 	}
 }
 
-func (c *tally) effects(t require.TestingT, keyed bool, out []Effect) (awaited int) {
+func (c *invariantChecker) observeEffects(t require.TestingT, keyed bool, out []Effect) (awaited int) {
 	for _, e := range out {
 		if e.Awaited() {
 			awaited++
 		}
 		switch e.Kind {
 		case Send:
-			c.sent++
-			require.True(t, !keyed || c.claimed, "a keyed request is sent only after its claim")
+			c.sends++
+			require.True(t, !keyed || c.hasClaim, "a keyed request is sent only after its claim")
 		case Release:
-			c.released++
+			c.releases++
 		case End, Recorded:
-			c.ended++
-			c.whole = true
+			c.ends++
+			c.completed = true
 		case Fail:
-			c.ended++
+			c.ends++
 			c.failure = e.Failure
 		}
 	}
@@ -60,7 +61,7 @@
 	kind := rapid.SampledFrom(allEvents).Draw(t, "event")
 	f := Frame{
 		Stream: rapid.SampledFrom([]string{"own", "other", "crossed"}).Draw(t, "stream"),
-		Offset: m.length + rapid.SampledFrom([]int64{0, 0, 0, 1, -1}).Draw(t, "shift"),
+		Offset: m.received + rapid.SampledFrom([]int64{0, 0, 0, 1, -1}).Draw(t, "shift"),
 		Length: rapid.Int64Range(0, 3).Draw(t, "length"),
 		End:    rapid.Bool().Draw(t, "end"), Leaving: rapid.Bool().Draw(t, "leaving"),
 	}
@@ -70,16 +71,17 @@
 		Done:  rapid.Bool().Draw(t, "done"), Length: rapid.Int64Range(0, 1).Draw(t, "held"),
 		NotRun: rapid.Bool().Draw(t, "notrun"), Unknown: rapid.Bool().Draw(t, "unknown"),
 	}
-	return Event{Kind: kind, Upstream: "u", Address: "a", Claim: c, Frame: f, Length: m.length}
+	return Event{Kind: kind, Upstream: "u", Address: "a", Claim: c, Frame: f, Length: m.received}
 }
 
-// TestEveryFaultAtEveryStep walks the machine with any event at any step.
+// TestEveryFaultAtEveryStep sends random sequences of all event kinds to the
+// machine and checks its invariants after each step.
 func TestEveryFaultAtEveryStep(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := Request{Workspace: "w", Key: "k", Digest: "d", Stream: "own", Entry: "self", Keyed: rapid.Bool().Draw(t, "keyed"), Join: rapid.Bool().Draw(t, "join"), Plain: rapid.Bool().Draw(t, "plain")}
 		m := NewMachine(r)
-		seen := tally{}
-		require.Equal(t, 1, seen.effects(t, r.Keyed, m.Step(Event{Kind: Begin})))
+		seen := invariantChecker{}
+		require.Equal(t, 1, seen.observeEffects(t, r.Keyed, m.Step(Event{Kind: Begin})))
 		for range 60 {
 			if m.State() == Ended {
 				break
@@ -91,25 +93,26 @@
 				require.Equal(t, before, m.State(), "an event that does not fit changes nothing")
 				continue
 			}
-			seen.event(e)
-			awaited := seen.effects(t, r.Keyed, out)
+			seen.observeEvent(e)
+			awaited := seen.observeEffects(t, r.Keyed, out)
 			require.Equal(t, m.State() != Ended, awaited == 1, "one effect is awaited until the end: %s then %v", e.Kind, out)
 		}
-		require.LessOrEqual(t, seen.sent, 1)
-		require.LessOrEqual(t, seen.released, seen.granted)
+		require.LessOrEqual(t, seen.sends, 1)
+		require.LessOrEqual(t, seen.releases, seen.grants)
 		if m.State() != Ended {
 			return
 		}
-		require.Equal(t, 1, seen.ended)
-		require.Equal(t, seen.granted, seen.released)
+		require.Equal(t, 1, seen.ends)
+		require.Equal(t, seen.grants, seen.releases)
 		if seen.failure.Ran == NotRun {
-			require.False(t, seen.reached, "not run after the upstream was reached")
+			require.False(t, seen.reachedUpstream, "not run after the upstream was reached")
 		}
 	})
 }
 
-// walk feeds events and returns the last step's effects.
-func walk(m *Machine, events ...Event) []Effect {
+// runEvents starts the machine, passes it the events and returns the effects of the
+// last one.
+func runEvents(m *Machine, events ...Event) []Effect {
 	out := m.Step(Event{Kind: Begin})
 	for _, e := range events {
 		out = m.Step(e)
@@ -125,50 +128,51 @@
 	return out
 }
 
-func keyed(plain bool) *Machine {
+func newKeyedMachine(plain bool) *Machine {
 	return NewMachine(Request{Workspace: "w", Key: "k", Digest: "d", Stream: "own", Entry: "self", Keyed: true, Plain: plain})
 }
 
 var (
-	grant     = Event{Kind: GrantGiven, Upstream: "u", Address: "a"}
-	connected = Event{Kind: Connected}
+	grantReceived = Event{Kind: GrantGiven, Upstream: "u", Address: "a"}
+	connected     = Event{Kind: Connected}
 )
 
-func TestPaths(t *testing.T) {
+func TestEffectsAfterEventSequences(t *testing.T) {
 	missing := Event{Kind: NotFound}
 	peers := state.Claim{Digest: "d", Stream: "other", Entry: "peer", Address: "b"}
 	cases := []struct {
 		name   string
 		plain  bool
 		events []Event
-		want   []EffectKind
-		code   Code
-		ran    Ran
+		// want lists the effects of the last event.
+		want []EffectKind
+		code Code
+		ran  Ran
 	}{
-		{"whole stream", false, []Event{missing, grant, connected, {Kind: ClaimMade}, {Kind: Started}, {Kind: FrameRead, Frame: Frame{Stream: "own", Length: 2, End: true}}}, []EffectKind{Deliver, Release, End, Finish}, "", ""},
-		{"end at a wrong offset", false, []Event{missing, grant, connected, {Kind: ClaimMade}, {Kind: Started}, {Kind: FrameRead, Frame: Frame{Stream: "own", Offset: 5, End: true}}}, []EffectKind{Retire, Resume}, "", ""},
-		{"leaving engine", false, []Event{missing, grant, connected, {Kind: ClaimMade}, {Kind: Started}, {Kind: FrameRead, Frame: Frame{Stream: "own", Leaving: true}}}, []EffectKind{Deliver, Move}, "", ""},
-		{"moved", false, []Event{missing, grant, connected, {Kind: ClaimMade}, {Kind: Started}, {Kind: FrameRead, Frame: Frame{Stream: "own", Leaving: true}}, {Kind: Moved, Address: "b"}, {Kind: Broken}}, []EffectKind{Retire, Resume}, "", ""},
-		{"moved only once", false, []Event{missing, grant, connected, {Kind: ClaimMade}, {Kind: Started}, {Kind: FrameRead, Frame: Frame{Stream: "own", Leaving: true}}, {Kind: MoveFailed}, {Kind: FrameRead, Frame: Frame{Stream: "own", Leaving: true}}}, []EffectKind{Deliver, Receive}, "", ""},
-		{"crossed frame", false, []Event{missing, grant, connected, {Kind: ClaimMade}, {Kind: Started}, {Kind: FrameRead, Frame: Frame{Stream: "x", Length: 2}}}, []EffectKind{Retire, Resume}, "", ""},
-		{"lost claim is proposed again", false, []Event{missing, grant, connected, {Kind: ClaimLost}}, []EffectKind{Propose}, "", ""},
-		{"lost claim until the deadline", false, []Event{missing, grant, connected, {Kind: ClaimLost}, {Kind: Expired}}, []EffectKind{Release, Settle, Fail}, NoLog, MayHaveRun},
-		{"nothing sent after the claim", true, []Event{missing, grant, connected, {Kind: ClaimMade}, {Kind: NothingSent}}, []EffectKind{Release, Finish, Remember, Fail}, NotSent, NotRun},
-		{"runner refuses the start", false, []Event{missing, grant, connected, {Kind: ClaimMade}, {Kind: Rejected}}, []EffectKind{Release, Finish, Fail}, UpstreamRefused, MayHaveRun},
-		{"plain service breaks", true, []Event{missing, grant, connected, {Kind: ClaimMade}, {Kind: SendBroken}}, []EffectKind{Release, Finish, Fail}, OutcomeUnknown, MayHaveRun},
-		{"owner is asked", true, []Event{{Kind: Found, Claim: peers}}, []EffectKind{Dispatched, Fetch}, "", ""},
-		{"owner gone, plain", true, []Event{{Kind: Found, Claim: peers}, {Kind: FetchUnheld}}, []EffectKind{Finish, Fail}, OutcomeUnknown, MayHaveRun},
+		{"whole stream", false, []Event{missing, grantReceived, connected, {Kind: ClaimMade}, {Kind: Started}, {Kind: FrameRead, Frame: Frame{Stream: "own", Length: 2, End: true}}}, []EffectKind{Deliver, Release, End, Finish}, "", ""},
+		{"end at a wrong offset", false, []Event{missing, grantReceived, connected, {Kind: ClaimMade}, {Kind: Started}, {Kind: FrameRead, Frame: Frame{Stream: "own", Offset: 5, End: true}}}, []EffectKind{Retire, Resume}, "", ""},
+		{"engine shuts down", false, []Event{missing, grantReceived, connected, {Kind: ClaimMade}, {Kind: Started}, {Kind: FrameRead, Frame: Frame{Stream: "own", Leaving: true}}}, []EffectKind{Deliver, Move}, "", ""},
+		{"moved", false, []Event{missing, grantReceived, connected, {Kind: ClaimMade}, {Kind: Started}, {Kind: FrameRead, Frame: Frame{Stream: "own", Leaving: true}}, {Kind: Moved, Address: "b"}, {Kind: Broken}}, []EffectKind{Retire, Resume}, "", ""},
+		{"moved only once", false, []Event{missing, grantReceived, connected, {Kind: ClaimMade}, {Kind: Started}, {Kind: FrameRead, Frame: Frame{Stream: "own", Leaving: true}}, {Kind: MoveFailed}, {Kind: FrameRead, Frame: Frame{Stream: "own", Leaving: true}}}, []EffectKind{Deliver, Receive}, "", ""},
+		{"frame of another stream", false, []Event{missing, grantReceived, connected, {Kind: ClaimMade}, {Kind: Started}, {Kind: FrameRead, Frame: Frame{Stream: "x", Length: 2}}}, []EffectKind{Retire, Resume}, "", ""},
+		{"unconfirmed claim is proposed again", false, []Event{missing, grantReceived, connected, {Kind: ClaimLost}}, []EffectKind{Propose}, "", ""},
+		{"unconfirmed claim until the deadline", false, []Event{missing, grantReceived, connected, {Kind: ClaimLost}, {Kind: Expired}}, []EffectKind{Release, Settle, Fail}, NoLog, MayHaveRun},
+		{"nothing sent after the claim", true, []Event{missing, grantReceived, connected, {Kind: ClaimMade}, {Kind: NothingSent}}, []EffectKind{Release, Finish, Remember, Fail}, NotSent, NotRun},
+		{"engine refuses to start", false, []Event{missing, grantReceived, connected, {Kind: ClaimMade}, {Kind: Rejected}}, []EffectKind{Release, Finish, Fail}, UpstreamRefused, MayHaveRun},
+		{"connection to a plain service fails", true, []Event{missing, grantReceived, connected, {Kind: ClaimMade}, {Kind: SendBroken}}, []EffectKind{Release, Finish, Fail}, OutcomeUnknown, MayHaveRun},
+		{"answer is fetched from the owner", true, []Event{{Kind: Found, Claim: peers}}, []EffectKind{Dispatched, Fetch}, "", ""},
+		{"owner gone, plain service", true, []Event{{Kind: Found, Claim: peers}, {Kind: FetchUnheld}}, []EffectKind{Finish, Fail}, OutcomeUnknown, MayHaveRun},
 		{"owner gone, engine", false, []Event{{Kind: Found, Claim: peers}, {Kind: FetchUnheld, Length: 7}}, []EffectKind{Resume}, "", ""},
 		{"refusal marks the key", false, []Event{missing, {Kind: Refused}}, []EffectKind{Propose}, "", ""},
 		{"refusal while another runs it", false, []Event{missing, {Kind: Refused}, {Kind: ClaimExists, Claim: peers}}, []EffectKind{Dispatched, Fetch}, "", ""},
 		{"refusal that could not be marked", false, []Event{missing, {Kind: Refused}, {Kind: ClaimLost}}, []EffectKind{Fail}, Refusal, MayHaveRun},
 		{"lookup fails", false, []Event{{Kind: Failed}}, []EffectKind{Fail}, NoLog, MayHaveRun},
-		{"another content", false, []Event{{Kind: Found, Claim: state.Claim{Digest: "e"}}}, []EffectKind{Fail}, KeyConflict, NotRun},
+		{"key claimed for different content", false, []Event{{Kind: Found, Claim: state.Claim{Digest: "e"}}}, []EffectKind{Fail}, KeyConflict, NotRun},
 		{"refused elsewhere", false, []Event{{Kind: Found, Claim: state.Claim{Digest: "d", NotRun: true, Done: true}}}, []EffectKind{Remember, Fail}, RefusedBefore, NotRun},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			out := walk(keyed(c.plain), c.events...)
+			out := runEvents(newKeyedMachine(c.plain), c.events...)
 			require.Equal(t, c.want, kinds(out))
 			last := out[len(out)-1]
 			require.Equal(t, c.code, last.Failure.Code)
@@ -177,30 +181,31 @@
 	}
 }
 
-// TestRefusedKeyNeverRunsElsewhere joins two machines over the real state: what
-// one entry refuses as not run, the other can't dispatch.
+// TestRefusedKeyNeverRunsElsewhere runs two entries' machines against one state
+// machine: once one entry has refused a request as not run, the other must not
+// dispatch it, and only a request accepted after the refusal may run.
 func TestRefusedKeyNeverRunsElsewhere(t *testing.T) {
 	log := state.New()
-	a, b := keyed(false), keyed(false)
+	a, b := newKeyedMachine(false), newKeyedMachine(false)
 	a.request.Stream = "a"
-	walk(a, Event{Kind: NotFound}, grant)
-	mark := walk(b, Event{Kind: NotFound}, Event{Kind: Refused})[0].Claim
+	runEvents(a, Event{Kind: NotFound}, grantReceived)
+	mark := runEvents(b, Event{Kind: NotFound}, Event{Kind: Refused})[0].Claim
 	require.Equal(t, state.OK, log.Apply(state.Command{Claim: &mark}).Status)
 	claim := a.Step(connected)[0].Claim
 	result := log.Apply(state.Command{Claim: &claim})
 	require.Equal(t, state.Exists, result.Status)
 	require.Equal(t, []EffectKind{Release, Remember, Fail}, kinds(a.Step(Event{Kind: ClaimExists, Claim: *result.Claim})))
 
-	c := keyed(false)
+	c := newKeyedMachine(false)
 	c.request.Stream = "c"
 	c.request.Known = 1
-	again := walk(c, Event{Kind: Found, Claim: *result.Claim}, grant, connected)[0].Claim
+	again := runEvents(c, Event{Kind: Found, Claim: *result.Claim}, grantReceived, connected)[0].Claim
 	require.Equal(t, state.OK, log.Apply(state.Command{Claim: &again}).Status)
 }
 
 func TestResumeIsBounded(t *testing.T) {
-	m := keyed(false)
-	walk(m, Event{Kind: NotFound}, grant, connected, Event{Kind: ClaimMade}, Event{Kind: Started})
+	m := newKeyedMachine(false)
+	runEvents(m, Event{Kind: NotFound}, grantReceived, connected, Event{Kind: ClaimMade}, Event{Kind: Started})
 	for range ResumeTries {
 		require.Equal(t, []EffectKind{Retire, Resume}, kinds(m.Step(Event{Kind: Broken})))
 	}
--- a/core/claims/event.go
+++ b/core/claims/event.go
@@ -2,11 +2,12 @@
 
 import "github.com/verbenastep/verbenastep/core/state"
 
-// EventKind is what happened.
+// EventKind is the type of an event.
 type EventKind string
 
-// Kinds of events. Canceled, Expired and Failed answer any awaited effect.
+// Kinds of events. Canceled, Expired and Failed may answer any awaited effect.
 const (
+	// Begin starts the machine.
 	Begin EventKind = "begin"
 	// Found and NotFound answer a Lookup.
 	Found    EventKind = "found"
@@ -17,8 +18,8 @@
 	// Connected and Unreachable answer a Dial.
 	Connected   EventKind = "connected"
 	Unreachable EventKind = "unreachable"
-	// ClaimMade, ClaimExists, ClaimConflict and ClaimLost answer a Propose;
-	// the last says that the claim may or may not stand.
+	// ClaimMade, ClaimExists, ClaimConflict and ClaimLost answer a Propose.
+	// After ClaimLost the claim may or may not have been committed.
 	ClaimMade     EventKind = "claim_made"
 	ClaimExists   EventKind = "claim_exists"
 	ClaimConflict EventKind = "claim_conflict"
@@ -27,119 +28,125 @@
 	Started EventKind = "started"
 	// Replied answers a Send to a plain service with its whole reply.
 	Replied EventKind = "replied"
-	// NothingSent says that not one byte left for the upstream.
+	// NothingSent reports that not a single byte was sent to the upstream.
 	NothingSent EventKind = "nothing_sent"
-	// Rejected says that the upstream answered that it does not run the request.
+	// Rejected reports that the upstream refused to run the request.
 	Rejected EventKind = "rejected"
-	// SendBroken says that the upstream may have received the request.
+	// SendBroken reports that the connection failed during the send; the upstream
+	// may have received the request.
 	SendBroken EventKind = "send_broken"
-	// FrameRead and Broken answer a Receive.
+	// FrameRead and Broken answer a Receive: the next frame, or a connection that
+	// failed or was silent for too long.
 	FrameRead EventKind = "frame"
 	Broken    EventKind = "broken"
 	// Moved and MoveFailed answer a Move.
 	Moved      EventKind = "moved"
 	MoveFailed EventKind = "move_failed"
-	// Fetched, FetchFailed, FetchBroken and FetchUnheld answer a Fetch: the
-	// answer's end, the failure it ended in, a lost connection, and an owner
-	// that holds no such answer.
+	// Fetched, FetchFailed, FetchBroken and FetchUnheld answer a Fetch: the end
+	// of the answer, the failure that it ended in, a lost connection, and an
+	// owner that does not hold the answer.
 	Fetched     EventKind = "fetched"
 	FetchFailed EventKind = "fetch_failed"
 	FetchBroken EventKind = "fetch_broken"
 	FetchUnheld EventKind = "fetch_unheld"
-	// OwnerDead answers a Fetch that broke where membership holds the owner for
-	// dead.
+	// OwnerDead answers a Fetch whose connection failed while the membership
+	// protocol reports the owner as dead.
 	OwnerDead EventKind = "owner_dead"
-	// Canceled says that the caller went away, Expired that the request's time
-	// is over, Failed that the effect could not be attempted.
+	// Canceled reports that the caller disconnected, Expired that the request's
+	// deadline passed, Failed that the effect could not be attempted.
 	Canceled EventKind = "canceled"
 	Expired  EventKind = "expired"
 	Failed   EventKind = "failed"
 )
 
-// Event is one thing that happened. Fields that a kind doesn't need are zero.
+// Event is an input of a Machine. Fields that its kind doesn't use are zero.
 type Event struct {
 	Kind     EventKind
 	Upstream string
 	Address  string
 	Claim    state.Claim
 	Frame    Frame
-	// Length is how many bytes of the answer are held.
+	// Length is the number of bytes of the answer received so far.
 	Length int64
 }
 
-// Frame is what the decisions need of one frame of a stream.
+// Frame describes one frame of a stream, without its content.
 type Frame struct {
 	Stream string
 	// Offset is the frame's position in the answer and Length its size, in bytes.
 	Offset int64
 	Length int64
-	End    bool
-	// Leaving asks to move the stream to another engine.
+	// End is set on the last frame of the stream.
+	End bool
+	// Leaving asks to move the stream to another engine, because this one shuts
+	// down.
 	Leaving bool
-	// Error is an engine's failure.
+	// Error is the failure that the engine reported; empty for none.
 	Error string
 }
 
-// EffectKind is what to do.
+// EffectKind is the type of an effect.
 type EffectKind string
 
-// Kinds of effects. The first group is awaited: an event answers it.
+// Kinds of effects. Those of the first group are awaited: an event answers each.
 const (
 	// Lookup reads the claim on the request's key.
 	Lookup EffectKind = "lookup"
 	// Acquire asks the scheduler for an upstream.
 	Acquire EffectKind = "acquire"
-	// Dial connects to the granted upstream, sending nothing.
+	// Dial connects to the granted upstream without sending anything.
 	Dial EffectKind = "dial"
-	// Propose commits a claim. Where Last is set it must be answered soon,
-	// whatever became of the caller.
+	// Propose commits a claim. If Last is set, it must be answered promptly, even
+	// if the caller disconnected or the deadline passed.
 	Propose EffectKind = "propose"
-	// Send dispatches the request; there is never a second one.
+	// Send dispatches the request; it occurs at most once.
 	Send EffectKind = "send"
 	// Receive reads the next frame.
 	Receive EffectKind = "receive"
 	// Resume reads a stream from an offset over a new connection.
 	Resume EffectKind = "resume"
-	// Move takes the stream with its cache to another engine.
+	// Move transfers the stream and its KV cache to another engine.
 	Move EffectKind = "move"
 	// Fetch reads the answer from the entry that dispatched the request.
 	Fetch EffectKind = "fetch"
 
-	// Dispatched tells waiting callers the stream; it comes before Send.
+	// Dispatched reports the stream to waiting callers; it precedes Send.
 	Dispatched EffectKind = "dispatched"
-	// Deliver appends the frame that was just read to the answer.
+	// Deliver appends the frame of the last FrameRead to the answer.
 	Deliver EffectKind = "deliver"
-	// Retire closes the connection with whatever still comes on it.
+	// Retire closes the connection and discards any data still arriving on it.
 	Retire EffectKind = "retire"
-	// Cancel tells the engine that nobody waits for the stream.
+	// Cancel tells the engine to abort the stream.
 	Cancel EffectKind = "cancel"
-	// Release frees the granted slot.
+	// Release returns the granted slot to the scheduler.
 	Release EffectKind = "release"
 	// Finish records how the claimed request ended.
 	Finish EffectKind = "finish"
-	// Settle proposes, until answered, a claim whose fate is not known, and
-	// marks it as not run where it stands.
+	// Settle resolves a claim of which it is not known whether it was committed:
+	// it proposes the claim again until the log answers, and marks it as not run
+	// if it is this machine's.
 	Settle EffectKind = "settle"
-	// Remember notes that the claim's attempt is marked as not run; see
-	// Request.Known.
+	// Remember stores at this entry that the claim's attempt is marked as not
+	// run; see Request.Known.
 	Remember EffectKind = "remember"
-	// Recorded ends the answer with what the claim holds.
+	// Recorded completes the answer with the one recorded in the claim.
 	Recorded EffectKind = "recorded"
-	// End ends the answer whole.
+	// End completes the answer.
 	End EffectKind = "end"
 	// Fail ends the answer with a failure.
 	Fail EffectKind = "fail"
 )
 
-// Effect is one thing to do. Fields that a kind doesn't need are zero.
+// Effect is an action for the caller of Step to execute. Fields that its kind
+// doesn't use are zero.
 type Effect struct {
 	Kind    EffectKind
 	Address string
 	Stream  string
 	Offset  int64
-	// Pause asks for a short wait first.
+	// Pause asks for a short delay before the effect.
 	Pause bool
-	// Last marks a proposal on which a refusal depends.
+	// Last is set on the proposal that a refusal waits for; see Propose.
 	Last    bool
 	Claim   state.Claim
 	Finish  state.Finish
@@ -147,7 +154,7 @@
 	Failure Failure
 }
 
-// Awaited tells whether an event must answer the effect.
+// Awaited reports whether an event must answer the effect.
 func (e Effect) Awaited() bool {
 	switch e.Kind {
 	case Lookup, Acquire, Dial, Propose, Send, Receive, Resume, Move, Fetch:
@@ -156,10 +163,10 @@
 	return false
 }
 
-// Slot says how a granted slot was used.
+// Slot is the outcome of the use of a granted slot.
 type Slot string
 
-// Values of Slot.
+// Outcomes of a slot.
 const (
 	SlotDone     Slot = "done"
 	SlotNotSent  Slot = "not_sent"
@@ -167,52 +174,55 @@
 	SlotBroken   Slot = "broken"
 )
 
-// Ran says whether the request reached an upstream.
+// Ran states whether the request ran on an upstream.
 type Ran string
 
 // Values of Ran.
 const (
-	// NotRun promises that nothing ran under the key and nothing will, unless
+	// NotRun guarantees that nothing ran under the key and nothing will, unless
 	// the caller sends the key again.
-	NotRun     Ran = "not_run"
+	NotRun Ran = "not_run"
+	// MayHaveRun makes no statement: the request may have run, or may still run.
 	MayHaveRun Ran = "unknown"
-	DidRun     Ran = "ran"
+	// DidRun states that an upstream executed the request, at least in part.
+	DidRun Ran = "ran"
 )
 
-// Code is why a request failed.
+// Code is the reason why a request failed.
 type Code string
 
-// Codes.
+// Failure codes.
 const (
-	// NoLog says that the claim could not be read or committed.
+	// NoLog means that the claim could not be read or committed.
 	NoLog Code = "no_log"
-	// KeyConflict says that the key belongs to another content.
+	// KeyConflict means that the key is claimed for different content.
 	KeyConflict Code = "key_conflict"
-	// Refusal says that the scheduler refused the request.
+	// Refusal means that the scheduler refused the request.
 	Refusal Code = "refusal"
-	// RefusedBefore says that the key is marked as not run.
+	// RefusedBefore means that the key is marked as not run.
 	RefusedBefore Code = "refused_before"
-	// CallerGone says that the caller went away.
+	// CallerGone means that the caller disconnected.
 	CallerGone Code = "caller_gone"
-	// TooLate says that the request's time is over.
+	// TooLate means that the request's deadline passed.
 	TooLate Code = "too_late"
-	// NotSent says that the upstream broke off before the first byte.
+	// NotSent means that the connection failed before the first byte was sent.
 	NotSent Code = "not_sent"
-	// UpstreamRefused says that the upstream answered that it does not run it.
+	// UpstreamRefused means that the upstream refused to run the request.
 	UpstreamRefused Code = "upstream_refused"
-	// UpstreamFailed says that the engine reported a failure.
+	// UpstreamFailed means that the engine reported a failure.
 	UpstreamFailed Code = "upstream_failed"
-	// OutcomeUnknown says that nobody can tell how the request ended.
+	// OutcomeUnknown means that it can't be determined how the request ended.
 	OutcomeUnknown Code = "outcome_unknown"
-	// OwnersFailure passes on the failure that the owner's answer ended in.
+	// OwnersFailure means that the owner's answer ended in a failure, which is
+	// passed on.
 	OwnersFailure Code = "owners_failure"
-	// NoClaim says that nothing stands under the key that was to be joined.
+	// NoClaim means that the key to be joined has no claim.
 	NoClaim Code = "no_claim"
-	// AnswerLost says that the request ran but its answer is held no more.
+	// AnswerLost means that the request ran but its answer is no longer available.
 	AnswerLost Code = "answer_lost"
 )
 
-// Failure is how a request failed.
+// Failure describes how a request failed.
 type Failure struct {
 	Code   Code
 	Ran    Ran
--- a/core/claims/race_test.go
+++ b/core/claims/race_test.go
@@ -10,71 +10,72 @@
 	"github.com/verbenastep/verbenastep/core/state"
 )
 
-// world is one log and one upstream that several entries meet under one key.
-type world struct {
-	t       *rapid.T
-	log     *state.Machine
-	actors  []*actor
-	clock   int
-	settled []state.Claim
-	// sends lists when and by whom the request was sent.
-	sends []moment
-	// marks tells when each attempt was marked as not run, and known which of
-	// them each entry has learnt of.
-	marks map[uint64]int
-	known [entries]uint64
-	// refusals lists attempts of which not run was said.
-	refusals []uint64
-}
-
-// entries is how many entries callers may ask.
-const entries = 3
-
-// moment is something that an actor did.
-type moment struct {
-	at    int
+// simulation holds one log and one upstream shared by several entries that
+// receive requests with the same key.
+type simulation struct {
+	t          *rapid.T
+	log        *state.Machine
+	actors     []*actor
+	clock      int
+	unresolved []state.Claim
+	// sends lists when and by which actor the request was sent.
+	sends []sendRecord
+	// markedAt maps each attempt to the time when it was marked as not run;
+	// knownMarks is the newest marked attempt that each entry knows of.
+	markedAt   map[uint64]int
+	knownMarks [entryCount]uint64
+	// refusedAttempts lists attempts that callers were told did not run.
+	refusedAttempts []uint64
+}
+
+// entryCount is the number of entries that callers send requests to.
+const entryCount = 3
+
+// sendRecord is one send of the request to the upstream.
+type sendRecord struct {
+	time  int
 	actor int
 }
 
 // actor is one caller's request at one entry.
 type actor struct {
-	id      int
-	entry   int
-	began   int
-	machine *Machine
-	awaited Effect
-	crashed bool
-	// sent says that the request reached the upstream from here.
+	id        int
+	entry     int
+	startedAt int
+	machine   *Machine
+	awaited   Effect
+	crashed   bool
+	// sent is set once this actor's request reached the upstream.
 	sent bool
 }
 
-// begin lets a caller send the request, at its entry or another.
-func (w *world) begin(plain bool) {
+// startRequest starts a request at the next entry in turn.
+func (w *simulation) startRequest(plain bool) {
 	id := len(w.actors)
-	entry := id % entries
-	a := &actor{id: id, entry: entry, began: w.clock, machine: NewMachine(Request{
+	entry := id % entryCount
+	a := &actor{id: id, entry: entry, startedAt: w.clock, machine: NewMachine(Request{
 		Workspace: "w", Key: "k", Digest: "d", Keyed: true, Plain: plain,
-		Stream: fmt.Sprintf("s%d", id), Entry: fmt.Sprintf("e%d", entry), Known: w.known[entry],
+		Stream: fmt.Sprintf("s%d", id), Entry: fmt.Sprintf("e%d", entry), Known: w.knownMarks[entry],
 	})}
 	w.actors = append(w.actors, a)
 	w.step(a, Event{Kind: Begin})
 }
 
-func (w *world) step(a *actor, e Event) {
+func (w *simulation) step(a *actor, e Event) {
 	a.awaited = Effect{}
 	for _, effect := range a.machine.Step(e) {
 		switch effect.Kind {
 		case Finish:
 			w.log.Apply(state.Command{Finish: &effect.Finish})
-			w.observe()
+			w.recordMark()
 		case Settle:
-			w.settled = append(w.settled, effect.Claim)
+			w.unresolved = append(w.unresolved, effect.Claim)
 		case Fail:
 			if effect.Failure.Ran == NotRun {
-				w.refusals = append(w.refusals, w.known[a.entry])
+				w.refusedAttempts = append(w.refusedAttempts, w.knownMarks[a.entry])
 			}
 		case Remember:
-			w.known[a.entry] = max(w.known[a.entry], max(effect.Claim.Attempt, 1))
+			w.knownMarks[a.entry] = max(w.knownMarks[a.entry], max(effect.Claim.Attempt, 1))
 		}
 		if effect.Awaited() {
 			a.awaited = effect
@@ -82,26 +83,27 @@
 	}
 }
 
-// observe notes when an attempt was marked.
-func (w *world) observe() {
+// recordMark records when the current attempt was marked as not run.
+func (w *simulation) recordMark() {
 	c, found := w.log.Claim("w", "k")
-	if _, old := w.marks[max(c.Attempt, 1)]; found && c.NotRun && !old {
-		w.marks[max(c.Attempt, 1)] = w.clock
+	if _, old := w.markedAt[max(c.Attempt, 1)]; found && c.NotRun && !old {
+		w.markedAt[max(c.Attempt, 1)] = w.clock
 	}
 }
 
-// settle ends one claim of unknown fate as the entries do.
-func (w *world) settle() {
-	c := w.settled[0]
-	w.settled = w.settled[1:]
+// resolveClaim resolves one claim of unknown state the way the entries do.
+func (w *simulation) resolveClaim() {
+	c := w.unresolved[0]
+	w.unresolved = w.unresolved[1:]
 	if w.log.Apply(state.Command{Claim: &c}).Status == state.OK {
 		w.log.Apply(state.Command{Finish: &state.Finish{Workspace: "w", Key: "k", Stream: c.Stream, NotRun: true}})
-		w.observe()
+		w.recordMark()
 	}
 }
 
-// answer lets what an actor waits for come to an end, well or badly.
-func (w *world) answer(a *actor) {
+// answerAwaited answers an actor's awaited effect with a random success or
+// failure.
+func (w *simulation) answerAwaited(a *actor) {
 	bad := rapid.IntRange(0, 9).Draw(w.t, "luck")
 	if bad == 0 {
 		w.step(a, Event{Kind: Expired})
@@ -119,7 +121,7 @@
 	case Send:
 		w.send(a, bad)
 	case Receive:
-		w.step(a, Event{Kind: FrameRead, Frame: Frame{Stream: a.machine.stream, Offset: a.machine.length, Length: 1, End: bad > 5}})
+		w.step(a, Event{Kind: FrameRead, Frame: Frame{Stream: a.machine.stream, Offset: a.machine.received, Length: 1, End: bad > 5}})
 	case Resume:
 		w.resume(a)
 	case Fetch:
@@ -134,7 +136,7 @@
 	return otherwise
 }
 
-func (w *world) lookup(a *actor, lost bool) {
+func (w *simulation) lookup(a *actor, lost bool) {
 	c, found := w.log.Claim("w", "k")
 	switch {
 	case lost:
@@ -146,15 +148,15 @@
 	}
 }
 
-// propose loses the command, or its answer, or neither.
-func (w *world) propose(a *actor, bad int) {
+// propose applies the command, drops it, or drops its result.
+func (w *simulation) propose(a *actor, bad int) {
 	if bad == 1 {
 		w.step(a, Event{Kind: ClaimLost})
 		return
 	}
 	c := a.awaited.Claim
 	r := w.log.Apply(state.Command{Claim: &c})
-	w.observe()
+	w.recordMark()
 	switch {
 	case bad == 2:
 		w.step(a, Event{Kind: ClaimLost})
@@ -167,12 +169,12 @@
 	}
 }
 
-func (w *world) send(a *actor, bad int) {
+func (w *simulation) send(a *actor, bad int) {
 	if bad == 1 {
 		w.step(a, Event{Kind: NothingSent})
 		return
 	}
-	w.sends = append(w.sends, moment{w.clock, a.id})
+	w.sends = append(w.sends, sendRecord{w.clock, a.id})
 	a.sent = true
 	switch {
 	case bad == 2:
@@ -186,8 +188,8 @@
 	}
 }
 
-// resume finds the stream where whoever it belongs to has sent it.
-func (w *world) resume(a *actor) {
+// resume succeeds if the stream's owner has sent its request.
+func (w *simulation) resume(a *actor) {
 	for _, other := range w.actors {
 		if other.sent && other.machine.request.Stream == a.awaited.Stream {
 			w.step(a, Event{Kind: Started})
@@ -197,36 +199,36 @@
 	w.step(a, Event{Kind: Broken})
 }
 
-// check holds what was sent against what callers were told. A refusal speaks
-// from the moment when its mark was committed: what was accepted before never
+// checkInvariants compares what was sent with what callers were told. A refusal
+// takes effect when its mark is committed: a request accepted before that never
 // runs.
-func (w *world) check() {
+func (w *simulation) checkInvariants() {
 	require.LessOrEqual(w.t, len(w.sends), 1, "sent more than once")
-	for _, attempt := range w.refusals {
-		marked, ok := w.marks[attempt]
-		require.True(w.t, ok, "not run was said without a mark")
+	for _, attempt := range w.refusedAttempts {
+		marked, ok := w.markedAt[attempt]
+		require.True(w.t, ok, "a caller was told not run without a committed mark")
 		for _, s := range w.sends {
-			require.Greater(w.t, s.at, marked, "not run was said of a request that had run")
-			require.Greater(w.t, w.actors[s.actor].began, marked, "a request from before the refusal ran after it")
+			require.Greater(w.t, s.time, marked, "a caller was told not run about a request that had run")
+			require.Greater(w.t, w.actors[s.actor].startedAt, marked, "a request from before the refusal ran after it")
 		}
 	}
 }
 
-// TestEntriesRaceUnderOneKey lets callers send one request to several entries,
-// at once and again, while commands, answers, entries and connections are lost.
+// TestEntriesRaceUnderOneKey sends one request to several entries concurrently
+// and repeatedly, while commands, results, entries and connections fail.
 func TestEntriesRaceUnderOneKey(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := &world{t: t, log: state.New(), marks: map[uint64]int{}}
+		w := &simulation{t: t, log: state.New(), markedAt: map[uint64]int{}}
 		plain := rapid.Bool().Draw(t, "plain")
 		for w.clock = 1; w.clock < 80; w.clock++ {
-			w.turn(plain)
-			w.check()
+			w.runTurn(plain)
+			w.checkInvariants()
 		}
 	})
 }
 
-// turn does one thing.
-func (w *world) turn(plain bool) {
+// runTurn executes one random action.
+func (w *simulation) runTurn(plain bool) {
 	ready := []*actor{}
 	for _, a := range w.actors {
 		if !a.crashed && a.awaited.Awaited() {
@@ -236,13 +238,13 @@
 	choice := rapid.IntRange(0, 11).Draw(w.t, "choice")
 	switch {
 	case (choice < 2 || len(ready) == 0) && len(w.actors) < 6:
-		w.begin(plain)
-	case choice == 2 && len(w.settled) > 0:
-		w.settle()
+		w.startRequest(plain)
+	case choice == 2 && len(w.unresolved) > 0:
+		w.resolveClaim()
 	case len(ready) == 0:
 	case choice == 3:
 		rapid.SampledFrom(ready).Draw(w.t, "crash").crashed = true
 	default:
-		w.answer(rapid.SampledFrom(ready).Draw(w.t, "actor"))
+		w.answerAwaited(rapid.SampledFrom(ready).Draw(w.t, "actor"))
 	}
 }
--- a/core/claims/table_test.go
+++ b/core/claims/table_test.go
@@ -12,51 +12,51 @@
 	"github.com/verbenastep/verbenastep/core/state"
 )
 
-// step is a step of a request, with the events that lead to it.
-type step struct {
+// stage is a stage of a request, with the events that lead to it.
+type stage struct {
 	name   string
 	plain  bool
 	keyed  bool
 	events []Event
 }
 
-func steps() []step {
-	theirs := state.Claim{Digest: "d", Stream: "theirs", Entry: "peer", Address: "b"}
+func stages() []stage {
+	peerClaim := state.Claim{Digest: "d", Stream: "theirs", Entry: "peer", Address: "b"}
 	missing, made, started := Event{Kind: NotFound}, Event{Kind: ClaimMade}, Event{Kind: Started}
 	frame := Event{Kind: FrameRead, Frame: Frame{Stream: "own", Length: 2}}
-	return []step{
+	return []stage{
 		{"looked up", false, true, nil},
 		{"queued", false, true, []Event{missing}},
 		{"queued without key", false, false, nil},
-		{"connecting", false, true, []Event{missing, grant}},
-		{"claiming", false, true, []Event{missing, grant, connected}},
-		{"claiming again", false, true, []Event{missing, grant, connected, {Kind: ClaimLost}}},
-		{"sending to an engine", false, true, []Event{missing, grant, connected, made}},
-		{"sending to a service", true, true, []Event{missing, grant, connected, made}},
-		{"streaming", false, true, []Event{missing, grant, connected, made, started, frame}},
-		{"resuming", false, true, []Event{missing, grant, connected, made, started, frame, {Kind: Broken}}},
-		{"fetching from the owner, engine", false, true, []Event{{Kind: Found, Claim: theirs}}},
-		{"fetching from the owner, service", true, true, []Event{{Kind: Found, Claim: theirs}}},
+		{"connecting", false, true, []Event{missing, grantReceived}},
+		{"claiming", false, true, []Event{missing, grantReceived, connected}},
+		{"claiming again", false, true, []Event{missing, grantReceived, connected, {Kind: ClaimLost}}},
+		{"sending to an engine", false, true, []Event{missing, grantReceived, connected, made}},
+		{"sending to a service", true, true, []Event{missing, grantReceived, connected, made}},
+		{"streaming", false, true, []Event{missing, grantReceived, connected, made, started, frame}},
+		{"resuming", false, true, []Event{missing, grantReceived, connected, made, started, frame, {Kind: Broken}}},
+		{"fetching from the owner, engine", false, true, []Event{{Kind: Found, Claim: peerClaim}}},
+		{"fetching from the owner, service", true, true, []Event{{Kind: Found, Claim: peerClaim}}},
 		{"marking a refusal", false, true, []Event{missing, {Kind: Refused}}},
 	}
 }
 
-// faults are what may happen at any step. Each is one event that the step may
-// meet; where it can't be met there, nothing changes.
+// faults lists one event per fault. At a stage where the fault can't occur, the
+// event changes nothing.
 func faults() map[string]Event {
-	theirs := state.Claim{Digest: "d", Stream: "theirs", Entry: "peer", Address: "b"}
-	gone := theirs
-	gone.Done, gone.Unknown = true, true
+	peerClaim := state.Claim{Digest: "d", Stream: "theirs", Entry: "peer", Address: "b"}
+	unknownOutcome := peerClaim
+	unknownOutcome.Done, unknownOutcome.Unknown = true, true
 	return map[string]Event{
 		"the caller goes away":            {Kind: Canceled},
 		"the deadline passes":             {Kind: Expired},
 		"the log does not answer":         {Kind: ClaimLost},
 		"the lookup fails":                {Kind: Failed},
-		"another entry has claimed":       {Kind: ClaimExists, Claim: theirs},
+		"another entry has claimed":       {Kind: ClaimExists, Claim: peerClaim},
 		"another entry has refused":       {Kind: ClaimExists, Claim: state.Claim{Digest: "d", Done: true, NotRun: true}},
 		"the key has another content":     {Kind: ClaimConflict},
 		"found with another content":      {Kind: Found, Claim: state.Claim{Digest: "e"}},
-		"found with unknown outcome":      {Kind: Found, Claim: gone},
+		"found with unknown outcome":      {Kind: Found, Claim: unknownOutcome},
 		"the scheduler refuses":           {Kind: Refused},
 		"the upstream can't be reached":   {Kind: Unreachable},
 		"the upstream refuses":            {Kind: Rejected},
@@ -75,8 +75,8 @@
 	}
 }
 
-// cell tells in one line what the machine does.
-func cell(before, after State, effects []Effect) string {
+// formatTransition formats one state transition and its effects on one line.
+func formatTransition(before, after State, effects []Effect) string {
 	parts := []string{}
 	for _, e := range effects {
 		switch e.Kind {
@@ -95,7 +95,8 @@
 	return fmt.Sprintf("%s to %s: %s", before, after, strings.Join(parts, "; "))
 }
 
-// TestFaultTable writes out what happens at each step when each fault comes.
+// TestFaultTable compares the transition of each fault at each stage with the
+// golden file.
 func TestFaultTable(t *testing.T) {
 	names := []string{}
 	for name := range faults() {
@@ -103,23 +104,23 @@
 	}
 	slices.Sort(names)
 	out := strings.Builder{}
-	for _, s := range steps() {
+	for _, s := range stages() {
 		fmt.Fprintf(&out, "## %s\n\n", s.name)
-		without := 0
+		ignored := 0
 		for _, name := range names {
 			m := NewMachine(Request{Workspace: "w", Key: "k", Digest: "d", Stream: "own", Entry: "self", Keyed: s.keyed, Plain: s.plain})
-			walk(m, s.events...)
+			runEvents(m, s.events...)
 			before := m.State()
 			require.NotEqual(t, Ended, before, s.name)
 			effects := m.Step(faults()[name])
 			if len(effects) == 0 {
 				require.Equal(t, before, m.State())
-				without++
+				ignored++
 				continue
 			}
-			fmt.Fprintf(&out, "%-32s %s\n", name, cell(before, m.State(), effects))
+			fmt.Fprintf(&out, "%-32s %s\n", name, formatTransition(before, m.State(), effects))
 		}
-		fmt.Fprintf(&out, "(%d of %d faults can't be met here)\n\n", without, len(names))
+		fmt.Fprintf(&out, "(%d of %d faults can't be met here)\n\n", ignored, len(names))
 	}
 	goldie.New(t).Assert(t, "faults", []byte(out.String()))
 }
