--- a/core/state/apply.go
+++ b/core/state/apply.go
@@ -9,8 +9,9 @@
 	digest string
 }
 
-// accepted is what a resent change is recognized by, and its answer.
-type accepted struct {
+// appliedChange identifies an accepted configuration change, so that a resent one
+// gets the same result.
+type appliedChange struct {
 	Number   uint64 `json:"number"`
 	Base     uint64 `json:"base"`
 	Operator string `json:"operator"`
@@ -18,17 +19,18 @@
 }
 
 const (
-	// keptVersions is how many versions are kept for deltas.
-	keptVersions = 128
-	// keptAccepted is how many accepted changes are kept for resent ones.
-	keptAccepted = 4096
-	// shownDifferences bounds the differences in a conflict's answer.
-	shownDifferences = 50
+	// maxVersions bounds the configuration versions kept for deltas.
+	maxVersions = 128
+	// maxAppliedChanges bounds the accepted changes kept to recognize resent
+	// ones.
+	maxAppliedChanges = 4096
+	// maxDifferences bounds the differences listed in a conflict's result.
+	maxDifferences = 50
 )
 
-// applyConfig accepts a change only on top of the current version. A resent
-// change gets its first answer; one that changes nothing gets the current
-// version.
+// applyConfig accepts a change only if it is based on the current version. A
+// resent change gets the result of its first application; a change without
+// effect gets the current version.
 func (m *Machine) applyConfig(a *Apply) Result {
 	digest := a.Files.Digest()
 	for _, v := range m.applied {
@@ -36,29 +38,29 @@
 			return Result{Status: OK, Version: v.Number, Digest: v.Digest}
 		}
 	}
-	cur := m.current()
-	if cur.number != a.Base {
-		return m.conflict(a, cur)
+	current := m.current()
+	if current.number != a.Base {
+		return m.conflictResult(a, current)
 	}
-	if cur.number > 0 && cur.digest == digest {
-		return Result{Status: OK, Version: cur.number, Digest: cur.digest}
+	if current.number > 0 && current.digest == digest {
+		return Result{Status: OK, Version: current.number, Digest: current.digest}
 	}
-	next := version{number: cur.number + 1, files: share(cur.files, a.Files), digest: digest}
-	m.versions = keep(append(m.versions, next), keptVersions)
-	m.applied = keep(append(m.applied, accepted{Number: next.number, Base: a.Base, Operator: a.Operator, Digest: digest}), keptAccepted)
+	next := version{number: current.number + 1, files: shareUnchanged(current.files, a.Files), digest: digest}
+	m.versions = lastN(append(m.versions, next), maxVersions)
+	m.applied = lastN(append(m.applied, appliedChange{Number: next.number, Base: a.Base, Operator: a.Operator, Digest: digest}), maxAppliedChanges)
 	return Result{Status: OK, Version: next.number, Digest: next.digest}
 }
 
-func keep[T any](list []T, most int) []T {
-	if len(list) <= most {
+func lastN[T any](list []T, limit int) []T {
+	if len(list) <= limit {
 		return list
 	}
-	return append([]T{}, list[len(list)-most:]...)
+	return append([]T{}, list[len(list)-limit:]...)
 }
 
-// share takes unchanged files from the version before, so that kept versions
-// cost only what changed.
-func share(from, to config.Files) config.Files {
+// shareUnchanged returns the files of to, with the contents that equal those in
+// from shared, so that a kept version takes memory only for changed files.
+func shareUnchanged(from, to config.Files) config.Files {
 	out := config.Files{}
 	for p, content := range to {
 		if old, ok := from[p]; ok && string(old) == string(content) {
@@ -69,7 +71,7 @@
 	return out
 }
 
-func (m *Machine) conflict(a *Apply, cur version) Result {
+func (m *Machine) conflictResult(a *Apply, cur version) Result {
 	r := Result{Status: Conflict, Version: cur.number, Digest: cur.digest}
 	for _, v := range m.applied {
 		if v.Number == a.Base+1 || v.Number == cur.number {
@@ -77,13 +79,13 @@
 			break
 		}
 	}
-	r.Differences = config.Compare(a.Files, cur.files, shownDifferences)
+	r.Differences = config.Compare(a.Files, cur.files, maxDifferences)
 	return r
 }
 
-// DeltaSince returns the delta from a version that a daemon has in force to
-// the current one, or a snapshot where that version is not kept or differs.
-// It returns false where the daemon is up to date.
+// DeltaSince returns the delta from the version in force on a daemon to the
+// current one, or a snapshot if that version is no longer kept or has another
+// digest. It returns false if the daemon is up to date.
 func (m *Machine) DeltaSince(number uint64, digest string) (config.Delta, bool) {
 	cur := m.current()
 	if number == cur.number && digest == cur.digest {
--- a/core/state/apply_test.go
+++ b/core/state/apply_test.go
@@ -18,7 +18,7 @@
 	return m.Apply(Command{Apply: &Apply{Base: base, Operator: operator, Files: files(content)}})
 }
 
-func TestResentApplyGetsItsFirstAnswer(t *testing.T) {
+func TestResentApplyReturnsFirstResult(t *testing.T) {
 	m := New()
 	first := apply(m, 0, "ana", `{"n":1}`)
 	require.Equal(t, Result{Status: OK, Version: 1, Digest: files(`{"n":1}`).Digest()}, first)
@@ -30,7 +30,7 @@
 	require.Equal(t, uint64(1000), number)
 }
 
-func TestEqualBaseHasOneWinner(t *testing.T) {
+func TestApplyOnSameBaseConflicts(t *testing.T) {
 	m := New()
 	apply(m, 0, "ana", `{"n":1}`)
 	require.Equal(t, OK, apply(m, 1, "ana", `{"n":2}`).Status)
@@ -43,32 +43,32 @@
 	require.Equal(t, []config.Difference{want}, lost.Differences)
 }
 
-func TestMissedChangesComeInOneDelta(t *testing.T) {
+func TestMissedVersionsMergeIntoOneDelta(t *testing.T) {
 	m := New()
 	apply(m, 0, "ana", `{"n":1}`)
 	_, digest, old := m.Config()
 	for i := uint64(1); i < 400; i++ {
 		apply(m, i, "ana", fmt.Sprintf(`{"n":%d}`, i+1))
 	}
-	near, ok := m.DeltaSince(399, files(`{"n":399}`).Digest())
+	recentDelta, ok := m.DeltaSince(399, files(`{"n":399}`).Digest())
 	require.True(t, ok)
-	require.Len(t, near.Set, 1)
-	far, ok := m.DeltaSince(1, digest)
+	require.Len(t, recentDelta.Set, 1)
+	oldDelta, ok := m.DeltaSince(1, digest)
 	require.True(t, ok)
-	got, err := far.Apply(old)
+	got, err := oldDelta.Apply(old)
 	require.NoError(t, err)
 	require.Equal(t, files(`{"n":400}`), got)
 }
 
-func claimOf(key, stream string, at int64) Command {
+func claimCommand(key, stream string, at int64) Command {
 	return Command{Claim: &Claim{Workspace: "w", Key: key, Digest: "d", Stream: stream, AtMS: at}}
 }
 
-func TestTrimKeepsClaimsWhoseAnswersGo(t *testing.T) {
+func TestTrimAnswersKeepsClaims(t *testing.T) {
 	m := New()
 	for i := range 4 {
 		key := fmt.Sprint(i)
-		m.Apply(claimOf(key, "s"+key, int64(i)))
+		m.Apply(claimCommand(key, "s"+key, int64(i)))
 		m.Apply(Command{Finish: &Finish{Workspace: "w", Key: key, Stream: "s" + key, Status: 200, Body: make([]byte, 10)}})
 	}
 	require.Equal(t, int64(40), m.AnswerBytes())
@@ -78,34 +78,34 @@
 	dropped, ok := m.Claim("w", "1")
 	require.True(t, ok)
 	require.Nil(t, dropped.Body)
-	require.Equal(t, Exists, m.Apply(claimOf("1", "other", 9)).Status)
+	require.Equal(t, Exists, m.Apply(claimCommand("1", "other", 9)).Status)
 }
 
 func TestFrozenStateDoesNotChange(t *testing.T) {
 	m := New()
 	apply(m, 0, "ana", `{"n":1}`)
 	apply(m, 1, "ana", `{"n":2}`)
-	m.Apply(claimOf("k", "s", 1))
+	m.Apply(claimCommand("k", "s", 1))
 	m.Apply(Command{Acquire: &Acquire{Name: "l", Holder: "h"}})
 	frozen := m.Freeze()
 	m.Apply(Command{Finish: &Finish{Workspace: "w", Key: "k", Stream: "s", Status: 200}})
 	apply(m, 2, "ana", `{"n":3}`)
 	data, err := frozen.Encode()
 	require.NoError(t, err)
-	back := New()
-	require.NoError(t, back.Restore(data))
-	c, _ := back.Claim("w", "k")
+	restored := New()
+	require.NoError(t, restored.Restore(data))
+	c, _ := restored.Claim("w", "k")
 	require.False(t, c.Done)
-	require.Equal(t, uint64(1), back.Lease("l").Epoch)
-	require.Equal(t, uint64(1), apply(back, 0, "ana", `{"n":1}`).Version)
-	_, ok := back.DeltaSince(1, files(`{"n":1}`).Digest())
+	require.Equal(t, uint64(1), restored.Lease("l").Epoch)
+	require.Equal(t, uint64(1), apply(restored, 0, "ana", `{"n":1}`).Version)
+	_, ok := restored.DeltaSince(1, files(`{"n":1}`).Digest())
 	require.True(t, ok)
 }
 
 func FuzzRestore(f *testing.F) {
 	m := New()
 	apply(m, 0, "ana", `{"n":1}`)
-	m.Apply(claimOf("k", "s", 1))
+	m.Apply(claimCommand("k", "s", 1))
 	data, _ := m.Snapshot()
 	f.Add(data)
 	f.Fuzz(func(t *testing.T, b []byte) {
--- a/core/state/snapshot.go
+++ b/core/state/snapshot.go
@@ -7,43 +7,44 @@
 	"github.com/verbenastep/verbenastep/core/config"
 )
 
-// savedState is the snapshot's form. The first of the deltas is a snapshot of
-// the oldest kept version; each other one leads to the next version.
-type savedState struct {
-	Versions []config.Delta `json:"versions"`
-	Applied  []accepted     `json:"applied"`
-	Leases   []Lease        `json:"leases"`
-	Claims   []*Claim       `json:"claims"`
-	Suspects []Suspect      `json:"suspects"`
-	Table    *Publish       `json:"table,omitempty"`
+// snapshot is the encoded form of the state. The first delta is a snapshot of the
+// oldest kept version; each of the others leads to the next version.
+type snapshot struct {
+	Versions []config.Delta  `json:"versions"`
+	Applied  []appliedChange `json:"applied"`
+	Leases   []Lease         `json:"leases"`
+	Claims   []*Claim        `json:"claims"`
+	Suspects []Suspect       `json:"suspects"`
+	Table    *Publish        `json:"table,omitempty"`
 }
 
-// Frozen is the state at one moment. It may be encoded while the machine goes
-// on.
+// Frozen is an immutable view of the state at one moment. It may be encoded
+// while the machine applies further commands.
 type Frozen struct {
 	versions []version
-	saved    savedState
+	snapshot snapshot
 }
 
-// Freeze returns the state as it is now; it copies no claim.
+// Freeze returns a view of the current state. It shares the claims with the
+// machine instead of copying them.
 func (m *Machine) Freeze() Frozen {
 	f := Frozen{versions: append([]version{}, m.versions...)}
-	f.saved.Applied = append(f.saved.Applied, m.applied...)
+	f.snapshot.Applied = append(f.snapshot.Applied, m.applied...)
 	for _, l := range m.leases {
-		f.saved.Leases = append(f.saved.Leases, l)
+		f.snapshot.Leases = append(f.snapshot.Leases, l)
 	}
-	for _, k := range m.order {
-		f.saved.Claims = append(f.saved.Claims, m.claims[k])
+	for _, k := range m.claimOrder {
+		f.snapshot.Claims = append(f.snapshot.Claims, m.claims[k])
 	}
-	f.saved.Suspects = m.Suspects()
+	f.snapshot.Suspects = m.Suspects()
 	if m.table.Version > 0 {
 		table := m.table
-		f.saved.Table = &table
+		f.snapshot.Table = &table
 	}
 	return f
 }
 
-// Encode gives the snapshot's bytes.
+// Encode returns the state as JSON, for Restore.
 func (f Frozen) Encode() ([]byte, error) {
 	before := config.Files{}
 	for i, v := range f.versions {
@@ -55,68 +56,69 @@
 		if i > 0 {
 			d.From = f.versions[i-1].number
 		}
-		f.saved.Versions = append(f.saved.Versions, d)
+		f.snapshot.Versions = append(f.snapshot.Versions, d)
 		before = v.files
 	}
-	return json.Marshal(f.saved)
+	return json.Marshal(f.snapshot)
 }
 
-// Snapshot encodes the whole state.
+// Snapshot returns the current state as JSON, for Restore.
 func (m *Machine) Snapshot() ([]byte, error) { return m.Freeze().Encode() }
 
-// SnapshotError says that a snapshot can't be decoded.
+// SnapshotError reports that a snapshot can't be decoded.
 type SnapshotError struct {
 	Cause error
 }
 
-// Error names the remedy.
+// Error returns the cause and what to do about it.
 func (e *SnapshotError) Error() string {
 	return fmt.Sprintf("snapshot is not readable: %v; restore it from another replica or a backup", e.Cause)
 }
 
-// Unwrap returns the cause.
+// Unwrap returns the underlying error.
 func (e *SnapshotError) Unwrap() error {
 	return e.Cause
 }
 
-// Restore replaces the state by a snapshot's; on an error nothing changes.
+// Restore replaces the state with a snapshot's. It returns a SnapshotError and
+// changes nothing if the snapshot can't be decoded.
 func (m *Machine) Restore(data []byte) error {
-	s := savedState{}
+	s := snapshot{}
 	if err := json.Unmarshal(data, &s); err != nil {
 		return &SnapshotError{Cause: err}
 	}
 	if len(s.Versions) == 0 {
 		return &SnapshotError{Cause: fmt.Errorf("it holds no configuration version")}
 	}
-	fresh := New()
-	fresh.versions = nil
-	fresh.applied = s.Applied
-	if err := fresh.restoreVersions(s.Versions); err != nil {
+	restored := New()
+	restored.versions = nil
+	restored.applied = s.Applied
+	if err := restored.restoreVersions(s.Versions); err != nil {
 		return &SnapshotError{Cause: err}
 	}
 	for _, l := range s.Leases {
-		fresh.leases[l.Name] = l
+		restored.leases[l.Name] = l
 	}
 	for _, c := range s.Claims {
 		if c == nil {
 			return &SnapshotError{Cause: fmt.Errorf("it holds an empty claim")}
 		}
 		k := claimKey{workspace: c.Workspace, key: c.Key}
-		if _, twice := fresh.claims[k]; twice {
+		if _, duplicate := restored.claims[k]; duplicate {
 			return &SnapshotError{Cause: fmt.Errorf("it holds a claim twice")}
 		}
-		fresh.claims[k] = c
-		fresh.order = append(fresh.order, k)
-		fresh.claimBytes += c.size()
-		fresh.answerBytes += int64(len(c.Body))
+		restored.claims[k] = c
+		restored.claimOrder = append(restored.claimOrder, k)
+		restored.claimBytes += c.sizeBytes()
+		restored.answerBytes += int64(len(c.Body))
 	}
 	for _, x := range s.Suspects {
-		fresh.suspects[suspectKey{pool: x.Pool, fingerprint: x.Fingerprint}] = x
+		restored.suspects[suspectKey{pool: x.Pool, fingerprint: x.Fingerprint}] = x
 	}
 	if s.Table != nil {
-		fresh.table = *s.Table
+		restored.table = *s.Table
 	}
-	*m = *fresh
+	*m = *restored
 	return nil
 }
 
@@ -127,7 +129,7 @@
 		if err != nil {
 			return err
 		}
-		files = share(files, next)
+		files = shareUnchanged(files, next)
 		m.versions = append(m.versions, version{number: d.Version, files: files, digest: d.Digest})
 	}
 	return nil
--- a/core/state/state.go
+++ b/core/state/state.go
@@ -1,11 +1,12 @@
-// Package state is the replicated state machine: the accepted configuration,
-// leases, claims on request keys, and the route table.
+// Package state implements the replicated state machine: the accepted
+// configuration, leases, claims on request keys, crash suspects and the route
+// table. Each replica applies the committed log entries to its own Machine.
 //
-// It is driven only by committed commands, in the log's order, and is
-// deterministic: it reads no clock, time comes inside commands. Invariants:
-// the configuration's version only grows, by one an apply; a lease's epoch only
-// grows; a claim that is dispatched never becomes undispatched before it is
-// trimmed.
+// The machine changes only by committed commands, in log order, and is
+// deterministic: it reads no clock, times are part of the commands. Invariants:
+// the configuration version only increases, by one with each accepted change; a
+// lease's epoch only increases; a dispatched claim never becomes undispatched
+// before it is trimmed.
 package state
 
 import (
@@ -14,7 +15,7 @@
 	"github.com/verbenastep/verbenastep/core/config"
 )
 
-// Command is one log entry: exactly one field is set.
+// Command is one log entry. Exactly one field is set.
 type Command struct {
 	Apply   *Apply   `json:"apply,omitempty"`
 	Acquire *Acquire `json:"acquire,omitempty"`
@@ -26,114 +27,121 @@
 	Publish *Publish `json:"publish,omitempty"`
 }
 
-// Result answers one command.
+// Result is the result of one command.
 type Result struct {
-	// Status says how the command ended.
+	// Status is the outcome of the command.
 	Status Status `json:"status"`
-	// Version and Digest are the accepted configuration's after an Apply.
+	// Version and Digest identify the accepted configuration after an Apply.
+	// After a Publish, Version is that of the route table in force.
 	Version uint64 `json:"version,omitempty"`
 	Digest  string `json:"digest,omitempty"`
-	// Winner is who applied the version that a conflicting Apply lost to: the
-	// first on the same base where that is still known.
+	// Winner is the operator whose change a conflicting Apply lost to: the first
+	// accepted on the same base if that is still known, otherwise the latest.
 	Winner string `json:"winner,omitempty"`
 	// Lease is the lease after an Acquire or Expire.
 	Lease *Lease `json:"lease,omitempty"`
-	// Claim is the claim that stands after a Claim or Finish; it must not be
-	// changed.
+	// Claim is the claim in force after a Claim or Finish. The caller must not
+	// change it.
 	Claim *Claim `json:"claim,omitempty"`
-	// Differences lists, after a conflicting Apply, where its files and the
-	// accepted ones differ.
+	// Differences lists where the files of a conflicting Apply differ from the
+	// accepted ones.
 	Differences []config.Difference `json:"differences,omitempty"`
 }
 
-// Status is a command's outcome.
+// Status is the outcome of a command.
 type Status string
 
 // Statuses.
 const (
-	// OK says that the command took effect, or had done so before.
+	// OK means that the command took effect, now or when it was first sent.
 	OK Status = "ok"
-	// Conflict says that another command won; the result shows it.
+	// Conflict means that an earlier command conflicts; the result describes it.
 	Conflict Status = "conflict"
-	// Exists says that the key is claimed already with the same content.
+	// Exists means that the key is already claimed for the same content.
 	Exists Status = "exists"
-	// Held says that another holder has the lease.
+	// Held means that another holder has the lease.
 	Held Status = "held"
-	// Invalid says that the command is malformed; nothing changed.
+	// Invalid means that the command is malformed; nothing changed.
 	Invalid Status = "invalid"
-	// NotFound says that the command names something the state lacks.
+	// NotFound means that the named claim or lease does not exist.
 	NotFound Status = "not_found"
-	// Full says that the claims' bound in bytes is reached; nothing changed.
+	// Full means that MaxClaimBytes is reached; nothing changed.
 	Full Status = "full"
-	// Superseded says that a route table of the same or a higher version is
-	// held; nothing changed.
+	// Superseded means that a route table of the same or a higher version is in
+	// force; nothing changed.
 	Superseded Status = "superseded"
 )
 
-// Apply replaces the configuration as a whole by compare-and-set.
+// Apply replaces the whole configuration by compare-and-set on its version.
 type Apply struct {
-	// Base is the version the operator started from.
+	// Base is the version that the change is based on.
 	Base uint64 `json:"base"`
-	// Files is the whole new content.
-	Files    config.Files `json:"files"`
-	Operator string       `json:"operator"`
+	// Files is the complete new configuration.
+	Files config.Files `json:"files"`
+	// Operator is the name of the operator who sent the change.
+	Operator string `json:"operator"`
 }
 
-// Lease gives one holder a role until it is expired.
+// Lease assigns a role to one holder until an Expire ends it.
 type Lease struct {
 	Name   string `json:"name"`
 	Holder string `json:"holder"`
-	// Epoch fences orders of earlier holders; zero means never held.
+	// Epoch increases with each new holder and fences off orders of earlier
+	// ones; zero means that the lease was never held.
 	Epoch uint64 `json:"epoch"`
 }
 
-// Acquire takes a lease that nobody holds. For the present holder it changes
-// nothing and answers the same epoch.
+// Acquire takes a lease that nobody holds. For the current holder it changes
+// nothing and returns the same epoch.
 type Acquire struct {
 	Name   string `json:"name"`
 	Holder string `json:"holder"`
 }
 
-// Expire ends a lease that its holder has not renewed, or gives up. It has no
-// effect where the epoch is not the present one.
+// Expire ends a lease that its holder has not renewed or gives up. It has no
+// effect if the epoch is not the current one.
 type Expire struct {
 	Name  string `json:"name"`
 	Epoch uint64 `json:"epoch"`
 }
 
-// Claim records, before the first byte goes out, that a request is dispatched.
+// Claim records that a request is dispatched. It is committed before the first
+// byte is sent to the upstream.
 type Claim struct {
 	Workspace string `json:"workspace"`
 	Key       string `json:"key"`
-	// Digest is the hash of the request's content.
+	// Digest is the hash of the request's content, which distinguishes a resend
+	// from another request under the same key.
 	Digest string `json:"digest"`
-	// Entry is the daemon that dispatches.
+	// Entry is the peer address of the dispatching daemon.
 	Entry    string `json:"entry"`
 	Pool     string `json:"pool"`
 	Upstream string `json:"upstream"`
-	// Address is the upstream's, for resuming the stream.
+	// Address is the upstream's address, for resuming the stream.
 	Address string `json:"address"`
-	Stream  string `json:"stream"`
-	// AtMS is the proposer's wall time in Unix milliseconds, for retention.
+	// Stream identifies the dispatch.
+	Stream string `json:"stream"`
+	// AtMS is the proposer's wall clock time in Unix milliseconds, for Trim.
 	AtMS int64 `json:"at_ms"`
 	// Done, Status, ContentType, Body, Length and Unknown are set by Finish.
 	Done        bool   `json:"done,omitempty"`
 	Status      int    `json:"status,omitempty"`
 	ContentType string `json:"content_type,omitempty"`
-	// Body is the whole answer where it is short enough to be kept in the log.
-	Body   []byte `json:"body,omitempty"`
-	Length int64  `json:"length,omitempty"`
-	// Unknown says that nobody can tell whether the request ran to its end.
+	// Body is the complete answer if it is short enough to be kept in the log.
+	Body []byte `json:"body,omitempty"`
+	// Length is the answer's size in bytes, whether or not Body holds it.
+	Length int64 `json:"length,omitempty"`
+	// Unknown is set if it can't be determined whether the request completed.
 	Unknown bool `json:"unknown,omitempty"`
 	// Attempt numbers the claims on one key, from 1; zero counts as 1. A claim
-	// that ended as NotRun gives way to the next attempt of the same content.
+	// that ended as NotRun is replaced by the next attempt with the same content.
 	Attempt uint64 `json:"attempt,omitempty"`
-	// NotRun says that the attempt sent nothing and never will.
+	// NotRun is set if the attempt sent nothing and never will.
 	NotRun bool `json:"not_run,omitempty"`
 }
 
-// Finish records how a claimed request ended. The first Finish stands, but an
-// answer replaces an unknown outcome.
+// Finish records how a claimed request ended. The first Finish is final, except
+// that a later one replaces an unknown outcome.
 type Finish struct {
 	Workspace   string `json:"workspace"`
 	Key         string `json:"key"`
@@ -146,11 +154,13 @@
 	NotRun      bool   `json:"not_run,omitempty"`
 }
 
-// Trim drops claims made before a time, oldest first, and the recorded answers
-// of further ones, oldest first, until the rest fits.
+// Trim removes claims and suspects made before a time; claims in commit order, up
+// to the first newer one. Then it removes recorded answers of the remaining
+// claims, oldest first, until the rest fits in AnswerBytes.
 type Trim struct {
+	// BeforeMS is a time in Unix milliseconds.
 	BeforeMS int64 `json:"before_ms"`
-	// AnswerBytes bounds the recorded answers; zero means no bound.
+	// AnswerBytes bounds the size of the recorded answers; zero means no limit.
 	AnswerBytes int64 `json:"answer_bytes,omitempty"`
 }
 
@@ -159,7 +169,8 @@
 	Pool string `json:"pool"`
 	// Fingerprint identifies the request's content.
 	Fingerprint uint64 `json:"fingerprint"`
-	// Crashes is how many upstreams died so far; zero clears the suspicion.
+	// Crashes is the number of upstreams that died so far; zero removes the
+	// suspect.
 	Crashes int   `json:"crashes"`
 	AtMS    int64 `json:"at_ms"`
 }
@@ -170,27 +181,27 @@
 	fingerprint uint64
 }
 
-// claimKey identifies a claim: keys of two workspaces never meet.
+// claimKey identifies a claim; each workspace has its own key space.
 type claimKey struct {
 	workspace string
 	key       string
 }
 
-// MaxClaimBytes bounds what claims take, without the recorded answers.
+// MaxClaimBytes bounds the memory of all claims, without recorded answers.
 const MaxClaimBytes = 1 << 30
 
-// Machine is the state. It is not safe for concurrent use.
+// Machine is the replicated state. It is not safe for concurrent use.
 type Machine struct {
 	versions []version
-	// applied lists accepted changes, oldest first, for resent ones.
-	applied []accepted
+	// applied lists accepted changes, oldest first, to recognize resent ones.
+	applied []appliedChange
 	leases  map[string]Lease
-	// claims are never changed in place, so that a frozen state may share them.
+	// claims are replaced, never changed in place, because a Frozen shares them.
 	claims map[claimKey]*Claim
-	// order lists claims by commit, for trimming.
-	order []claimKey
-	// claimBytes and answerBytes are the claims' sizes without and of their
-	// recorded answers.
+	// claimOrder lists claims by commit, for trimming.
+	claimOrder []claimKey
+	// claimBytes is the size of all claims without recorded answers, answerBytes
+	// that of the recorded answers.
 	claimBytes  int64
 	answerBytes int64
 	suspects    map[suspectKey]Suspect
@@ -198,7 +209,7 @@
 	table Publish
 }
 
-// New returns the empty state at configuration version zero.
+// New returns an empty state with configuration version zero.
 func New() *Machine {
 	return &Machine{
 		versions: []version{{files: config.Files{}, digest: config.Files{}.Digest()}},
@@ -208,25 +219,25 @@
 	}
 }
 
-// Apply executes one committed command.
+// Apply executes one committed command and returns its result.
 func (m *Machine) Apply(c Command) Result {
 	switch {
 	case c.Apply != nil:
 		return m.applyConfig(c.Apply)
 	case c.Acquire != nil:
-		return m.acquire(c.Acquire)
+		return m.applyAcquire(c.Acquire)
 	case c.Expire != nil:
-		return m.expire(c.Expire)
+		return m.applyExpire(c.Expire)
 	case c.Claim != nil:
-		return m.claim(c.Claim)
+		return m.applyClaim(c.Claim)
 	case c.Finish != nil:
-		return m.finish(c.Finish)
+		return m.applyFinish(c.Finish)
 	case c.Trim != nil:
-		return m.trim(c.Trim)
+		return m.applyTrim(c.Trim)
 	case c.Suspect != nil:
-		return m.suspect(c.Suspect)
+		return m.applySuspect(c.Suspect)
 	case c.Publish != nil:
-		return m.publish(c.Publish)
+		return m.applyPublish(c.Publish)
 	}
 	return Result{Status: Invalid}
 }
@@ -235,14 +246,14 @@
 	return m.versions[len(m.versions)-1]
 }
 
-// Config returns the accepted version, its digest and its files, which the
-// caller must not change.
+// Config returns the accepted configuration's version, digest and files. The
+// caller must not change the files.
 func (m *Machine) Config() (number uint64, digest string, files config.Files) {
 	v := m.current()
 	return v.number, v.digest, v.files
 }
 
-func (m *Machine) acquire(a *Acquire) Result {
+func (m *Machine) applyAcquire(a *Acquire) Result {
 	if a.Name == "" || a.Holder == "" {
 		return Result{Status: Invalid}
 	}
@@ -257,7 +268,7 @@
 	return Result{Status: OK, Lease: &l}
 }
 
-func (m *Machine) expire(e *Expire) Result {
+func (m *Machine) applyExpire(e *Expire) Result {
 	l, ok := m.leases[e.Name]
 	if !ok {
 		return Result{Status: NotFound}
@@ -270,7 +281,7 @@
 	return Result{Status: OK, Lease: &l}
 }
 
-// Lease returns a lease; its holder is empty where nobody has it.
+// Lease returns the named lease. Its holder is empty if nobody holds it.
 func (m *Machine) Lease(name string) Lease {
 	l := m.leases[name]
 	l.Name = name
@@ -286,34 +297,35 @@
 	return out
 }
 
-// claim is the compare-and-set on a request's key.
-func (m *Machine) claim(c *Claim) Result {
+// applyClaim adds a claim unless the request's key has one already.
+func (m *Machine) applyClaim(c *Claim) Result {
 	if c.Workspace == "" || c.Key == "" || c.Stream == "" {
 		return Result{Status: Invalid}
 	}
 	k := claimKey{workspace: c.Workspace, key: c.Key}
-	if old, ok := m.claims[k]; ok && old.yields(c) {
+	if old, ok := m.claims[k]; ok && old.isReplaceableBy(c) {
 		m.claims[k] = c.clone()
-		m.claimBytes += c.size() - old.size()
+		m.claimBytes += c.sizeBytes() - old.sizeBytes()
 		m.answerBytes -= int64(len(old.Body))
 		return Result{Status: OK, Claim: c.clone()}
 	}
 	if old, ok := m.claims[k]; ok {
-		return Result{Status: old.compare(c), Claim: old.clone()}
+		return Result{Status: old.compareProposal(c), Claim: old.clone()}
 	}
-	if m.claimBytes+c.size() > MaxClaimBytes {
+	if m.claimBytes+c.sizeBytes() > MaxClaimBytes {
 		return Result{Status: Full}
 	}
 	made := c.clone()
 	m.claims[k] = made
-	m.order = append(m.order, k)
-	m.claimBytes += made.size()
+	m.claimOrder = append(m.claimOrder, k)
+	m.claimBytes += made.sizeBytes()
 	m.answerBytes += int64(len(made.Body))
 	return Result{Status: OK, Claim: made}
 }
 
-// compare tells a retried proposal, a resend and a conflict apart.
-func (c *Claim) compare(other *Claim) Status {
+// compareProposal returns OK for a retried proposal, Exists for a resend of the same
+// content and Conflict for different content.
+func (c *Claim) compareProposal(other *Claim) Status {
 	if c.Stream == other.Stream {
 		return OK
 	}
@@ -323,18 +335,18 @@
 	return Conflict
 }
 
-// yields tells whether the next attempt may replace the claim.
-func (c *Claim) yields(next *Claim) bool {
+// isReplaceableBy reports whether the next attempt may replace the claim.
+func (c *Claim) isReplaceableBy(next *Claim) bool {
 	return c.NotRun && c.Digest == next.Digest && next.Attempt == max(c.Attempt, 1)+1
 }
 
-// claimOverhead is what a claim takes besides its strings, in bytes.
-const claimOverhead = 256
+// claimOverheadBytes estimates the memory of a claim besides its strings.
+const claimOverheadBytes = 256
 
-// size is what the claim takes in memory without its recorded answer.
-func (c *Claim) size() int64 {
+// sizeBytes estimates the claim's memory without its recorded answer.
+func (c *Claim) sizeBytes() int64 {
 	n := len(c.Workspace) + len(c.Key) + len(c.Digest) + len(c.Entry) + len(c.Pool) + len(c.Upstream) + len(c.Address) + len(c.Stream)
-	return claimOverhead + int64(n)
+	return claimOverheadBytes + int64(n)
 }
 
 func (c *Claim) clone() *Claim {
@@ -343,7 +355,7 @@
 	return &out
 }
 
-func (m *Machine) finish(f *Finish) Result {
+func (m *Machine) applyFinish(f *Finish) Result {
 	k := claimKey{workspace: f.Workspace, key: f.Key}
 	c, ok := m.claims[k]
 	if !ok || c.Stream != f.Stream {
@@ -365,7 +377,8 @@
 	return Result{Status: OK, Claim: c.clone()}
 }
 
-// Claim finds the claim on a workspace's key.
+// Claim returns a copy of the claim on a workspace's key, and false if there is
+// none.
 func (m *Machine) Claim(workspace, key string) (Claim, bool) {
 	c, ok := m.claims[claimKey{workspace: workspace, key: key}]
 	if !ok {
@@ -374,16 +387,16 @@
 	return *c.clone(), true
 }
 
-func (m *Machine) trim(t *Trim) Result {
+func (m *Machine) applyTrim(t *Trim) Result {
 	n := 0
-	for n < len(m.order) && m.claims[m.order[n]].AtMS < t.BeforeMS {
-		old := m.claims[m.order[n]]
-		m.claimBytes -= old.size()
+	for n < len(m.claimOrder) && m.claims[m.claimOrder[n]].AtMS < t.BeforeMS {
+		old := m.claims[m.claimOrder[n]]
+		m.claimBytes -= old.sizeBytes()
 		m.answerBytes -= int64(len(old.Body))
-		delete(m.claims, m.order[n])
+		delete(m.claims, m.claimOrder[n])
 		n++
 	}
-	m.order = append([]claimKey{}, m.order[n:]...)
+	m.claimOrder = append([]claimKey{}, m.claimOrder[n:]...)
 	m.trimAnswers(t.AnswerBytes)
 	for k, s := range m.suspects {
 		if s.AtMS < t.BeforeMS {
@@ -393,11 +406,11 @@
 	return Result{Status: OK}
 }
 
-// trimAnswers drops recorded answers, oldest first. Their claims stay, so that
-// the keys still can't run again.
-func (m *Machine) trimAnswers(bound int64) {
-	for _, k := range m.order {
-		if bound == 0 || m.answerBytes <= bound {
+// trimAnswers removes recorded answers, oldest first. Their claims stay, so that
+// the keys can't run again.
+func (m *Machine) trimAnswers(maxBytes int64) {
+	for _, k := range m.claimOrder {
+		if maxBytes == 0 || m.answerBytes <= maxBytes {
 			return
 		}
 		old := m.claims[k]
@@ -411,19 +424,19 @@
 	}
 }
 
-// Oldest returns when the oldest claim was made, in Unix milliseconds, and
-// false where there is none.
+// Oldest returns the time of the oldest claim in Unix milliseconds, and false if
+// there is none.
 func (m *Machine) Oldest() (int64, bool) {
-	if len(m.order) == 0 {
+	if len(m.claimOrder) == 0 {
 		return 0, false
 	}
-	return m.claims[m.order[0]].AtMS, true
+	return m.claims[m.claimOrder[0]].AtMS, true
 }
 
-// AnswerBytes returns the size of the recorded answers.
+// AnswerBytes returns the size of all recorded answers in bytes.
 func (m *Machine) AnswerBytes() int64 { return m.answerBytes }
 
-func (m *Machine) suspect(s *Suspect) Result {
+func (m *Machine) applySuspect(s *Suspect) Result {
 	k := suspectKey{pool: s.Pool, fingerprint: s.Fingerprint}
 	if s.Crashes <= 0 {
 		delete(m.suspects, k)
@@ -433,7 +446,7 @@
 	return Result{Status: OK}
 }
 
-// Suspects lists the suspects in no order.
+// Suspects returns a copy of the suspects in no particular order.
 func (m *Machine) Suspects() []Suspect {
 	out := make([]Suspect, 0, len(m.suspects))
 	for _, s := range m.suspects {
@@ -442,7 +455,7 @@
 	return out
 }
 
-// Claims returns how many claims are held.
+// Claims returns the number of claims.
 func (m *Machine) Claims() int {
 	return len(m.claims)
 }
