--- a/core/config/check.go
+++ b/core/config/check.go
@@ -8,46 +8,48 @@
 	"strings"
 )
 
-// CheckFiles merges files as far as they can be read and reports every fault
-// between sections, each with the file and the path in which it stands. Faults
-// of a file's shape are the schema's matter and passed over.
+// CheckFiles merges the readable parts of the files and returns every fault that
+// Check finds, each with the file and the JSON path where it occurs. Files that
+// violate the schema are not reported; that is the schema validator's task.
 func CheckFiles(files Files) Faults {
-	whole := &Config{}
-	from := origins{}
+	merged := &Config{}
+	elementOrigins := origins{}
 	faults := Faults{}
-	timeouts := ""
+	timeoutsFile := ""
 	for _, p := range files.Paths() {
 		part := Config{}
-		// A value of the wrong type leaves its field empty and the rest whole.
+		// A value of the wrong type leaves its field empty; the other fields are
+		// still decoded.
 		_ = json.Unmarshal(files[p], &part)
-		if part.Timeouts != nil && timeouts != "" {
-			faults = append(faults, Fault{File: p, Path: "$.timeouts", Message: fmt.Sprintf("timeouts are declared in %s too", timeouts), Remedy: "keep them in one file"})
+		if part.Timeouts != nil && timeoutsFile != "" {
+			faults = append(faults, Fault{File: p, Path: "$.timeouts", Message: fmt.Sprintf("timeouts are declared in %s too", timeoutsFile), Remedy: "keep them in one file"})
 		}
 		if part.Timeouts != nil {
-			timeouts = p
+			timeoutsFile = p
 		}
-		from.add(p, &part)
-		whole.add(&part)
+		elementOrigins.record(p, &part)
+		merged.appendSections(&part)
 	}
-	found := Faults{}
-	if errors.As(Check(whole), &found) {
-		for _, f := range found {
-			faults = append(faults, from.locate(f))
+	mergedFaults := Faults{}
+	if errors.As(Check(merged), &mergedFaults) {
+		for _, f := range mergedFaults {
+			faults = append(faults, elementOrigins.locate(f))
 		}
 	}
 	return faults
 }
 
-// origin is where an element of a merged section came from.
+// origin is the file, and the index in that file's section, of an element of a
+// merged section.
 type origin struct {
 	file  string
 	index int
 }
 
-// origins holds the elements' origins by section.
+// origins maps each section to the origins of its merged elements, in order.
 type origins map[string][]origin
 
-func (o origins) add(file string, part *Config) {
+func (o origins) record(file string, part *Config) {
 	sizes := []struct {
 		section string
 		size    int
@@ -66,7 +68,8 @@
 	}
 }
 
-// locate turns a path in the merged whole into a file and the path in it.
+// locate replaces a path in the merged configuration by the file and the path in
+// that file. Faults that concern no list element are returned unchanged.
 func (o origins) locate(f Fault) Fault {
 	section, rest, ok := strings.Cut(strings.TrimPrefix(f.Path, "$."), "[")
 	number, rest, closed := strings.Cut(rest, "]")
@@ -80,17 +83,17 @@
 	return f
 }
 
-// Check reports every fault that lies between sections: duplicate names,
-// dangling references, values out of range. The shape of each file is the
-// schema's matter.
+// Check validates what the schema of a single file can't: unique names,
+// references between sections and value ranges. It returns all faults as Faults,
+// or nil.
 func Check(c *Config) error {
 	k := &checker{}
-	k.tiers(c)
-	k.regions(c)
-	k.workspaces(c)
-	k.models(c)
-	k.services(c)
-	k.operators(c)
+	k.checkTiers(c)
+	k.checkRegions(c)
+	k.checkWorkspaces(c)
+	k.checkModels(c)
+	k.checkServices(c)
+	k.checkOperators(c)
 	if len(k.faults) > 0 {
 		return k.faults
 	}
@@ -101,26 +104,26 @@
 	faults Faults
 }
 
-func (k *checker) add(remedy, path, format string, args ...any) {
+func (k *checker) addFault(remedy, path, format string, args ...any) {
 	f := Fault{Path: path, Message: fmt.Sprintf(format, args...), Remedy: remedy}
 	k.faults = append(k.faults, f)
 }
 
-func (k *checker) unique(section string, names []string) {
+func (k *checker) checkUniqueNames(section string, names []string) {
 	seen := map[string]bool{}
 	for i, n := range names {
 		path := fmt.Sprintf("$.%s[%d].name", section, i)
 		if n == "" {
-			k.add("give it a name", path, "the name is empty")
+			k.addFault("give it a name", path, "the name is empty")
 		}
 		if seen[n] {
-			k.add("rename or remove one of them", path, "%q is declared twice", n)
+			k.addFault("rename or remove one of them", path, "%q is declared twice", n)
 		}
 		seen[n] = true
 	}
 }
 
-func names[T any](items []T, name func(T) string) []string {
+func mapNames[T any](items []T, name func(T) string) []string {
 	out := make([]string, 0, len(items))
 	for _, it := range items {
 		out = append(out, name(it))
@@ -128,44 +131,44 @@
 	return out
 }
 
-func (k *checker) tiers(c *Config) {
-	k.unique("tiers", names(c.Tiers, func(t Tier) string { return t.Name }))
+func (k *checker) checkTiers(c *Config) {
+	k.checkUniqueNames("tiers", mapNames(c.Tiers, func(t Tier) string { return t.Name }))
 	if len(c.Tiers) == 0 {
-		k.add("declare at least one tier", "$.tiers", "no tier is declared")
+		k.addFault("declare at least one tier", "$.tiers", "no tier is declared")
 	}
 	for i, t := range c.Tiers {
 		if t.GoodputMS <= 0 {
-			k.add("give milliseconds above zero", fmt.Sprintf("$.tiers[%d].goodput_ms", i), "the time is %d", t.GoodputMS)
+			k.addFault("give milliseconds above zero", fmt.Sprintf("$.tiers[%d].goodput_ms", i), "the time is %d", t.GoodputMS)
 		}
-		k.limits(fmt.Sprintf("$.tiers[%d].limits", i), t.Limits)
+		k.checkLimits(fmt.Sprintf("$.tiers[%d].limits", i), t.Limits)
 	}
 }
 
-func (k *checker) limits(path string, l *Limits) {
+func (k *checker) checkLimits(path string, l *Limits) {
 	if l == nil {
 		return
 	}
 	if l.RequestsPerMinute < 0 || l.Concurrency < 0 || l.TokensPerHour < 0 {
-		k.add("give zero for no limit, or a number above it", path, "a limit is negative")
+		k.addFault("give zero for no limit, or a number above it", path, "a limit is negative")
 	}
 }
 
-func (k *checker) regions(c *Config) {
-	k.unique("regions", names(c.Regions, func(r Region) string { return r.Name }))
+func (k *checker) checkRegions(c *Config) {
+	k.checkUniqueNames("regions", mapNames(c.Regions, func(r Region) string { return r.Name }))
 	owner := map[string]string{}
 	for i, r := range c.Regions {
 		for j, dc := range r.DataCentres {
 			path := fmt.Sprintf("$.regions[%d].data_centres[%d]", i, j)
 			if other, ok := owner[dc]; ok {
-				k.add("rename or remove one of them", path, "%q is declared in region %q too", dc, other)
+				k.addFault("rename or remove one of them", path, "%q is declared in region %q too", dc, other)
 			}
 			owner[dc] = r.Name
 		}
 	}
 }
 
-func (k *checker) workspaces(c *Config) {
-	k.unique("workspaces", names(c.Workspaces, func(w Workspace) string { return w.Name }))
+func (k *checker) checkWorkspaces(c *Config) {
+	k.checkUniqueNames("workspaces", mapNames(c.Workspaces, func(w Workspace) string { return w.Name }))
 	regions := map[string]bool{}
 	for _, r := range c.Regions {
 		regions[r.Name] = true
@@ -174,65 +177,65 @@
 	for i, w := range c.Workspaces {
 		path := fmt.Sprintf("$.workspaces[%d]", i)
 		if _, ok := c.TierIndex(w.Tier); !ok {
-			k.add("declare the tier or name another", path+".tier", "tier %q is not declared", w.Tier)
+			k.addFault("declare the tier or name another", path+".tier", "tier %q is not declared", w.Tier)
 		}
 		if !regions[w.HomeRegion] {
-			k.add("declare the region or name another", path+".home_region", "region %q is not declared", w.HomeRegion)
+			k.addFault("declare the region or name another", path+".home_region", "region %q is not declared", w.HomeRegion)
 		}
 		if w.Weight < 0 {
-			k.add("give a weight of 1 or more, or leave it out", path+".weight", "the weight is %d", w.Weight)
+			k.addFault("give a weight of 1 or more, or leave it out", path+".weight", "the weight is %d", w.Weight)
 		}
-		k.limits(path+".limits", w.Limits)
-		k.keys(path+".keys", w.Name, w.Keys, owner)
+		k.checkLimits(path+".limits", w.Limits)
+		k.checkKeys(path+".keys", w.Name, w.Keys, owner)
 	}
 }
 
-// keys checks the form of hashed keys and that no two owners share one.
-func (k *checker) keys(path, name string, keys []string, owner map[string]string) {
+// checkKeys checks the format of key hashes and that no two owners share a key.
+func (k *checker) checkKeys(path, name string, keys []string, owner map[string]string) {
 	for i, key := range keys {
 		at := fmt.Sprintf("%s[%d]", path, i)
-		if !validKeyHash(key) {
-			k.add(`write "sha256:" and the 64 hex digits of the key's SHA-256`, at, "the key's hash is malformed")
+		if !isKeyHash(key) {
+			k.addFault(`write "sha256:" and the 64 hex digits of the key's SHA-256`, at, "the key's hash is malformed")
 		}
 		if other, ok := owner[key]; ok {
-			k.add("give each its own key", at, "the key belongs to %q too", other)
+			k.addFault("give each its own key", at, "the key belongs to %q too", other)
 		}
 		owner[key] = name
 	}
 }
 
-func (k *checker) models(c *Config) {
-	k.unique("models", names(c.Models, func(m Model) string { return m.Name }))
+func (k *checker) checkModels(c *Config) {
+	k.checkUniqueNames("models", mapNames(c.Models, func(m Model) string { return m.Name }))
 	for i, m := range c.Models {
 		if m.MaxTokens < 0 || m.BlockTokens < 0 {
-			k.add("give tokens above zero, or leave it out", fmt.Sprintf("$.models[%d]", i), "a token count is negative")
+			k.addFault("give tokens above zero, or leave it out", fmt.Sprintf("$.models[%d]", i), "a token count is negative")
 		}
 		if _, clash := c.Service(m.Name); clash {
-			k.add("rename one of them", fmt.Sprintf("$.models[%d].name", i), "%q is a service too", m.Name)
+			k.addFault("rename one of them", fmt.Sprintf("$.models[%d].name", i), "%q is a service too", m.Name)
 		}
 	}
 }
 
-func (k *checker) services(c *Config) {
-	k.unique("services", names(c.Services, func(s Service) string { return s.Name }))
+func (k *checker) checkServices(c *Config) {
+	k.checkUniqueNames("services", mapNames(c.Services, func(s Service) string { return s.Name }))
 	for i, s := range c.Services {
 		path := fmt.Sprintf("$.services[%d]", i)
-		k.unique(fmt.Sprintf("services[%d].operations", i), names(s.Operations, func(o Operation) string { return o.Name }))
+		k.checkUniqueNames(fmt.Sprintf("services[%d].operations", i), mapNames(s.Operations, func(o Operation) string { return o.Name }))
 		if len(s.Operations) == 0 {
-			k.add("declare its operations", path+".operations", "service %q has no operation", s.Name)
+			k.addFault("declare its operations", path+".operations", "service %q has no operation", s.Name)
 		}
 		for j, o := range s.Operations {
 			if !strings.HasPrefix(o.Path, "/") {
-				k.add(`start the path with "/"`, fmt.Sprintf("%s.operations[%d].path", path, j), "the path is %q", o.Path)
+				k.addFault(`start the path with "/"`, fmt.Sprintf("%s.operations[%d].path", path, j), "the path is %q", o.Path)
 			}
 		}
 	}
 }
 
-func (k *checker) operators(c *Config) {
-	k.unique("operators", names(c.Operators, func(o Operator) string { return o.Name }))
+func (k *checker) checkOperators(c *Config) {
+	k.checkUniqueNames("operators", mapNames(c.Operators, func(o Operator) string { return o.Name }))
 	owner := map[string]string{}
 	for i, o := range c.Operators {
-		k.keys(fmt.Sprintf("$.operators[%d].keys", i), o.Name, o.Keys, owner)
+		k.checkKeys(fmt.Sprintf("$.operators[%d].keys", i), o.Name, o.Keys, owner)
 	}
 }
--- a/core/config/config.go
+++ b/core/config/config.go
@@ -1,13 +1,15 @@
-// Package config holds the declared configuration: its types, how files merge
-// into one whole, the checks across them, and deltas between versions.
+// Package config defines the declared configuration: its types, the merging and
+// validation of its files, and deltas between versions. Operators' tools, the
+// replicated state and every daemon use it.
 //
 // The package is pure: it reads no file and no clock. Invariant: a Config that
 // Check accepts has unique names and no dangling reference.
 package config
 
-// Config is the whole declared configuration at one version.
+// Config is the complete declared configuration at one version. It is not
+// changed after Merge and is then safe for concurrent use.
 type Config struct {
-	// Tiers are in order: the first is the highest.
+	// Tiers are ordered from the highest to the lowest.
 	Tiers      []Tier      `json:"tiers,omitempty"`
 	Workspaces []Workspace `json:"workspaces,omitempty"`
 	Regions    []Region    `json:"regions,omitempty"`
@@ -16,7 +18,7 @@
 	Operators  []Operator  `json:"operators,omitempty"`
 	Timeouts   *Timeouts   `json:"timeouts,omitempty"`
 
-	index *index
+	index *workspaceIndex
 }
 
 // Tier is a class of service that workspaces subscribe to.
@@ -29,10 +31,10 @@
 	Limits *Limits `json:"limits,omitempty"`
 }
 
-// Limits bound what one workspace may use over all entries together. Zero
-// means no limit.
+// Limits bounds the use of one workspace over all entries together. Zero means
+// no limit.
 type Limits struct {
-	// RequestsPerMinute is an average rate, with a burst of one tenth of it.
+	// RequestsPerMinute is an average rate; bursts of a tenth of it are allowed.
 	RequestsPerMinute int64 `json:"requests_per_minute,omitempty"`
 	// Concurrency counts requests queued or in service.
 	Concurrency int64 `json:"concurrency,omitempty"`
@@ -44,24 +46,25 @@
 type Workspace struct {
 	Name string `json:"name"`
 	Tier string `json:"tier"`
-	// Weight is the share within the tier; zero means 1.
+	// Weight is the workspace's relative share within its tier; zero means 1.
 	Weight     int64   `json:"weight,omitempty"`
 	HomeRegion string  `json:"home_region"`
 	Limits     *Limits `json:"limits,omitempty"`
-	// Keys are hashes of bearer keys, each "sha256:" and 64 hex digits.
+	// Keys are hashes of bearer keys in the format of HashKey: "sha256:" and 64
+	// hex digits.
 	Keys []string `json:"keys"`
 }
 
-// Region is a group of data centres joined by fast links.
+// Region is a group of data centres connected by fast links.
 type Region struct {
 	Name        string   `json:"name"`
 	DataCentres []string `json:"data_centres"`
 }
 
-// Model is served by runners: engines that generate tokens.
+// Model is a model served by runners, the engines that generate tokens.
 type Model struct {
 	Name string `json:"name"`
-	// Version is the version to be loaded; empty means any.
+	// Version is the model version to load; empty means any.
 	Version  string   `json:"version,omitempty"`
 	Adapters []string `json:"adapters,omitempty"`
 	// MaxTokens bounds one answer, in tokens.
@@ -70,39 +73,43 @@
 	BlockTokens int64 `json:"block_tokens,omitempty"`
 }
 
-// Service is a plain service, reached under /services/NAME/.
+// Service is a plain HTTP service, called under /services/NAME/.
 type Service struct {
 	Name       string      `json:"name"`
 	Operations []Operation `json:"operations"`
-	// Concurrency is the most calls in flight on one upstream; zero means 1.
+	// Concurrency bounds the calls in flight on one upstream; zero means 1.
 	Concurrency int64 `json:"concurrency,omitempty"`
 }
 
 // Operation is one kind of call on a service.
 type Operation struct {
 	Name string `json:"name"`
-	// Method and Path match the call; a path ending in "/" matches below it.
-	Method     string `json:"method"`
-	Path       string `json:"path"`
-	Idempotent bool   `json:"idempotent,omitempty"`
-	// KeyOptional lets a non-idempotent operation run without the caller's key.
+	// Method and Path match the call; a path that ends in "/" matches all paths
+	// below it.
+	Method string `json:"method"`
+	Path   string `json:"path"`
+	// Idempotent is set if repeating a call has no further effect.
+	Idempotent bool `json:"idempotent,omitempty"`
+	// KeyOptional allows a non-idempotent operation without an idempotency key.
 	KeyOptional bool `json:"key_optional,omitempty"`
 }
 
 // Operator is a person or program that may apply configuration.
 type Operator struct {
-	Name string   `json:"name"`
+	Name string `json:"name"`
+	// Keys are hashes of bearer keys in the format of HashKey.
 	Keys []string `json:"keys"`
 }
 
-// Timeouts are system-wide, in milliseconds.
+// Timeouts are the system-wide time limits in milliseconds. Zero means the
+// default.
 type Timeouts struct {
 	// RequestMS bounds a request from arrival to the end of its answer.
 	RequestMS int64 `json:"request_ms,omitempty"`
-	// SilenceMS is how long a stream may carry nothing before the entry
-	// resumes it over a new connection.
+	// SilenceMS is the time without data after which the entry resumes a stream
+	// over a new connection.
 	SilenceMS int64 `json:"silence_ms,omitempty"`
-	// RetentionMS is how long claims and answers are kept.
+	// RetentionMS is the time for which claims and answers are kept.
 	RetentionMS int64 `json:"retention_ms,omitempty"`
 }
 
@@ -119,13 +126,13 @@
 	if c.Timeouts != nil {
 		t = *c.Timeouts
 	}
-	t.RequestMS = orDefault(t.RequestMS, DefaultRequestMS)
-	t.SilenceMS = orDefault(t.SilenceMS, DefaultSilenceMS)
-	t.RetentionMS = orDefault(t.RetentionMS, DefaultRetentionMS)
+	t.RequestMS = valueOrDefault(t.RequestMS, DefaultRequestMS)
+	t.SilenceMS = valueOrDefault(t.SilenceMS, DefaultSilenceMS)
+	t.RetentionMS = valueOrDefault(t.RetentionMS, DefaultRetentionMS)
 	return t
 }
 
-func orDefault(v, def int64) int64 {
+func valueOrDefault(v, def int64) int64 {
 	if v == 0 {
 		return def
 	}
@@ -142,7 +149,7 @@
 	return 0, false
 }
 
-// Model finds a model by name.
+// Model returns the named model, and false if there is none.
 func (c *Config) Model(name string) (Model, bool) {
 	for _, m := range c.Models {
 		if m.Name == name {
@@ -152,7 +159,7 @@
 	return Model{}, false
 }
 
-// Service finds a service by name.
+// Service returns the named service, and false if there is none.
 func (c *Config) Service(name string) (Service, bool) {
 	for _, s := range c.Services {
 		if s.Name == name {
@@ -162,8 +169,8 @@
 	return Service{}, false
 }
 
-// LimitsOf returns the limits in force for a workspace: its own, or its
-// tier's, or none.
+// LimitsOf returns the limits in force for a workspace: its own if declared,
+// otherwise its tier's, otherwise none.
 func (c *Config) LimitsOf(w Workspace) Limits {
 	if w.Limits != nil {
 		return *w.Limits
@@ -175,7 +182,8 @@
 	return Limits{}
 }
 
-// Match finds the operation for a call, the longest path first.
+// Match returns the operation with the longest path that matches a call, and
+// false if none does.
 func (s Service) Match(method, path string) (Operation, bool) {
 	best := Operation{}
 	found := false
@@ -198,6 +206,6 @@
 	if o.Path == path {
 		return true
 	}
-	below := len(o.Path) > 0 && o.Path[len(o.Path)-1] == '/'
-	return below && len(path) > len(o.Path) && path[:len(o.Path)] == o.Path
+	matchesSubtree := len(o.Path) > 0 && o.Path[len(o.Path)-1] == '/'
+	return matchesSubtree && len(path) > len(o.Path) && path[:len(o.Path)] == o.Path
 }
--- a/core/config/delta_test.go
+++ b/core/config/delta_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestCompareNamesThePlaces(t *testing.T) {
+func TestCompareReportsDifferingPaths(t *testing.T) {
 	yours := Files{"a": json.RawMessage(`{"n":1,"list":[1,{"x":2}]}`), "only": json.RawMessage(`{}`)}
 	theirs := Files{"a": json.RawMessage(`{"n":1,"list":[1,{"x":3}],"more":true}`)}
 	require.Equal(t, []Difference{
--- a/core/config/files.go
+++ b/core/config/files.go
@@ -10,11 +10,12 @@
 	"strings"
 )
 
-// Files maps a file's path below the configuration's folder, with slashes, to
-// its content.
+// Files maps the slash-separated path of each configuration file, relative to
+// the configuration folder, to its content.
 type Files map[string]json.RawMessage
 
-// Digest identifies a set of files: SHA-256 over sorted paths and contents.
+// Digest returns "sha256:" and the hex SHA-256 over the sorted paths and the
+// contents.
 func (f Files) Digest() string {
 	h := sha256.New()
 	for _, p := range f.Paths() {
@@ -24,7 +25,7 @@
 	return "sha256:" + hex.EncodeToString(h.Sum(nil))
 }
 
-// Paths returns the sorted paths.
+// Paths returns the paths in sorted order.
 func (f Files) Paths() []string {
 	paths := make([]string, 0, len(f))
 	for p := range f {
@@ -34,8 +35,9 @@
 	return paths
 }
 
-// Compact returns the files with insignificant space removed, so that the
-// digest depends on content alone.
+// Compact returns the files without insignificant white space, so that the
+// digest does not depend on formatting. It returns Faults if any file is not
+// valid JSON.
 func (f Files) Compact() (Files, error) {
 	out := Files{}
 	faults := Faults{}
@@ -53,17 +55,18 @@
 	return out, nil
 }
 
-// Fault is one thing wrong with the declared configuration.
+// Fault is one error in the declared configuration.
 type Fault struct {
-	// File is the file's path; empty where the fault lies between files.
+	// File is the path of the file; empty if the fault concerns several files.
 	File string `json:"file"`
 	// Path is a JSON path such as "$.tiers[0].name".
 	Path    string `json:"path"`
 	Message string `json:"message"`
-	Remedy  string `json:"remedy"`
+	// Remedy is what the operator can do about it.
+	Remedy string `json:"remedy"`
 }
 
-// Error gives the fault on one line.
+// Error returns the fault on one line.
 func (f Fault) Error() string {
 	if f.File == "" {
 		return fmt.Sprintf("%s: %s; %s", f.Path, f.Message, f.Remedy)
@@ -71,10 +74,10 @@
 	return fmt.Sprintf("%s: %s: %s; %s", f.File, f.Path, f.Message, f.Remedy)
 }
 
-// Faults is every fault found in one check.
+// Faults lists all faults found by one check.
 type Faults []Fault
 
-// Error lists the faults, one a line.
+// Error returns the faults, one per line.
 func (f Faults) Error() string {
 	lines := make([]string, 0, len(f))
 	for _, fault := range f {
@@ -83,10 +86,11 @@
 	return strings.Join(lines, "\n")
 }
 
-// Merge joins the files into one configuration. Sections of the same name are
-// appended in the order of the files' paths.
+// Merge combines the files into one configuration. Sections of the same name are
+// concatenated in the order of the files' paths. It returns Faults for unknown
+// fields, values of the wrong type and timeouts declared twice.
 func Merge(files Files) (*Config, error) {
-	whole := &Config{}
+	merged := &Config{}
 	faults := Faults{}
 	for _, p := range files.Paths() {
 		part := Config{}
@@ -96,19 +100,19 @@
 			faults = append(faults, Fault{File: p, Path: "$", Message: err.Error(), Remedy: "see the published JSON Schema"})
 			continue
 		}
-		if part.Timeouts != nil && whole.Timeouts != nil {
+		if part.Timeouts != nil && merged.Timeouts != nil {
 			faults = append(faults, Fault{File: p, Path: "$.timeouts", Message: "timeouts are declared twice", Remedy: "keep them in one file"})
 		}
-		whole.add(&part)
+		merged.appendSections(&part)
 	}
 	if len(faults) > 0 {
 		return nil, faults
 	}
-	whole.index = newIndex(whole)
-	return whole, nil
+	merged.index = newWorkspaceIndex(merged)
+	return merged, nil
 }
 
-func (c *Config) add(part *Config) {
+func (c *Config) appendSections(part *Config) {
 	c.Tiers = append(c.Tiers, part.Tiers...)
 	c.Workspaces = append(c.Workspaces, part.Workspaces...)
 	c.Regions = append(c.Regions, part.Regions...)
@@ -120,21 +124,22 @@
 	}
 }
 
-// Delta turns one version of the files into the next.
+// Delta is the change from one version of the files to a later one.
 type Delta struct {
-	// From and FromDigest name the version the delta applies to; a From of
-	// zero with an empty digest makes the delta a snapshot.
+	// From and FromDigest identify the version that the delta applies to. A From
+	// of zero with an empty digest makes the delta a snapshot.
 	From       uint64 `json:"from"`
 	FromDigest string `json:"from_digest"`
 	Version    uint64 `json:"version"`
 	Digest     string `json:"digest"`
-	Set        Files  `json:"set,omitempty"`
-	// Removed lists paths that the new version no longer has.
+	// Set holds the added and changed files.
+	Set Files `json:"set,omitempty"`
+	// Removed lists the paths that the new version no longer has.
 	Removed []string `json:"removed,omitempty"`
 }
 
-// Diff returns the delta's content between two sets of files; the caller fills
-// in versions.
+// Diff returns the delta between two sets of files. The caller fills in From and
+// Version.
 func Diff(from, to Files) Delta {
 	d := Delta{FromDigest: from.Digest(), Digest: to.Digest(), Set: Files{}}
 	for _, p := range to.Paths() {
@@ -150,18 +155,20 @@
 	return d
 }
 
-// DigestError says that a delta does not lead to the digest it names, or does
-// not start from the files at hand.
+// DigestError reports that a delta does not apply to the given files, or does
+// not result in the digest that it names.
 type DigestError struct {
 	Want, Got string
 }
 
-// Error names the remedy.
+// Error returns both digests and what to do about it.
 func (e *DigestError) Error() string {
 	return fmt.Sprintf("configuration digest is %s, the delta names %s; ask for a snapshot", e.Got, e.Want)
 }
 
-// Apply returns the files after the delta; the receiver stays as it was.
+// Apply returns the files that result from the delta and leaves from unchanged.
+// It returns a DigestError if from or the result has another digest than the
+// delta names.
 func (d Delta) Apply(from Files) (Files, error) {
 	snapshot := d.From == 0 && d.FromDigest == ""
 	if snapshot {
--- a/core/config/index.go
+++ b/core/config/index.go
@@ -1,16 +1,16 @@
 package config
 
-// index finds workspaces without a walk through all of them. It is built once,
-// when files are merged, and never changes.
-type index struct {
+// workspaceIndex maps names and key hashes to positions in Config.Workspaces. Merge
+// builds it once and it never changes.
+type workspaceIndex struct {
 	byName map[string]int
 	byKey  map[string]int
 }
 
-// newIndex prepares the lookups by name and key. Where two workspaces share a
-// name or key, which Check refuses, the first counts.
-func newIndex(c *Config) *index {
-	x := &index{byName: make(map[string]int, len(c.Workspaces)), byKey: map[string]int{}}
+// newWorkspaceIndex builds the index. If two workspaces share a name or key, which
+// Check rejects, the first one is found.
+func newWorkspaceIndex(c *Config) *workspaceIndex {
+	x := &workspaceIndex{byName: make(map[string]int, len(c.Workspaces)), byKey: map[string]int{}}
 	for i := len(c.Workspaces) - 1; i >= 0; i-- {
 		w := c.Workspaces[i]
 		x.byName[w.Name] = i
@@ -21,28 +21,29 @@
 	return x
 }
 
-// lookups returns the index that Merge built, or a passing one for a Config
-// that was put together by hand; a Config is read by many goroutines at once,
-// so nothing is stored here.
-func (c *Config) lookups() *index {
+// workspaceIndex returns the index that Merge built, or a temporary one for a
+// Config built without Merge. The latter is not stored, because many goroutines
+// read a Config concurrently.
+func (c *Config) workspaceIndex() *workspaceIndex {
 	if c.index != nil {
 		return c.index
 	}
-	return newIndex(c)
+	return newWorkspaceIndex(c)
 }
 
-// Workspace finds a workspace by name.
+// Workspace returns the named workspace, and false if there is none.
 func (c *Config) Workspace(name string) (Workspace, bool) {
-	i, ok := c.lookups().byName[name]
+	i, ok := c.workspaceIndex().byName[name]
 	if !ok {
 		return Workspace{}, false
 	}
 	return c.Workspaces[i], true
 }
 
-// WorkspaceByKey finds the workspace that lists a key's hash.
+// WorkspaceByKey returns the workspace that lists a key's hash, and false if
+// there is none.
 func (c *Config) WorkspaceByKey(hash string) (Workspace, bool) {
-	i, ok := c.lookups().byKey[hash]
+	i, ok := c.workspaceIndex().byKey[hash]
 	if !ok {
 		return Workspace{}, false
 	}
--- a/core/config/index_test.go
+++ b/core/config/index_test.go
@@ -7,12 +7,12 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestLookupsAgreeWithAndWithoutMerge(t *testing.T) {
+func TestWorkspaceLookupWithAndWithoutIndex(t *testing.T) {
 	files := Files{"w.json": json.RawMessage(`{"workspaces":[{"name":"a","tier":"t","home_region":"r","keys":["k1","k2"]},{"name":"b","tier":"t","home_region":"r","keys":["k3"]}]}`)}
 	merged, err := Merge(files)
 	require.NoError(t, err)
-	byHand := &Config{Workspaces: merged.Workspaces}
-	for _, c := range []*Config{merged, byHand} {
+	unmerged := &Config{Workspaces: merged.Workspaces}
+	for _, c := range []*Config{merged, unmerged} {
 		w, ok := c.WorkspaceByKey("k3")
 		require.True(t, ok)
 		require.Equal(t, "b", w.Name)
