--- a/core/promise/check.go
+++ b/core/promise/check.go
@@ -5,19 +5,19 @@
 	"time"
 )
 
-// Promise names one of the product's promises.
+// Promise identifies a guarantee of the product.
 type Promise string
 
-// Promises.
+// The product's promises.
 const (
 	// DispatchOnce: each request is dispatched at most once.
 	DispatchOnce Promise = "dispatch_once"
-	// TierOrder: no request is shed while one of a lower tier is queued or
-	// served in reach.
+	// TierOrder: no request is shed while one of a lower tier is queued or in
+	// service at a dispatcher that can be reached.
 	TierOrder Promise = "tier_order"
 	// OwnAnswer: every caller receives the complete answer to its own request.
 	OwnAnswer Promise = "own_answer"
-	// NotRun: a request that was refused with "not run" did not run.
+	// NotRun: a request refused with "not run" did not run.
 	NotRun Promise = "not_run"
 	// ExecuteOnce: a non-idempotent request executes at most once.
 	ExecuteOnce Promise = "execute_once"
@@ -25,108 +25,113 @@
 	LeavingUpstream Promise = "leaving_upstream"
 	// Shutdown: a graceful shutdown interrupts no request in flight.
 	Shutdown Promise = "graceful_shutdown"
-	// Configuration: an accepted configuration is soon in force everywhere and
-	// never reverts.
+	// Configuration: an accepted configuration is in force on every daemon
+	// within activationTimeout and never reverts.
 	Configuration Promise = "configuration"
 )
 
-// Promises lists all promises in the order of the users' brief.
+// Promises returns all promises in the order of the product's requirements.
 func Promises() []Promise {
 	return []Promise{DispatchOnce, TierOrder, OwnAnswer, NotRun, ExecuteOnce, LeavingUpstream, Shutdown, Configuration}
 }
 
 const (
-	// leaveWithin is how long a leaving upstream may still receive new work.
-	leaveWithin = 3 * time.Second
-	// forceWithin is how long an accepted configuration may take to be in force
-	// on every daemon that can reach the quorum.
-	forceWithin = 5 * time.Second
+	// drainTimeout is the time within which an upstream that announced its leave
+	// must stop receiving new requests.
+	drainTimeout = 3 * time.Second
+	// activationTimeout is the time within which an accepted configuration must be
+	// in force on every daemon that can reach the quorum.
+	activationTimeout = 5 * time.Second
 )
 
 // Violation is one broken promise.
 type Violation struct {
 	Promise Promise `json:"promise"`
-	// Event is where it showed; at the run's end it holds only At and what is
-	// missing.
+	// Event is the event that broke the promise. For a violation found at the end
+	// of the run only its At is set.
 	Event Event  `json:"event"`
 	Why   string `json:"why"`
 }
 
-// String gives the violation on one line.
+// String returns the violation on one line.
 func (v Violation) String() string {
 	e := v.Event
 	return fmt.Sprintf("%s broken at %v by %s of %q (daemon %q, upstream %q): %s", v.Promise, e.At, e.Kind, e.Workspace+"/"+e.Key, e.Daemon, e.Upstream, v.Why)
 }
 
-// Options say what the trace covers.
+// Options describes the run that a trace was recorded from.
 type Options struct {
-	// Daemons are up when the run begins; others appear with Started.
+	// Daemons lists the daemons that are up when the run begins; others appear
+	// with a Started event.
 	Daemons []string
-	// Reach tells whether dispatchers of two regions can ask each other at a
-	// time. Nil means that they always can.
+	// Reach reports whether the dispatchers of two regions can reach each other
+	// at a time. Nil means that they always can.
 	Reach func(at time.Duration, from, to string) bool
-	// RegionDelay is how old a queue or grant in another region must be for a
-	// dispatcher to know of it.
+	// RegionDelay is the age from which a dispatcher is expected to know of a
+	// Queue or Grant event in another region.
 	RegionDelay time.Duration
-	// End is when the run ended; zero means at the last event.
+	// End is the time when the run ended; zero means the last event's.
 	End time.Duration
-	// Partial says that the trace lacks its beginning, so that an answer may
-	// belong to a dispatch before it.
+	// Partial is set if the trace lacks its beginning, so that an answer may
+	// belong to a dispatch that was not recorded.
 	Partial bool
-	// Open says that requests were still in flight when the trace ended.
+	// Open is set if requests were still in flight when the trace ended.
 	Open bool
 }
 
-// rule checks one promise. It returns why an event breaks the promise, or
-// nothing.
+// rule checks one promise.
 type rule interface {
 	promise() Promise
-	feed(e Event) []string
+	// observe and finish return the reasons of the violations that an event or
+	// the end of the run reveals; none if there are none.
+	observe(e Event) []string
 	finish(end time.Duration) []string
 }
 
-// Checker reads events one by one.
+// Checker checks the events of a run one by one. It is not safe for concurrent
+// use.
 //
-// Events of several daemons come in the order of one clock, that of the
-// recorder: the daemons' own clocks differ, so whoever merges their events
-// stamps them as they arrive, or adds each daemon's offset to the recorder's
-// clock. Events at one time keep the order in which they were recorded.
+// Events must be ordered by one clock, that of the recorder. The daemons' own
+// clocks differ, so the recorder timestamps events on arrival or corrects them
+// by each daemon's clock offset. Events with equal times keep the order in which
+// they were recorded.
 type Checker struct {
-	opt   Options
-	last  time.Duration
-	rules []rule
+	options   Options
+	lastEvent time.Duration
+	rules     []rule
 }
 
-// NewChecker returns a checker at the beginning of a run.
-func NewChecker(opt Options) *Checker {
-	index := newIndex()
-	return &Checker{opt: opt, rules: []rule{
-		index,
-		&tierRule{opt: opt, offers: map[string]offer{}, shed: map[string]bool{}},
-		newAnswerRule(opt, index),
-		newNotRunRule(index),
-		&executeRule{opt: opt, index: index, runs: map[request]int{}},
-		&leaveRule{left: map[string]time.Duration{}},
-		&shutdownRule{draining: map[string]bool{}, open: map[string]map[request]int{}},
-		newConfigRule(opt),
+// NewChecker returns a checker for a new run.
+func NewChecker(options Options) *Checker {
+	dispatches := newDispatchRule()
+	return &Checker{options: options, rules: []rule{
+		dispatches,
+		&tierRule{options: options, offers: map[string]offer{}, shed: map[string]bool{}},
+		newAnswerRule(options, dispatches),
+		newNotRunRule(dispatches),
+		&executeRule{options: options, dispatches: dispatches, executions: map[request]int{}},
+		&drainRule{leftAt: map[string]time.Duration{}},
+		&shutdownRule{draining: map[string]bool{}, inFlight: map[string]map[request]int{}},
+		newConfigRule(options),
 	}}
 }
 
-// Feed reads the next event and returns what it breaks.
+// Feed checks the next event and returns the violations that it reveals.
 func (c *Checker) Feed(e Event) []Violation {
-	c.last = max(c.last, e.At)
+	c.lastEvent = max(c.lastEvent, e.At)
 	out := []Violation{}
 	for _, r := range c.rules {
-		for _, why := range r.feed(e) {
+		for _, why := range r.observe(e) {
 			out = append(out, Violation{Promise: r.promise(), Event: e, Why: why})
 		}
 	}
 	return out
 }
 
-// Finish ends the run and returns what was left undone.
+// Finish ends the run and returns the violations by what is missing, such as a
+// request without an answer.
 func (c *Checker) Finish() []Violation {
-	end := max(c.last, c.opt.End)
+	end := max(c.lastEvent, c.options.End)
 	out := []Violation{}
 	for _, r := range c.rules {
 		for _, why := range r.finish(end) {
@@ -136,9 +141,9 @@
 	return out
 }
 
-// Check reads a whole run.
-func Check(events []Event, opt Options) []Violation {
-	c := NewChecker(opt)
+// Check returns all violations in a complete run.
+func Check(events []Event, options Options) []Violation {
+	c := NewChecker(options)
 	out := []Violation{}
 	for _, e := range events {
 		out = append(out, c.Feed(e)...)
--- a/core/promise/check_test.go
+++ b/core/promise/check_test.go
@@ -7,8 +7,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// served is one request from acceptance to its answer.
-func served() []Event {
+// dispatchedTrace returns the events of one request from its acceptance to its
+// execution.
+func dispatchedTrace() []Event {
 	return []Event{
 		{Kind: Accept, Daemon: "d1", Workspace: "w", Key: "k", Once: true},
 		{Kind: Queue, Offer: "d1/1", Pool: "p", Region: "r", Tier: 1},
@@ -19,14 +20,14 @@
 	}
 }
 
-func ended() []Event {
-	return append(served(),
+func answeredTrace() []Event {
+	return append(dispatchedTrace(),
 		Event{Kind: Release, Offer: "d1/1"},
 		Event{Kind: Answer, Daemon: "d1", Workspace: "w", Key: "k", Stream: "s", Whole: true, Sent: "x", Got: "x"},
 	)
 }
 
-func with(events []Event, more ...Event) []Event { return append(events, more...) }
+func appendEvents(events []Event, more ...Event) []Event { return append(events, more...) }
 
 var (
 	d1        = Options{Daemons: []string{"d1"}}
@@ -35,34 +36,34 @@
 	shedTop   = Event{Kind: Shed, Offer: "d2/1", Pool: "p", Region: "r", Tier: 0}
 )
 
-func TestRejectsBrokenTraces(t *testing.T) {
+func TestCheckReportsViolations(t *testing.T) {
 	cases := []struct {
 		name    string
 		promise Promise
 		opt     Options
 		events  []Event
 	}{
-		{"dispatched twice", DispatchOnce, d1, with(served(), Event{Kind: Dispatch, Daemon: "d2", Workspace: "w", Key: "k", Stream: "s2", Upstream: "v"})},
-		{"dispatch of nobody", DispatchOnce, d1, []Event{{Kind: Dispatch, Stream: "s"}}},
-		{"stream of two requests", DispatchOnce, d1, with(served(), Event{Kind: Dispatch, Workspace: "w", Key: "k2", Stream: "s"})},
-		{"shed above one served", TierOrder, d1, with(served(), shedTop)},
-		{"shed above one queued", TierOrder, d1, []Event{served()[1], shedTop}},
-		{"shed above one served elsewhere", TierOrder, d1, with(served(), Event{Kind: Shed, Offer: "d2/1", Pool: "p", Region: "far"})},
-		{"refused by the entry above one served", TierOrder, d1, with(served(), Event{Kind: Refuse, Pool: "p", Region: "r", Workspace: "w", Key: "k3", Code: "overloaded", Ran: "not_run"})},
-		{"cut answer", OwnAnswer, d1, with(served(), Event{Kind: Answer, Workspace: "w", Key: "k", Stream: "s"})},
-		{"other bytes than the upstream's", OwnAnswer, d1, with(served(), Event{Kind: Answer, Workspace: "w", Key: "k", Stream: "s", Whole: true, Got: "y"})},
-		{"other bytes than the entry's", OwnAnswer, d1, with(served(), Event{Kind: Answer, Workspace: "w", Key: "k", Whole: true, Sent: "x", Got: "y"})},
-		{"another's answer", OwnAnswer, d1, with(ended(), Event{Kind: Dispatch, Workspace: "w", Key: "k2", Stream: "s2"}, Event{Kind: Answer, Workspace: "w", Key: "k2", Stream: "s", Whole: true, Got: "x"})},
-		{"answer from nowhere", OwnAnswer, d1, []Event{{Kind: Answer, Workspace: "w", Key: "k", Whole: true}}},
+		{"dispatched twice", DispatchOnce, d1, appendEvents(dispatchedTrace(), Event{Kind: Dispatch, Daemon: "d2", Workspace: "w", Key: "k", Stream: "s2", Upstream: "v"})},
+		{"dispatch of an unknown request", DispatchOnce, d1, []Event{{Kind: Dispatch, Stream: "s"}}},
+		{"stream of two requests", DispatchOnce, d1, appendEvents(dispatchedTrace(), Event{Kind: Dispatch, Workspace: "w", Key: "k2", Stream: "s"})},
+		{"shed while a lower tier is in service", TierOrder, d1, appendEvents(dispatchedTrace(), shedTop)},
+		{"shed while a lower tier is queued", TierOrder, d1, []Event{dispatchedTrace()[1], shedTop}},
+		{"shed while a lower tier is in service in another region", TierOrder, d1, appendEvents(dispatchedTrace(), Event{Kind: Shed, Offer: "d2/1", Pool: "p", Region: "far"})},
+		{"refused by the entry while a lower tier is in service", TierOrder, d1, appendEvents(dispatchedTrace(), Event{Kind: Refuse, Pool: "p", Region: "r", Workspace: "w", Key: "k3", Code: "overloaded", Ran: "not_run"})},
+		{"answer without its end", OwnAnswer, d1, appendEvents(dispatchedTrace(), Event{Kind: Answer, Workspace: "w", Key: "k", Stream: "s"})},
+		{"other bytes than the upstream's", OwnAnswer, d1, appendEvents(dispatchedTrace(), Event{Kind: Answer, Workspace: "w", Key: "k", Stream: "s", Whole: true, Got: "y"})},
+		{"other bytes than the entry's", OwnAnswer, d1, appendEvents(dispatchedTrace(), Event{Kind: Answer, Workspace: "w", Key: "k", Whole: true, Sent: "x", Got: "y"})},
+		{"answer of another request", OwnAnswer, d1, appendEvents(answeredTrace(), Event{Kind: Dispatch, Workspace: "w", Key: "k2", Stream: "s2"}, Event{Kind: Answer, Workspace: "w", Key: "k2", Stream: "s", Whole: true, Got: "x"})},
+		{"answer without a dispatch", OwnAnswer, d1, []Event{{Kind: Answer, Workspace: "w", Key: "k", Whole: true}}},
 		{"no key", OwnAnswer, d1, []Event{{Kind: Accept, Daemon: "d1"}}},
-		{"no answer", OwnAnswer, d1, served()},
-		{"refused after it ran", NotRun, d1, with(served(), Event{Kind: Refuse, Daemon: "d1", Workspace: "w", Key: "k", Ran: "not_run"})},
-		{"ran after it was refused", NotRun, d1, with(served()[:4], Event{Kind: Refuse, Daemon: "d1", Workspace: "w", Key: "k", Ran: "not_run"}, served()[4])},
-		{"executed twice", ExecuteOnce, d1, with(served(), Event{Kind: Execute, Workspace: "w", Key: "k", Upstream: "v"})},
+		{"no answer", OwnAnswer, d1, dispatchedTrace()},
+		{"refused after it ran", NotRun, d1, appendEvents(dispatchedTrace(), Event{Kind: Refuse, Daemon: "d1", Workspace: "w", Key: "k", Ran: "not_run"})},
+		{"ran after it was refused", NotRun, d1, appendEvents(dispatchedTrace()[:4], Event{Kind: Refuse, Daemon: "d1", Workspace: "w", Key: "k", Ran: "not_run"}, dispatchedTrace()[4])},
+		{"executed twice", ExecuteOnce, d1, appendEvents(dispatchedTrace(), Event{Kind: Execute, Workspace: "w", Key: "k", Upstream: "v"})},
 		{"executed without a dispatch", ExecuteOnce, d1, []Event{{Kind: Execute, Stream: "s"}}},
-		{"work for one that left", LeavingUpstream, d1, []Event{{Kind: Leave, Upstream: "u"}, {At: 3*time.Second + 1, Kind: Dispatch, Workspace: "w", Key: "k", Upstream: "u"}}},
-		{"cut by the shutdown", Shutdown, d1, with(served(), Event{Kind: Drain, Daemon: "d1"}, Event{Kind: Stopped, Daemon: "d1"})},
-		{"refused by the shutdown", Shutdown, d1, with(served()[:2], Event{Kind: Drain, Daemon: "d1"}, Event{Kind: Refuse, Daemon: "d1", Workspace: "w", Key: "k", Code: "draining", Ran: "not_run"})},
+		{"work for an upstream that left", LeavingUpstream, d1, []Event{{Kind: Leave, Upstream: "u"}, {At: 3*time.Second + 1, Kind: Dispatch, Workspace: "w", Key: "k", Upstream: "u"}}},
+		{"interrupted by the shutdown", Shutdown, d1, appendEvents(dispatchedTrace(), Event{Kind: Drain, Daemon: "d1"}, Event{Kind: Stopped, Daemon: "d1"})},
+		{"refused by the shutdown", Shutdown, d1, appendEvents(dispatchedTrace()[:2], Event{Kind: Drain, Daemon: "d1"}, Event{Kind: Refuse, Daemon: "d1", Workspace: "w", Key: "k", Code: "draining", Ran: "not_run"})},
 		{"reverted", Configuration, d1, []Event{accepted1, {Kind: Accepted, Version: 2, Digest: "b"}, {Kind: InForce, Daemon: "d1", Version: 2, Digest: "b"}, inForce1}},
 		{"reverted over a restart", Configuration, d1, []Event{accepted1, {Kind: Accepted, Version: 2, Digest: "b"}, {Kind: InForce, Daemon: "d1", Version: 2, Digest: "b"}, {Kind: Crashed, Daemon: "d1"}, {Kind: Started, Daemon: "d1"}, inForce1}},
 		{"two contents of one version", Configuration, d1, []Event{accepted1, {Kind: Accepted, Version: 1, Digest: "b"}, inForce1}},
@@ -70,7 +71,7 @@
 		{"never accepted", Configuration, d1, []Event{inForce1}},
 		{"other content in force", Configuration, d1, []Event{accepted1, {Kind: InForce, Daemon: "d1", Version: 1, Digest: "b"}}},
 		{"late", Configuration, Options{Daemons: []string{"d1"}, End: 5*time.Second + 1}, []Event{accepted1}},
-		{"late after the end of a cut", Configuration, Options{End: 20 * time.Second}, []Event{{Kind: Cut, Daemon: "d1"}, accepted1, {At: 10 * time.Second, Kind: Healed, Daemon: "d1"}}},
+		{"late after a partition healed", Configuration, Options{End: 20 * time.Second}, []Event{{Kind: Cut, Daemon: "d1"}, accepted1, {At: 10 * time.Second, Kind: Healed, Daemon: "d1"}}},
 	}
 	seen := map[Promise]bool{}
 	for _, c := range cases {
@@ -94,28 +95,28 @@
 	}
 }
 
-func TestAcceptsSoundTraces(t *testing.T) {
-	parted := Options{Reach: func(time.Duration, string, string) bool { return false }}
+func TestCheckAcceptsValidTraces(t *testing.T) {
+	partitioned := Options{Reach: func(time.Duration, string, string) bool { return false }}
 	cases := []struct {
 		name   string
 		opt    Options
 		events []Event
 	}{
-		{"served", d1, ended()},
-		{"still in flight", Options{Open: true}, served()},
-		{"a resend joins", d1, with(ended(), Event{Kind: Accept, Daemon: "d2", Workspace: "w", Key: "k"}, Event{Kind: Answer, Daemon: "d2", Workspace: "w", Key: "k", Stream: "s", Whole: true, Got: "x"})},
-		{"conflicting content did not run", d1, with(ended(), Event{Kind: Accept, Daemon: "d2", Workspace: "w", Key: "k", Digest: "y"}, Event{Kind: Refuse, Daemon: "d2", Workspace: "w", Key: "k", Digest: "y", Code: "conflict", Ran: "not_run"})},
-		{"refused, sent again and served", d1, with([]Event{{Kind: Accept, Daemon: "d2", Workspace: "w", Key: "k"}, {Kind: Refuse, Daemon: "d2", Workspace: "w", Key: "k", Ran: "not_run"}}, ended()...)},
-		{"shed above nobody", d1, with(ended(), shedTop)},
-		{"shed of a lower tier", d1, with(ended(), Event{Kind: Queue, Offer: "d2/2", Pool: "p", Region: "r"}, Event{Kind: Shed, Offer: "d2/1", Pool: "p", Region: "r", Tier: 2})},
-		{"shed and then refused", d1, with(ended(), shedTop, Event{Kind: Queue, Offer: "d2/2", Pool: "p", Region: "r", Tier: 2}, Event{Kind: Refuse, Offer: "d2/1", Pool: "p", Workspace: "w", Key: "k2", Code: "overloaded", Ran: "not_run"})},
-		{"regions parted", parted, with(ended(), Event{Kind: Queue, Offer: "d2/2", Pool: "p", Region: "far", Tier: 2}, shedTop)},
-		{"too young to be known in the other region", Options{RegionDelay: time.Second}, []Event{{Kind: Queue, Offer: "d2/2", Pool: "p", Region: "far", Tier: 2}, shedTop}},
+		{"served", d1, answeredTrace()},
+		{"still in flight", Options{Open: true}, dispatchedTrace()},
+		{"a resend joins", d1, appendEvents(answeredTrace(), Event{Kind: Accept, Daemon: "d2", Workspace: "w", Key: "k"}, Event{Kind: Answer, Daemon: "d2", Workspace: "w", Key: "k", Stream: "s", Whole: true, Got: "x"})},
+		{"conflicting content did not run", d1, appendEvents(answeredTrace(), Event{Kind: Accept, Daemon: "d2", Workspace: "w", Key: "k", Digest: "y"}, Event{Kind: Refuse, Daemon: "d2", Workspace: "w", Key: "k", Digest: "y", Code: "conflict", Ran: "not_run"})},
+		{"refused, sent again and served", d1, appendEvents([]Event{{Kind: Accept, Daemon: "d2", Workspace: "w", Key: "k"}, {Kind: Refuse, Daemon: "d2", Workspace: "w", Key: "k", Ran: "not_run"}}, answeredTrace()...)},
+		{"shed without a lower tier", d1, appendEvents(answeredTrace(), shedTop)},
+		{"shed of a lower tier", d1, appendEvents(answeredTrace(), Event{Kind: Queue, Offer: "d2/2", Pool: "p", Region: "r"}, Event{Kind: Shed, Offer: "d2/1", Pool: "p", Region: "r", Tier: 2})},
+		{"shed and then refused", d1, appendEvents(answeredTrace(), shedTop, Event{Kind: Queue, Offer: "d2/2", Pool: "p", Region: "r", Tier: 2}, Event{Kind: Refuse, Offer: "d2/1", Pool: "p", Workspace: "w", Key: "k2", Code: "overloaded", Ran: "not_run"})},
+		{"regions partitioned", partitioned, appendEvents(answeredTrace(), Event{Kind: Queue, Offer: "d2/2", Pool: "p", Region: "far", Tier: 2}, shedTop)},
+		{"too recent to be known in the other region", Options{RegionDelay: time.Second}, []Event{{Kind: Queue, Offer: "d2/2", Pool: "p", Region: "far", Tier: 2}, shedTop}},
 		{"left and came back", d1, []Event{{Kind: Leave, Upstream: "u"}, {At: time.Second, Kind: Grant, Upstream: "u"}, {At: 4 * time.Second, Kind: Join, Upstream: "u"}, {At: 5 * time.Second, Kind: Grant, Upstream: "u"}}},
-		{"a shutdown waits", d1, with(with(served(), Event{Kind: Drain, Daemon: "d1"}), with(ended()[6:], Event{Kind: Stopped, Daemon: "d1"})...)},
-		{"a crash is no shutdown", Options{Open: true}, with(served(), Event{Kind: Crashed, Daemon: "d1"})},
+		{"a shutdown waits for requests", d1, appendEvents(appendEvents(dispatchedTrace(), Event{Kind: Drain, Daemon: "d1"}), appendEvents(answeredTrace()[6:], Event{Kind: Stopped, Daemon: "d1"})...)},
+		{"a crash is not a shutdown", Options{Open: true}, appendEvents(dispatchedTrace(), Event{Kind: Crashed, Daemon: "d1"})},
 		{"in force in time", Options{Daemons: []string{"d1"}, End: time.Minute}, []Event{accepted1, accepted1, {At: 5 * time.Second, Kind: InForce, Daemon: "d1", Version: 1, Digest: "a"}}},
-		{"cut off and caught up", Options{Daemons: []string{"d1"}, End: time.Hour}, []Event{{Kind: Cut, Daemon: "d1"}, accepted1, {At: time.Minute, Kind: Healed, Daemon: "d1"}, {At: 64 * time.Second, Kind: InForce, Daemon: "d1", Version: 1, Digest: "a"}}},
+		{"partitioned and caught up", Options{Daemons: []string{"d1"}, End: time.Hour}, []Event{{Kind: Cut, Daemon: "d1"}, accepted1, {At: time.Minute, Kind: Healed, Daemon: "d1"}, {At: 64 * time.Second, Kind: InForce, Daemon: "d1", Version: 1, Digest: "a"}}},
 		{"down for good", Options{Daemons: []string{"d1"}, End: time.Hour}, []Event{{Kind: Crashed, Daemon: "d1"}, accepted1}},
 	}
 	for _, c := range cases {
--- a/core/promise/event.go
+++ b/core/promise/event.go
@@ -1,19 +1,20 @@
-// Package promise defines the events of a run and checks the product's
-// promises against them.
+// Package promise defines the events recorded during a run and checks the
+// product's promises against them. Tests and the verification tools use it.
 package promise
 
 import "time"
 
-// Kind is what happened.
+// Kind is the type of an event.
 type Kind string
 
-// Kinds, in the order in which a request meets them.
+// Kinds of events: first those of a request in their usual order, then those of
+// configurations, daemons and upstreams.
 const (
-	// Accept: an entry took a request from a caller.
+	// Accept: an entry accepted a request from a caller.
 	Accept Kind = "accept"
 	// Queue: a dispatcher queued an offer.
 	Queue Kind = "queue"
-	// Grant: a dispatcher gave a request an upstream's slot.
+	// Grant: a dispatcher granted a request a slot on an upstream.
 	Grant Kind = "grant"
 	// Claim: the log committed that a request is dispatched.
 	Claim Kind = "claim"
@@ -21,70 +22,72 @@
 	Dispatch Kind = "dispatch"
 	// Execute: an upstream began to execute a request.
 	Execute Kind = "execute"
-	// Release: a granted slot is free again, or a queued offer was withdrawn.
+	// Release: a granted slot was released, or a queued offer was withdrawn.
 	Release Kind = "release"
 	// Shed: a dispatcher refused a request for overload.
 	Shed Kind = "shed"
-	// Refuse: an entry told a caller that its request ended in an error.
+	// Refuse: an entry answered a request with an error.
 	Refuse Kind = "refuse"
-	// Answer: a caller received the end of its answer.
+	// Answer: an answer to a caller ended.
 	Answer Kind = "answer"
 	// Accepted: the log committed a configuration.
 	Accepted Kind = "accepted"
 	// InForce: a daemon put a configuration into force.
 	InForce Kind = "in_force"
-	// Leave: an upstream left or its lease ended.
+	// Leave: an upstream announced its leave or its lease expired.
 	Leave Kind = "leave"
 	// Drain: a daemon began a graceful shutdown.
 	Drain Kind = "drain"
 	// Stopped: a daemon's graceful shutdown ended.
 	Stopped Kind = "stopped"
-	// Started: a daemon serves.
+	// Started: a daemon began to serve.
 	Started Kind = "started"
-	// Crashed: a daemon died without a graceful shutdown; whoever made it die
-	// records this in the daemon's name.
+	// Crashed: a daemon stopped without a graceful shutdown. The test that
+	// killed it records the event in the daemon's name.
 	Crashed Kind = "crashed"
-	// Cut: a daemon lost touch with the quorum, Healed: it has it again.
-	Cut    Kind = "cut"
+	// Cut: a daemon lost its connection to the quorum.
+	Cut Kind = "cut"
+	// Healed: a daemon can reach the quorum again.
 	Healed Kind = "healed"
-	// Join: an upstream announced itself, at first or again after a Leave.
+	// Join: an upstream announced itself, for the first time or after a Leave.
 	Join Kind = "join"
 )
 
-// Event is one thing that happened. Fields that a kind doesn't need are zero.
+// Event is one recorded event. Fields that its kind doesn't use are zero.
 type Event struct {
 	// At is the time since the run began, on the recorder's clock.
 	At   time.Duration `json:"at"`
 	Kind Kind          `json:"kind"`
-	// Daemon is who recorded the event.
+	// Daemon is the daemon that recorded the event.
 	Daemon    string `json:"daemon,omitempty"`
 	Workspace string `json:"workspace,omitempty"`
-	// Key is the request's key, the caller's or one issued; Stream is one
-	// dispatch of it.
+	// Key is the request's key, supplied by the caller or generated; Stream
+	// identifies one dispatch of the request.
 	Key    string `json:"key,omitempty"`
 	Stream string `json:"stream,omitempty"`
 	// Offer identifies an offer to a dispatcher, as entry/number.
 	Offer string `json:"offer,omitempty"`
 	Pool  string `json:"pool,omitempty"`
-	// Region is the dispatcher's.
+	// Region is the dispatcher's region.
 	Region   string `json:"region,omitempty"`
 	Upstream string `json:"upstream,omitempty"`
 	// Tier is the position in the declared order; 0 is the highest.
 	Tier int `json:"tier,omitempty"`
-	// Once says that the request must not execute twice.
+	// Once is set if the request is not idempotent and must not execute twice.
 	Once bool `json:"once,omitempty"`
-	// Code is the refusal's kind, Ran its statement on whether it ran.
+	// Code is the code of a refusal, Ran its statement whether the request ran.
 	Code string `json:"code,omitempty"`
 	Ran  string `json:"ran,omitempty"`
-	// Whole says that an answer had its explicit end; Sent and Got are hashes
-	// of the answer as the upstream gave it and as the caller received it.
+	// Whole is set if an answer had its explicit end; Sent and Got are hashes of
+	// the answer as the upstream sent it and as the caller received it.
 	Whole bool   `json:"whole,omitempty"`
 	Sent  string `json:"sent,omitempty"`
 	Got   string `json:"got,omitempty"`
-	// Version is a configuration's; Digest is a configuration's content, or on
-	// Accept and Refuse the request's.
+	// Version is a configuration version.
 	Version uint64 `json:"version,omitempty"`
-	Digest  string `json:"digest,omitempty"`
-	// Epoch is a lease's.
+	// Digest identifies the content of a configuration, or that of the request
+	// on Accept and Refuse.
+	Digest string `json:"digest,omitempty"`
+	// Epoch is the epoch of a lease.
 	Epoch uint64 `json:"epoch,omitempty"`
 }
--- a/core/promise/requests.go
+++ b/core/promise/requests.go
@@ -7,28 +7,30 @@
 	"time"
 )
 
-// request identifies a request over all its resends.
+// request identifies a request across all its resends.
 type request struct {
 	workspace string
 	key       string
 }
 
-// String gives workspace and key.
+// String returns "workspace/key".
 func (r request) String() string { return r.workspace + "/" + r.key }
 
-// index knows which stream belongs to which request, and checks DispatchOnce.
-type index struct {
-	streams    map[string]request
-	dispatched map[request]string
-	once       map[request]bool
+// dispatchRule checks DispatchOnce. Other rules use it to find the request of a
+// stream.
+type dispatchRule struct {
+	streams       map[string]request
+	dispatched    map[request]string
+	nonIdempotent map[request]bool
 }
 
-func newIndex() *index {
-	return &index{streams: map[string]request{}, dispatched: map[request]string{}, once: map[request]bool{}}
+func newDispatchRule() *dispatchRule {
+	return &dispatchRule{streams: map[string]request{}, dispatched: map[request]string{}, nonIdempotent: map[request]bool{}}
 }
 
-// request finds an event's request by its key, or else by its stream.
-func (x *index) request(e Event) (request, bool) {
+// requestOf returns an event's request by its key, or else by its stream, and false
+// if neither is known.
+func (x *dispatchRule) requestOf(e Event) (request, bool) {
 	if e.Key != "" {
 		return request{workspace: e.Workspace, key: e.Key}, true
 	}
@@ -36,100 +38,100 @@
 	return r, ok
 }
 
-func (x *index) promise() Promise { return DispatchOnce }
+func (x *dispatchRule) promise() Promise { return DispatchOnce }
 
-func (x *index) feed(e Event) []string {
-	r, known := x.request(e)
+func (x *dispatchRule) observe(e Event) []string {
+	r, known := x.requestOf(e)
 	if known && e.Once {
-		x.once[r] = true
+		x.nonIdempotent[r] = true
 	}
 	if e.Kind != Dispatch {
 		return nil
 	}
 	if !known {
-		return []string{"the dispatch names no request"}
+		return []string{"the dispatch belongs to no known request"}
 	}
 	if owner, taken := x.streams[e.Stream]; taken && owner != r {
-		return []string{fmt.Sprintf("stream %s belongs to %s", e.Stream, owner)}
+		return []string{fmt.Sprintf("stream %s was already dispatched for %s", e.Stream, owner)}
 	}
 	if e.Stream != "" {
 		x.streams[e.Stream] = r
 	}
 	first, again := x.dispatched[r]
 	if again {
-		return []string{fmt.Sprintf("%s was dispatched to %s before", r, first)}
+		return []string{fmt.Sprintf("%s was already dispatched to upstream %q", r, first)}
 	}
 	x.dispatched[r] = e.Upstream
 	return nil
 }
 
-func (x *index) finish(time.Duration) []string { return nil }
+func (x *dispatchRule) finish(time.Duration) []string { return nil }
 
 // answerRule checks OwnAnswer.
 type answerRule struct {
-	opt   Options
-	index *index
-	sent  map[string]string
-	open  map[request]bool
+	options    Options
+	dispatches *dispatchRule
+	sentHashes map[string]string
+	unanswered map[request]bool
 }
 
-func newAnswerRule(opt Options, x *index) *answerRule {
-	return &answerRule{opt: opt, index: x, sent: map[string]string{}, open: map[request]bool{}}
+func newAnswerRule(options Options, x *dispatchRule) *answerRule {
+	return &answerRule{options: options, dispatches: x, sentHashes: map[string]string{}, unanswered: map[request]bool{}}
 }
 
 func (a *answerRule) promise() Promise { return OwnAnswer }
 
-func (a *answerRule) feed(e Event) []string {
-	r, known := a.index.request(e)
+func (a *answerRule) observe(e Event) []string {
+	r, known := a.dispatches.requestOf(e)
 	switch e.Kind {
 	case Accept:
 		if !known {
 			return []string{"the request has no key"}
 		}
-		a.open[r] = true
+		a.unanswered[r] = true
 	case Refuse:
-		delete(a.open, r)
+		delete(a.unanswered, r)
 	case Answer:
-		delete(a.open, r)
-		return a.answer(e, r, known)
+		delete(a.unanswered, r)
+		return a.checkAnswer(e, r, known)
 	}
 	if e.Stream != "" && e.Sent != "" {
-		a.sent[e.Stream] = e.Sent
+		a.sentHashes[e.Stream] = e.Sent
 	}
 	return nil
 }
 
-func (a *answerRule) answer(e Event, r request, known bool) []string {
+func (a *answerRule) checkAnswer(e Event, r request, known bool) []string {
 	if !known {
-		return []string{"the answer names no request"}
+		return []string{"the answer belongs to no known request"}
 	}
 	if !e.Whole {
 		return []string{"the answer ended without its explicit end"}
 	}
 	out := []string{}
-	_, ran := a.index.dispatched[r]
-	if !ran && !a.opt.Partial {
+	_, ran := a.dispatches.dispatched[r]
+	if !ran && !a.options.Partial {
 		out = append(out, fmt.Sprintf("%s was answered but never dispatched", r))
 	}
-	if owner, ok := a.index.streams[e.Stream]; ok && owner != r {
-		out = append(out, fmt.Sprintf("stream %s answers %s", e.Stream, owner))
+	if owner, ok := a.dispatches.streams[e.Stream]; ok && owner != r {
+		out = append(out, fmt.Sprintf("stream %s belongs to %s", e.Stream, owner))
 	}
 	if e.Sent != "" && e.Got != e.Sent {
-		out = append(out, "the caller received other bytes than the entry")
+		out = append(out, "the caller received other bytes than the entry received")
 	}
-	if sent, ok := a.sent[e.Stream]; ok && e.Got != sent {
+	if sent, ok := a.sentHashes[e.Stream]; ok && e.Got != sent {
 		out = append(out, "the caller received other bytes than the upstream sent")
 	}
 	return out
 }
 
 func (a *answerRule) finish(time.Duration) []string {
-	if a.opt.Open {
+	if a.options.Open {
 		return nil
 	}
 	out := []string{}
-	for r := range a.open {
-		out = append(out, fmt.Sprintf("the caller of %s was left without an answer or a refusal", r))
+	for r := range a.unanswered {
+		out = append(out, fmt.Sprintf("%s ended without an answer or a refusal", r))
 	}
 	slices.Sort(out)
 	return out
@@ -137,180 +139,180 @@
 
 // executeRule checks ExecuteOnce.
 type executeRule struct {
-	opt   Options
-	index *index
-	runs  map[request]int
+	options    Options
+	dispatches *dispatchRule
+	executions map[request]int
 }
 
 func (x *executeRule) promise() Promise { return ExecuteOnce }
 
-func (x *executeRule) feed(e Event) []string {
+func (x *executeRule) observe(e Event) []string {
 	if e.Kind != Execute {
 		return nil
 	}
-	r, known := x.index.request(e)
+	r, known := x.dispatches.requestOf(e)
 	if !known {
-		if x.opt.Partial {
+		if x.options.Partial {
 			return nil
 		}
-		return []string{fmt.Sprintf("stream %s runs without a dispatch", e.Stream)}
+		return []string{fmt.Sprintf("stream %s was executed without a dispatch", e.Stream)}
 	}
-	x.runs[r]++
-	if x.index.once[r] && x.runs[r] > 1 {
-		return []string{fmt.Sprintf("%s executes for the %d. time", r, x.runs[r])}
+	x.executions[r]++
+	if x.dispatches.nonIdempotent[r] && x.executions[r] > 1 {
+		return []string{fmt.Sprintf("%s was executed %d times", r, x.executions[r])}
 	}
 	return nil
 }
 
 func (x *executeRule) finish(time.Duration) []string { return nil }
 
-// attempt is a request at the entry that accepted it.
-type attempt struct {
+// acceptance is a request together with the entry that accepted it.
+type acceptance struct {
 	request request
 	daemon  string
 }
 
 // notRunRule checks NotRun.
 type notRunRule struct {
-	index *index
-	// digest is the content that was dispatched under a key.
-	digest   map[request]string
-	offered  map[attempt]string
-	open     map[attempt]int
-	executed map[request]bool
-	refused  map[request]bool
+	dispatches *dispatchRule
+	// dispatchedDigest is the content that was dispatched under a key.
+	dispatchedDigest map[request]string
+	acceptedDigest   map[acceptance]string
+	inFlight         map[acceptance]int
+	executed         map[request]bool
+	refused          map[request]bool
 }
 
-func newNotRunRule(x *index) *notRunRule {
-	return &notRunRule{index: x, digest: map[request]string{}, offered: map[attempt]string{}, open: map[attempt]int{}, executed: map[request]bool{}, refused: map[request]bool{}}
+func newNotRunRule(x *dispatchRule) *notRunRule {
+	return &notRunRule{dispatches: x, dispatchedDigest: map[request]string{}, acceptedDigest: map[acceptance]string{}, inFlight: map[acceptance]int{}, executed: map[request]bool{}, refused: map[request]bool{}}
 }
 
 func (n *notRunRule) promise() Promise { return NotRun }
 
-func (n *notRunRule) feed(e Event) []string {
-	r, known := n.index.request(e)
+func (n *notRunRule) observe(e Event) []string {
+	r, known := n.dispatches.requestOf(e)
 	if !known {
 		return nil
 	}
-	at := attempt{request: r, daemon: e.Daemon}
+	at := acceptance{request: r, daemon: e.Daemon}
 	switch e.Kind {
 	case Accept:
-		n.open[at]++
-		n.offered[at] = e.Digest
+		n.inFlight[at]++
+		n.acceptedDigest[at] = e.Digest
 	case Answer:
-		n.open[at]--
+		n.inFlight[at]--
 	case Refuse:
-		n.open[at]--
-		return n.refuse(e, r)
+		n.inFlight[at]--
+		return n.checkRefusal(e, r)
 	case Execute:
 		n.executed[r] = true
 	case Dispatch:
-		n.digest[r] = n.offered[at]
-		if n.refused[r] && n.open[at] <= 0 {
-			return []string{fmt.Sprintf("%s was refused with not_run and not sent again", r)}
+		n.dispatchedDigest[r] = n.acceptedDigest[at]
+		if n.refused[r] && n.inFlight[at] <= 0 {
+			return []string{fmt.Sprintf("%s was dispatched after a refusal with not_run, without a new request", r)}
 		}
 	}
 	return nil
 }
 
-// refuse checks a refusal. One for a conflict speaks of another content than
-// the one that runs under the key.
-func (n *notRunRule) refuse(e Event, r request) []string {
+// checkRefusal checks a refusal with "not_run". A refusal for a conflict concerns
+// other content than what runs under the key, so it breaks nothing.
+func (n *notRunRule) checkRefusal(e Event, r request) []string {
 	if e.Ran != "not_run" {
 		return nil
 	}
-	if e.Code == "conflict" && e.Digest != n.digest[r] {
+	if e.Code == "conflict" && e.Digest != n.dispatchedDigest[r] {
 		return nil
 	}
 	n.refused[r] = true
 	if n.executed[r] {
-		return []string{fmt.Sprintf("%s was executed", r)}
+		return []string{fmt.Sprintf("%s was refused with not_run after it was executed", r)}
 	}
-	if to, ok := n.index.dispatched[r]; ok {
-		return []string{fmt.Sprintf("%s was dispatched to %s", r, to)}
+	if to, ok := n.dispatches.dispatched[r]; ok {
+		return []string{fmt.Sprintf("%s was refused with not_run after its dispatch to upstream %q", r, to)}
 	}
 	return nil
 }
 
 func (n *notRunRule) finish(time.Duration) []string { return nil }
 
-// leaveRule checks LeavingUpstream.
-type leaveRule struct {
-	left map[string]time.Duration
+// drainRule checks LeavingUpstream.
+type drainRule struct {
+	leftAt map[string]time.Duration
 }
 
-func (l *leaveRule) promise() Promise { return LeavingUpstream }
+func (l *drainRule) promise() Promise { return LeavingUpstream }
 
-func (l *leaveRule) feed(e Event) []string {
+func (l *drainRule) observe(e Event) []string {
 	switch e.Kind {
 	case Join:
-		delete(l.left, e.Upstream)
+		delete(l.leftAt, e.Upstream)
 	case Leave:
-		if _, ok := l.left[e.Upstream]; !ok {
-			l.left[e.Upstream] = e.At
+		if _, ok := l.leftAt[e.Upstream]; !ok {
+			l.leftAt[e.Upstream] = e.At
 		}
 	case Grant, Dispatch:
-		left, ok := l.left[e.Upstream]
-		if ok && e.At > left+leaveWithin {
-			return []string{fmt.Sprintf("%s left %v before", e.Upstream, e.At-left)}
+		left, ok := l.leftAt[e.Upstream]
+		if ok && e.At > left+drainTimeout {
+			return []string{fmt.Sprintf("upstream %s was given work %v after it announced its leave", e.Upstream, e.At-left)}
 		}
 	}
 	return nil
 }
 
-func (l *leaveRule) finish(time.Duration) []string { return nil }
+func (l *drainRule) finish(time.Duration) []string { return nil }
 
 // shutdownRule checks Shutdown.
 type shutdownRule struct {
 	draining map[string]bool
-	// open counts each daemon's requests without an end.
-	open map[string]map[request]int
+	// inFlight counts each daemon's accepted requests that have not ended.
+	inFlight map[string]map[request]int
 }
 
 func (s *shutdownRule) promise() Promise { return Shutdown }
 
-func (s *shutdownRule) feed(e Event) []string {
+func (s *shutdownRule) observe(e Event) []string {
 	r := request{workspace: e.Workspace, key: e.Key}
-	mine := s.open[e.Daemon]
+	inFlight := s.inFlight[e.Daemon]
 	switch e.Kind {
 	case Accept:
-		if mine == nil {
-			mine = map[request]int{}
-			s.open[e.Daemon] = mine
+		if inFlight == nil {
+			inFlight = map[request]int{}
+			s.inFlight[e.Daemon] = inFlight
 		}
-		mine[r]++
+		inFlight[r]++
 	case Answer:
-		s.end(mine, r)
+		s.endRequest(inFlight, r)
 	case Refuse:
-		accepted := mine[r] > 0
-		s.end(mine, r)
+		accepted := inFlight[r] > 0
+		s.endRequest(inFlight, r)
 		if accepted && s.draining[e.Daemon] && e.Code == "draining" {
-			return []string{fmt.Sprintf("%s was in flight and refused for the shutdown", r)}
+			return []string{fmt.Sprintf("%s was in flight and refused because of the shutdown", r)}
 		}
 	case Drain:
 		s.draining[e.Daemon] = true
 	case Crashed, Started:
-		delete(s.open, e.Daemon)
+		delete(s.inFlight, e.Daemon)
 		delete(s.draining, e.Daemon)
 	case Stopped:
-		delete(s.open, e.Daemon)
+		delete(s.inFlight, e.Daemon)
 		delete(s.draining, e.Daemon)
-		return interrupted(mine)
+		return interruptedRequests(inFlight)
 	}
 	return nil
 }
 
-func (s *shutdownRule) end(mine map[request]int, r request) {
-	if mine[r] > 1 {
-		mine[r]--
+func (s *shutdownRule) endRequest(inFlight map[request]int, r request) {
+	if inFlight[r] > 1 {
+		inFlight[r]--
 		return
 	}
-	delete(mine, r)
+	delete(inFlight, r)
 }
 
-func interrupted(mine map[request]int) []string {
+func interruptedRequests(inFlight map[request]int) []string {
 	names := []string{}
-	for r := range mine {
+	for r := range inFlight {
 		names = append(names, r.String())
 	}
 	if len(names) == 0 {
--- a/core/promise/tiers.go
+++ b/core/promise/tiers.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// overloaded is the refusal code of a request that was shed.
-const overloaded = "overloaded"
+// codeOverloaded is the refusal code of a request that was shed.
+const codeOverloaded = "overloaded"
 
-// offer is a request in a dispatcher's queue or on an upstream.
+// offer is a request in a dispatcher's queue or in service on an upstream.
 type offer struct {
 	pool   string
 	region string
@@ -16,36 +16,37 @@
 	since  time.Duration
 }
 
-// tierRule checks TierOrder. A refusal for overload that no dispatcher's Shed
-// came before counts as one; it then names a pool.
+// tierRule checks TierOrder. A refusal for overload by the entry itself, without
+// an earlier Shed by a dispatcher, counts as a Shed; it names a pool.
 type tierRule struct {
-	opt    Options
-	offers map[string]offer
-	shed   map[string]bool
+	options Options
+	offers  map[string]offer
+	shed    map[string]bool
 }
 
 func (t *tierRule) promise() Promise { return TierOrder }
 
-func (t *tierRule) feed(e Event) []string {
+func (t *tierRule) observe(e Event) []string {
 	switch e.Kind {
 	case Queue, Grant:
-		t.hold(e)
+		t.recordOffer(e)
 	case Release:
 		delete(t.offers, e.Offer)
 	case Shed:
 		delete(t.offers, e.Offer)
 		t.shed[e.Offer] = true
-		return t.check(e)
+		return t.checkShed(e)
 	case Refuse:
-		if e.Code == overloaded && e.Pool != "" && !t.shed[e.Offer] {
-			return t.check(e)
+		if e.Code == codeOverloaded && e.Pool != "" && !t.shed[e.Offer] {
+			return t.checkShed(e)
 		}
 	}
 	return nil
 }
 
-// hold keeps an offer; a grant or a second offer of it keeps its age.
-func (t *tierRule) hold(e Event) {
+// recordOffer adds an offer. A grant or a repeated offer in the same region keeps its
+// age.
+func (t *tierRule) recordOffer(e Event) {
 	o, ok := t.offers[e.Offer]
 	if !ok || o.region != e.Region {
 		o = offer{pool: e.Pool, region: e.Region, tier: e.Tier, since: e.At}
@@ -53,31 +54,31 @@
 	t.offers[e.Offer] = o
 }
 
-func (t *tierRule) check(e Event) []string {
-	worst, id := offer{tier: e.Tier}, ""
+func (t *tierRule) checkShed(e Event) []string {
+	lowest, id := offer{tier: e.Tier}, ""
 	for name, o := range t.offers {
-		if o.pool != e.Pool || !t.known(e, o) {
+		if o.pool != e.Pool || !t.isKnownTo(e, o) {
 			continue
 		}
-		if o.tier > worst.tier || o.tier == worst.tier && id != "" && name < id {
-			worst, id = o, name
+		if o.tier > lowest.tier || o.tier == lowest.tier && id != "" && name < id {
+			lowest, id = o, name
 		}
 	}
 	if id == "" {
 		return nil
 	}
-	return []string{fmt.Sprintf("tier %d was shed while %s of tier %d was queued or served in %s", e.Tier, id, worst.tier, worst.region)}
+	return []string{fmt.Sprintf("a request of tier %d was shed while offer %s of tier %d was queued or in service in region %s", e.Tier, id, lowest.tier, lowest.region)}
 }
 
-// known tells whether whoever shed could know of an offer.
-func (t *tierRule) known(e Event, o offer) bool {
+// isKnownTo reports whether the dispatcher of a shed request could know of an offer.
+func (t *tierRule) isKnownTo(e Event, o offer) bool {
 	if o.region == e.Region {
 		return true
 	}
-	if t.opt.Reach != nil && !t.opt.Reach(e.At, e.Region, o.region) {
+	if t.options.Reach != nil && !t.options.Reach(e.At, e.Region, o.region) {
 		return false
 	}
-	return e.At-o.since >= t.opt.RegionDelay
+	return e.At-o.since >= t.options.RegionDelay
 }
 
 func (t *tierRule) finish(time.Duration) []string { return nil }
