--- a/core/quarantine/quarantine.go
+++ b/core/quarantine/quarantine.go
@@ -1,95 +1,105 @@
-// Package quarantine finds requests that crash the upstreams that run them.
+// Package quarantine tracks request contents that may crash upstreams and tells
+// a dispatcher how to treat them. Package sched uses one Tracker per pool.
 //
-// An upstream that dies makes every request in flight on it a suspect, by the
-// fingerprint of its content. A suspect that completes is cleared; one that is
-// present at a second crash is quarantined for a time. The package is pure:
-// time is a duration on the caller's monotonic clock, and changes come out for
-// the caller to share with the other dispatchers.
+// When an upstream crashes, every request in flight on it becomes suspect,
+// identified by the fingerprint of its content. A suspect that completes is
+// cleared; one that is in flight at a second crash is quarantined for Hold.
+//
+// The package does no I/O: times are durations on the caller's monotonic clock,
+// and each Change is returned for the caller to share with the other
+// dispatchers. A Tracker is not safe for concurrent use.
 package quarantine
 
 import "time"
 
 const (
-	// crashesToQuarantine is how many upstreams one content may take down.
-	crashesToQuarantine = 2
-	// Hold is how long a quarantined content is refused.
+	// quarantineThreshold is the number of crashes after which a content is
+	// quarantined.
+	quarantineThreshold = 2
+	// Hold is how long a quarantined content is refused, counted from its last
+	// crash.
 	Hold = 10 * time.Minute
-	// suspicionLife is how long a suspect that never comes back is remembered.
-	suspicionLife = time.Hour
+	// suspicionTTL is how long a suspect that is not offered again is
+	// remembered, counted from its last crash.
+	suspicionTTL = time.Hour
 )
 
-// Verdict says how a request is to be treated.
+// Verdict tells how a dispatcher treats a request.
 type Verdict uint8
 
-// Verdicts.
+// Verdicts on a request.
 const (
-	// Clear requests run anywhere.
+	// Clear requests may run on any upstream.
 	Clear Verdict = iota
-	// Suspect requests run where no other suspect runs.
+	// Suspect requests may run only on upstreams that run no other suspect.
 	Suspect
-	// Unsettled requests wait: they failed on an upstream of which it is not
-	// known yet whether it died, and another crash would be one too many.
+	// Unsettled requests stay queued: the content failed on an upstream that
+	// may or may not have crashed, and if it did, the content reaches
+	// quarantineThreshold.
 	Unsettled
-	// Quarantined requests are refused.
+	// Quarantined requests are refused without being run.
 	Quarantined
 )
 
-// Change is a crash count to share; zero clears the suspicion.
+// Change is a crash count to share with the other dispatchers; zero crashes
+// clears the suspicion.
 type Change struct {
 	Fingerprint uint64
 	Crashes     int
 }
 
-// mark is what is known of one fingerprint.
-type mark struct {
+// crashRecord holds the crashes counted for one fingerprint.
+type crashRecord struct {
 	crashes int
 	since   time.Duration
-	// shared says that the shared list has held this count.
+	// shared reports whether the shared counts have included this fingerprint.
 	shared bool
 }
 
-// Tracker knows the suspects of one pool.
+// Tracker holds the suspect and quarantined contents of one pool.
 type Tracker struct {
-	marks map[uint64]mark
-	// unsettled counts, by fingerprint, the failures on upstreams of which it
-	// is not known yet whether they died.
-	unsettled map[uint64]int
+	records map[uint64]crashRecord
+	// pendingFailures counts failures by fingerprint on upstreams that are not
+	// yet known to have survived or crashed.
+	pendingFailures map[uint64]int
 }
 
-// New returns a tracker without suspects.
+// New returns an empty tracker.
 func New() *Tracker {
-	return &Tracker{marks: map[uint64]mark{}, unsettled: map[uint64]int{}}
+	return &Tracker{records: map[uint64]crashRecord{}, pendingFailures: map[uint64]int{}}
 }
 
-// Sync takes over the shared crash counts. What the shared list held before
-// and no longer holds was cleared elsewhere; what it has not held yet is on its
-// way there and stays.
+// Sync merges the shared crash counts; the higher count wins. A fingerprint
+// that was shared before and is missing now was cleared by another dispatcher
+// and is removed; one that has not been shared yet is kept, since its change
+// may still be on the way.
 func (t *Tracker) Sync(now time.Duration, shared map[uint64]int) {
 	for f, n := range shared {
-		m, ok := t.marks[f]
+		m, ok := t.records[f]
 		if !ok || n > m.crashes {
-			m = mark{crashes: n, since: now}
+			m = crashRecord{crashes: n, since: now}
 		}
 		m.shared = true
-		t.marks[f] = m
+		t.records[f] = m
 	}
-	for f, m := range t.marks {
+	for f, m := range t.records {
 		if _, ok := shared[f]; !ok && m.shared {
-			delete(t.marks, f)
+			delete(t.records, f)
 		}
 	}
 }
 
-// Verdict returns how a content is to be treated and, where it is
-// quarantined, for how long.
+// Verdict returns how to treat a content and, for a quarantined one, the time
+// until the quarantine ends. Fingerprint zero stands for unknown content and is
+// always clear.
 func (t *Tracker) Verdict(now time.Duration, fingerprint uint64) (Verdict, time.Duration) {
-	m, ok := t.marks[fingerprint]
+	m, ok := t.records[fingerprint]
 	switch {
 	case fingerprint == 0:
 		return Clear, 0
-	case m.crashes >= crashesToQuarantine:
+	case m.crashes >= quarantineThreshold:
 		return Quarantined, max(0, m.since+Hold-now)
-	case m.crashes+t.unsettled[fingerprint] >= crashesToQuarantine:
+	case m.crashes+t.pendingFailures[fingerprint] >= quarantineThreshold:
 		return Unsettled, 0
 	case ok:
 		return Suspect, 0
@@ -97,21 +107,23 @@
 	return Clear, 0
 }
 
-// Broke notes that a content failed on an upstream that may have died of it.
+// Broke records that a content failed on an upstream that may have crashed.
+// Settled resolves it.
 func (t *Tracker) Broke(fingerprint uint64) {
-	t.unsettled[fingerprint]++
+	t.pendingFailures[fingerprint]++
 }
 
-// Settled takes one failure back: its upstream lives, or counts as crashed.
+// Settled resolves one failure recorded by Broke, once the upstream is known to
+// have survived or its crash has been counted.
 func (t *Tracker) Settled(fingerprint uint64) {
-	t.unsettled[fingerprint]--
-	if t.unsettled[fingerprint] <= 0 {
-		delete(t.unsettled, fingerprint)
+	t.pendingFailures[fingerprint]--
+	if t.pendingFailures[fingerprint] <= 0 {
+		delete(t.pendingFailures, fingerprint)
 	}
 }
 
-// Crashed counts a crash for each content that was in flight; a content that
-// is given more than once is counted once.
+// Crashed counts one crash for each distinct content that was in flight on a
+// crashed upstream. Unknown contents, with fingerprint zero, are skipped.
 func (t *Tracker) Crashed(now time.Duration, inFlight []uint64) []Change {
 	out := []Change{}
 	seen := map[uint64]bool{}
@@ -120,38 +132,39 @@
 			continue
 		}
 		seen[f] = true
-		m := mark{crashes: t.marks[f].crashes + 1, since: now}
-		t.marks[f] = m
+		m := crashRecord{crashes: t.records[f].crashes + 1, since: now}
+		t.records[f] = m
 		out = append(out, Change{Fingerprint: f, Crashes: m.crashes})
 	}
 	return out
 }
 
-// Completed clears a suspect that ran to its end.
+// Completed clears a suspect whose request completed. It returns false where
+// there is nothing to clear; a quarantine is not ended early.
 func (t *Tracker) Completed(fingerprint uint64) (Change, bool) {
-	m, ok := t.marks[fingerprint]
-	if !ok || m.crashes >= crashesToQuarantine {
+	m, ok := t.records[fingerprint]
+	if !ok || m.crashes >= quarantineThreshold {
 		return Change{}, false
 	}
-	delete(t.marks, fingerprint)
+	delete(t.records, fingerprint)
 	return Change{Fingerprint: fingerprint}, true
 }
 
-// Expire ends quarantines and suspicions whose time is over.
+// Expire removes quarantines after Hold and suspicions after suspicionTTL.
 func (t *Tracker) Expire(now time.Duration) []Change {
 	out := []Change{}
-	for f, m := range t.marks {
-		life := suspicionLife
-		if m.crashes >= crashesToQuarantine {
-			life = Hold
+	for f, m := range t.records {
+		ttl := suspicionTTL
+		if m.crashes >= quarantineThreshold {
+			ttl = Hold
 		}
-		if now-m.since >= life {
-			delete(t.marks, f)
+		if now-m.since >= ttl {
+			delete(t.records, f)
 			out = append(out, Change{Fingerprint: f})
 		}
 	}
 	return out
 }
 
-// Len returns how many contents are suspect or quarantined.
-func (t *Tracker) Len() int { return len(t.marks) }
+// Len returns the number of suspect and quarantined contents.
+func (t *Tracker) Len() int { return len(t.records) }
