--- a/core/sched/announce.go
+++ b/core/sched/announce.go
@@ -7,14 +7,17 @@
 	"github.com/verbenastep/verbenastep/core/quarantine"
 )
 
-// maxBroken bounds the failures remembered of one upstream.
-const maxBroken = 1024
+// maxRecentFailures bounds the failed requests remembered per upstream.
+const maxRecentFailures = 1024
 
-// announceDelay is how old an announcement may be when it arrives: one that
-// was sent before a crash doesn't show that the upstream lives.
-const announceDelay = time.Second
+// maxAnnounceDelay is the maximum time that an announcement may take to arrive.
+// A failure more recent than this may have happened after the announcement was
+// sent, so the announcement does not prove that the upstream survived it.
+const maxAnnounceDelay = time.Second
 
-// Announce adds or renews an upstream.
+// Announce adds an upstream or renews its lease. A higher incarnation counts as
+// a restart. It returns an OfferError where the announcement is malformed, has
+// an earlier incarnation, or follows a Leave of the same incarnation.
 func (d *Dispatcher) Announce(now time.Duration, a Upstream) error {
 	if err := checkUpstream(a); err != nil {
 		return err
@@ -26,30 +29,30 @@
 	if ok && a.Incarnation < u.Incarnation {
 		return &OfferError{Message: "the announcement of " + a.Name + " is of an earlier start", Remedy: "raise the incarnation at each start"}
 	}
-	if ok && u.leaving && a.Incarnation == u.Incarnation {
+	if ok && u.draining && a.Incarnation == u.Incarnation {
 		return &OfferError{Message: "the announcement of " + a.Name + " came after its leave", Remedy: "raise the incarnation at each start"}
 	}
 	if !ok {
 		u = d.addUpstream(a)
 	}
 	if a.Incarnation > u.Incarnation && ok {
-		d.restarted(now, u)
+		d.handleRestart(now, u)
 	} else if ok {
-		d.settleBroken(u, now-announceDelay)
+		d.resolveFailures(u, now-maxAnnounceDelay)
 	}
 	events := a.Events
 	a.Events = nil
 	u.Upstream = a
-	u.leaving = false
+	u.draining = false
 	u.expires = now + a.Lease
-	if u.lease == notQueued {
+	if u.leaseIndex == notInHeap {
 		heap.Push(&d.leases, u)
 	} else {
-		heap.Fix(&d.leases, u.lease)
+		heap.Fix(&d.leases, u.leaseIndex)
 	}
-	u.load.take(a.Load, a.Slots)
+	u.foreignLoad.recordReport(a.Load, a.Slots)
 	for _, e := range events {
-		u.cache.event(e)
+		u.cache.applyEvent(e)
 	}
 	if !ok {
 		d.adoptRunning(now, u)
@@ -60,106 +63,111 @@
 
 func (d *Dispatcher) addUpstream(a Upstream) *upstream {
 	u := &upstream{
-		Upstream: a, id: int32(len(d.byID)), inFlight: map[ID]*request{}, speed: newSpeed(), known: newSpeed(),
-		cache: newResidency(), index: [classes]int{notQueued, notQueued}, lease: notQueued,
+		Upstream: a, id: int32(len(d.byID)), inFlight: map[ID]*request{}, speed: newSpeed(), blendedSpeed: newSpeed(),
+		cache: newCacheModel(), roomIndex: [classes]int{notInHeap, notInHeap}, leaseIndex: notInHeap,
 	}
 	d.upstreams[a.Name] = u
 	d.byID = append(d.byID, u)
 	return u
 }
 
-// adoptRunning gives a new upstream the running requests that name it.
+// adoptRunning assigns to a new upstream the running requests that were offered
+// as running on it.
 func (d *Dispatcher) adoptRunning(now time.Duration, u *upstream) {
 	for id, r := range d.requests {
 		if r.upstream == u.Name && u.inFlight[id] == nil {
-			d.place(now, r, u, parts{})
+			d.assign(now, r, u, completionEstimate{})
 		}
 	}
 }
 
-// restarted notes that all of an upstream's earlier work was lost in a crash,
-// unless it left before. Its requests stay counted until they are released.
-func (d *Dispatcher) restarted(now time.Duration, u *upstream) {
-	if !u.leaving {
-		d.crashed(now, u)
+// handleRestart records a crash of the upstream's previous process unless that
+// process was draining, and resets what was learned about its cache and load.
+// Its requests keep occupying slots until they are released.
+func (d *Dispatcher) handleRestart(now time.Duration, u *upstream) {
+	if !u.draining {
+		d.recordCrash(now, u)
 	}
 	u.cache.reset()
 	u.prefillUntil = 0
-	u.load = loadReport{}
-	u.slots = slots{}
+	u.foreignLoad = foreignLoad{}
+	u.slotLimit = slotLimit{}
 }
 
-// crashed makes suspects of all that was in flight on a dead upstream.
-func (d *Dispatcher) crashed(now time.Duration, u *upstream) {
-	prints := d.settleBroken(u, now)
+// recordCrash counts a crash for every request in flight on a crashed upstream
+// and for those that failed there without a known cause.
+func (d *Dispatcher) recordCrash(now time.Duration, u *upstream) {
+	fingerprints := d.resolveFailures(u, now)
 	for _, r := range u.inFlight {
 		if r.incarnation == u.Incarnation {
-			prints = append(prints, r.offer.Fingerprint)
-			r.counted = true
+			fingerprints = append(fingerprints, r.offer.Fingerprint)
+			r.crashCounted = true
 		}
 	}
-	d.suspects = append(d.suspects, d.tracker.Crashed(now, prints)...)
+	d.suspectChanges = append(d.suspectChanges, d.tracker.Crashed(now, fingerprints)...)
 }
 
-// noteBroken remembers a request that failed on an upstream, until it is known
-// whether that died of it.
-func (d *Dispatcher) noteBroken(now time.Duration, u *upstream, r *request) {
-	if r.incarnation != u.Incarnation || len(u.broken) >= maxBroken || u.leaving || r.counted {
+// recordFailure records a request that failed on an upstream until it is known
+// whether the upstream crashed. Where its lease has already expired the crash
+// is counted at once.
+func (d *Dispatcher) recordFailure(now time.Duration, u *upstream, r *request) {
+	if r.incarnation != u.Incarnation || len(u.recentFailures) >= maxRecentFailures || u.draining || r.crashCounted {
 		return
 	}
 	if u.expires <= now {
-		d.suspects = append(d.suspects, d.tracker.Crashed(now, []uint64{r.offer.Fingerprint})...)
+		d.suspectChanges = append(d.suspectChanges, d.tracker.Crashed(now, []uint64{r.offer.Fingerprint})...)
 		return
 	}
-	u.broken = append(u.broken, failure{fingerprint: r.offer.Fingerprint, at: now})
+	u.recentFailures = append(u.recentFailures, failure{fingerprint: r.offer.Fingerprint, at: now})
 	d.tracker.Broke(r.offer.Fingerprint)
 }
 
-// settleBroken forgets the failures up to a time, of an upstream that has
-// crashed or has shown since that it lives, and returns their fingerprints.
-func (d *Dispatcher) settleBroken(u *upstream, upTo time.Duration) []uint64 {
-	prints := []uint64{}
-	for len(u.broken) > 0 && u.broken[0].at <= upTo {
-		prints = append(prints, u.broken[0].fingerprint)
-		d.tracker.Settled(u.broken[0].fingerprint)
-		u.broken = u.broken[1:]
-	}
-	return prints
+// resolveFailures removes the failures up to a time from an upstream that has
+// crashed or has proven to be alive since, and returns their fingerprints.
+func (d *Dispatcher) resolveFailures(u *upstream, upTo time.Duration) []uint64 {
+	fingerprints := []uint64{}
+	for len(u.recentFailures) > 0 && u.recentFailures[0].at <= upTo {
+		fingerprints = append(fingerprints, u.recentFailures[0].fingerprint)
+		d.tracker.Settled(u.recentFailures[0].fingerprint)
+		u.recentFailures = u.recentFailures[1:]
+	}
+	return fingerprints
 }
 
-// Leave ends new work on an upstream at once. What it runs goes on. It returns
-// false where that was so before.
+// Leave starts draining an upstream: it gets no new requests, and its running
+// requests continue. It returns false where the upstream is unknown, already
+// draining, or of a later incarnation.
 func (d *Dispatcher) Leave(now time.Duration, name string, incarnation uint64) bool {
 	u, ok := d.upstreams[name]
-	if !ok || incarnation < u.Incarnation || u.leaving {
+	if !ok || incarnation < u.Incarnation || u.draining {
 		return false
 	}
-	u.leaving = true
-	d.settleBroken(u, now)
+	u.draining = true
+	d.resolveFailures(u, now)
 	d.refresh(now, u)
 	return true
 }
 
-// expireUpstreams ends new work on upstreams that did not renew. One that
-// broke requests before its lease ended has crashed.
+// expireUpstreams stops granting to upstreams whose lease has expired. One with
+// unresolved failures is counted as crashed.
 func (d *Dispatcher) expireUpstreams(now time.Duration, out *Decisions) {
 	for len(d.leases) > 0 && d.leases[0].expires <= now {
 		u := heap.Pop(&d.leases).(*upstream)
 		d.refresh(now, u)
 		out.Lost = append(out.Lost, u.Name)
-		if len(u.broken) > 0 && !u.leaving {
-			d.crashed(now, u)
+		if len(u.recentFailures) > 0 && !u.draining {
+			d.recordCrash(now, u)
 		}
 	}
 }
 
-// SyncSuspects takes over the crash counts that the dispatchers share.
+// SyncSuspects merges the crash counts that the dispatchers share.
 func (d *Dispatcher) SyncSuspects(now time.Duration, shared map[uint64]int) {
 	d.tracker.Sync(now, shared)
 }
 
-// suspect says whether a request's content is under suspicion.
-func (d *Dispatcher) suspectNow(now time.Duration, r *request) bool {
+// isSuspect reports whether a request's content is under suspicion.
+func (d *Dispatcher) isSuspect(now time.Duration, r *request) bool {
 	verdict, _ := d.tracker.Verdict(now, r.offer.Fingerprint)
 	return verdict == quarantine.Suspect
 }
--- a/core/sched/choice.go
+++ b/core/sched/choice.go
@@ -3,20 +3,22 @@
 import "time"
 
 const (
-	// topCandidates is how many of the least loaded upstreams are weighed: the
-	// first levels of a binary heap.
-	topCandidates = 7
-	// maxCandidates is the most upstreams that are weighed for one grant.
-	maxCandidates = topCandidates + holders
-	// suspectPenalty is added for each request beside a suspect.
+	// maxLeastLoaded is the number of least loaded upstreams scored for a
+	// grant: the first three levels of a binary heap.
+	maxLeastLoaded = 7
+	// maxCandidates is the maximum number of upstreams scored for one grant.
+	maxCandidates = maxLeastLoaded + maxHolders
+	// suspectPenalty is added to a suspect's score for each request in flight
+	// on the upstream, to keep it away from other requests.
 	suspectPenalty = time.Second
-	// prefillDelay weighs a prefill's time once more for each stream beside it,
-	// which it delays.
-	prefillDelay = 1.0
+	// prefillInterferenceWeight weighs, per stream in flight, the time by which
+	// a new prefill delays that stream.
+	prefillInterferenceWeight = 1.0
 )
 
-// parts is an upstream's expected completion time for one request.
-type parts struct {
+// completionEstimate is the expected completion time of a request on an
+// upstream, split into its parts.
+type completionEstimate struct {
 	queue   time.Duration
 	prefill time.Duration
 	decode  time.Duration
@@ -25,38 +27,40 @@
 	cached  int
 }
 
-// score returns the expected completion of a request on an upstream. It
-// changes nothing.
-func (d *Dispatcher) score(now time.Duration, u *upstream, r *request) parts {
-	s := &u.known
-	p := parts{cached: d.cached(u, r)}
-	uncached := float64(max(0, r.offer.PromptTokens-p.cached))
-	n := len(u.inFlight) + u.load.foreign() + 1
-	p.queue = max(0, min(u.prefillUntil-now, seconds(s.prefill*u.uncached)))
-	p.prefill = seconds(s.prefill * uncached)
-	p.decode = seconds(s.perToken(n)*r.output + s.call)
+// score estimates the completion time of a request on an upstream, without side
+// effects.
+func (d *Dispatcher) score(now time.Duration, u *upstream, r *request) completionEstimate {
+	s := &u.blendedSpeed
+	estimate := completionEstimate{cached: d.cached(u, r)}
+	uncached := float64(max(0, r.offer.PromptTokens-estimate.cached))
+	n := len(u.inFlight) + u.foreignLoad.requests() + 1
+	estimate.queue = max(0, min(u.prefillUntil-now, seconds(s.prefill*u.uncachedTokens)))
+	estimate.prefill = seconds(s.prefill * uncached)
+	estimate.decode = seconds(s.perToken(n)*r.output + s.call)
 	if r.offer.Spilled != "" {
-		p.link = d.params.Link.cost(r.offer.PromptTokens)
+		estimate.link = d.params.Link.cost(r.offer.PromptTokens)
 	}
-	p.total = p.queue + p.prefill + p.decode + p.link
-	return p
+	estimate.total = estimate.queue + estimate.prefill + estimate.decode + estimate.link
+	return estimate
 }
 
-// cached returns the prompt tokens that an upstream should not have to compute.
+// cached estimates the prompt tokens that the upstream can serve from its
+// prefix cache. At least one prompt token is always computed.
 func (d *Dispatcher) cached(u *upstream, r *request) int {
-	blocks := u.cache.matched(r.offer.Blocks)
+	blocks := u.cache.matchedBlocks(r.offer.Blocks)
 	tokens := float64(blocks*d.params.BlockTokens) * u.cache.trust
 	return max(0, min(int(tokens), r.offer.PromptTokens-1))
 }
 
-// candidateSet collects upstreams without repeats and without allocation.
+// candidateSet collects distinct upstreams without allocating.
 type candidateSet struct {
 	items  [maxCandidates]*upstream
-	scores [maxCandidates]parts
+	scores [maxCandidates]completionEstimate
 	n      int
-	// held are the holders of the prompt's first depth blocks.
-	held  holderSet
-	depth int
+	// holders are upstreams that were granted the prompt's first heldBlocks
+	// blocks.
+	holders    holderSet
+	heldBlocks int
 }
 
 func (c *candidateSet) add(u *upstream) {
@@ -69,52 +73,54 @@
 	c.n++
 }
 
-// candidates are the least loaded upstreams with room and those that hold the
-// longest part of the prompt.
+// candidates returns the least loaded upstreams with room and those that hold
+// the longest prefix of the prompt.
 func (d *Dispatcher) candidates(now time.Duration, r *request) candidateSet {
 	set := candidateSet{}
-	open := d.open[r.class].items
-	for i := range min(topCandidates, len(open)) {
+	open := d.withRoom[r.class].items
+	for i := range min(maxLeastLoaded, len(open)) {
 		set.add(open[i])
 	}
-	set.held, set.depth = d.holding.deepest(r.offer.Blocks)
-	for _, id := range set.held.ids[:set.held.used] {
+	set.holders, set.heldBlocks = d.blockHolders.longestHeld(r.offer.Blocks)
+	for _, id := range set.holders.ids[:set.holders.used] {
 		u := d.byID[id]
-		if d.room(now, u, r.class) {
+		if d.hasRoom(now, u, r.class) {
 			set.add(u)
 		}
 	}
 	return set
 }
 
-// choose returns the upstream with the least expected completion, the delay of
-// the requests beside it counted in, or nil.
-func (d *Dispatcher) choose(now time.Duration, r *request) (*upstream, parts, candidateSet) {
+// chooseUpstream returns the candidate with the lowest estimated completion
+// time, including the delay that the request's prefill causes to the streams in
+// flight, or nil. Occasionally it returns a slow upstream instead to measure
+// its recovery; see pickTrial.
+func (d *Dispatcher) chooseUpstream(now time.Duration, r *request) (*upstream, completionEstimate, candidateSet) {
 	set := d.candidates(now, r)
-	best, least, lowest := (*upstream)(nil), parts{}, time.Duration(0)
+	best, bestEstimate, lowestRank := (*upstream)(nil), completionEstimate{}, time.Duration(0)
 	for i, u := range set.items[:set.n] {
-		if !d.room(now, u, r.class) {
+		if !d.hasRoom(now, u, r.class) {
 			d.refresh(now, u)
 			continue
 		}
-		if r.suspect && u.suspects > 0 {
+		if r.suspect && u.suspectCount > 0 {
 			continue
 		}
-		p := d.score(now, u, r)
-		set.scores[i] = p
-		if d.breaks(u, r) {
+		estimate := d.score(now, u, r)
+		set.scores[i] = estimate
+		if d.wouldMissDeadlines(u, r) {
 			continue
 		}
-		rank := p.total + time.Duration(prefillDelay*float64(len(u.inFlight))*float64(p.prefill))
+		rank := estimate.total + time.Duration(prefillInterferenceWeight*float64(len(u.inFlight))*float64(estimate.prefill))
 		if r.suspect {
 			rank += suspectPenalty * time.Duration(len(u.inFlight))
 		}
-		if best == nil || rank < lowest || rank == lowest && u.Name < best.Name {
-			best, least, lowest = u, p, rank
+		if best == nil || rank < lowestRank || rank == lowestRank && u.Name < best.Name {
+			best, bestEstimate, lowestRank = u, estimate, rank
 		}
 	}
-	if u := d.trial(now, r); u != nil && best != nil && !r.suspect {
-		best, least = u, d.score(now, u, r)
+	if u := d.pickTrial(now, r); u != nil && best != nil && !r.suspect {
+		best, bestEstimate = u, d.score(now, u, r)
 	}
-	return best, least, set
+	return best, bestEstimate, set
 }
--- a/core/sched/decide.go
+++ b/core/sched/decide.go
@@ -7,191 +7,200 @@
 	"github.com/verbenastep/verbenastep/core/quarantine"
 )
 
-// Decide grants what fits and refuses what must be.
+// Decide runs one scheduling round: it expires leases and orphaned requests,
+// refuses what can no longer finish in time, grants what fits, and sheds the
+// excess.
 func (d *Dispatcher) Decide(now time.Duration) Decisions {
 	out := Decisions{}
 	d.expireUpstreams(now, &out)
 	d.freeOrphans(now)
-	d.sweep(now)
-	d.refuseDoomed(now, &out)
-	if d.knownGone(now) {
+	d.findStragglers(now)
+	d.refuseUnreachable(now, &out)
+	if d.poolUnavailable(now) {
 		d.refuseAll(now, &out)
 	}
 	d.grantAll(now, &out)
 	d.shed(now, &out)
-	d.suspects = append(d.suspects, d.tracker.Expire(now)...)
-	out.Suspects, out.Ended = d.suspects, d.ended
-	d.suspects, d.ended = nil, nil
+	d.suspectChanges = append(d.suspectChanges, d.tracker.Expire(now)...)
+	out.Suspects, out.Ended = d.suspectChanges, d.ended
+	d.suspectChanges, d.ended = nil, nil
 	return out
 }
 
-// refuseDoomed refuses what can no longer finish in time, before any work.
-func (d *Dispatcher) refuseDoomed(now time.Duration, out *Decisions) {
-	for len(d.doomed) > 0 && d.doomed[0].doomAt <= now {
-		d.drop(now, d.doomed[0], TooLate, "the answer can no longer arrive before the deadline", out)
+// refuseUnreachable refuses queued requests that can no longer finish before
+// their deadline, so that no work is spent on them.
+func (d *Dispatcher) refuseUnreachable(now time.Duration, out *Decisions) {
+	for len(d.byLatestStart) > 0 && d.byLatestStart[0].latestStart <= now {
+		d.refuseQueued(now, d.byLatestStart[0], TooLate, "the answer can no longer arrive before the deadline", out)
 	}
 }
 
-// knownGone says whether no upstream has served the pool for long enough that
-// one which lives would have announced itself, since the dispatcher began too.
-func (d *Dispatcher) knownGone(now time.Duration) bool {
+// poolUnavailable reports whether no upstream has been live for
+// noUpstreamTimeout, counted from the first round at the earliest, so that live
+// upstreams have had time to announce themselves.
+func (d *Dispatcher) poolUnavailable(now time.Duration) bool {
 	if !d.started || d.anyLive(now) {
 		d.started = true
 		d.lastLive = now
 	}
-	return now-d.lastLive >= announceGrace
+	return now-d.lastLive >= noUpstreamTimeout
 }
 
-// refuseAll refuses everything, since no upstream serves the pool.
+// refuseAll refuses all queued requests because no upstream serves the pool.
 func (d *Dispatcher) refuseAll(now time.Duration, out *Decisions) {
-	for len(d.doomed) > 0 {
-		d.drop(now, d.doomed[0], NoUpstream, "no upstream serves the pool here", out)
+	for len(d.byLatestStart) > 0 {
+		d.refuseQueued(now, d.byLatestStart[0], NoUpstream, "no upstream serves the pool here", out)
 	}
 }
 
-// drop refuses a queued request.
-func (d *Dispatcher) drop(now time.Duration, r *request, code Code, why string, out *Decisions) {
-	d.forgetQueued(r)
+// refuseQueued removes a queued request and refuses it.
+func (d *Dispatcher) refuseQueued(now time.Duration, r *request, code Code, reason string, out *Decisions) {
+	d.removeQueued(r)
 	if code == Overload || code == Spill {
-		d.calmFrom = now + calmAfter
+		d.shortageUntil = now + shortageWindow
 	}
-	refusal := d.refuse(now, r.offer, code, d.comeBack(code), why)
-	d.recent.last().WaitedMS = milliseconds(now - r.arrived)
+	refusal := d.refuse(now, r.offer, code, d.retryDelay(code), reason)
+	d.recentDecisions.last().WaitedMS = milliseconds(now - r.arrivedAt)
 	out.Refusals = append(out.Refusals, *refusal)
 }
 
-func (d *Dispatcher) refuse(_ time.Duration, o Offer, code Code, after time.Duration, why string) *Refusal {
-	d.recent.add(Explanation{ID: o.ID, State: "refused", Code: code, Reason: why})
-	return &Refusal{ID: o.ID, Code: code, Workspace: o.Workspace, Tier: o.Tier, RetryAfter: after, Why: why}
+func (d *Dispatcher) refuse(_ time.Duration, o Offer, code Code, after time.Duration, reason string) *Refusal {
+	d.recentDecisions.add(Explanation{ID: o.ID, State: "refused", Code: code, Reason: reason})
+	return &Refusal{ID: o.ID, Code: code, Workspace: o.Workspace, Tier: o.Tier, RetryAfter: after, Why: reason}
 }
 
-// grantAll grants in the order of the tiers. While a higher tier waits, a lower
-// one is granted nothing but short requests on slots that the higher tier's long
-// ones may not take, and not even these while requests are being shed.
+// grantAll grants requests in tier order. While a higher tier has requests
+// queued, a lower one may be granted only short requests, on slots reserved for
+// them, and not even these while capacity is short. Requests that no upstream
+// with room suits are deferred and queued again at the end of the round.
 func (d *Dispatcher) grantAll(now time.Duration, out *Decisions) {
 	d.localityWaits = 0
-	classesLeft := [classes]bool{true, true}
+	allowedClasses := [classes]bool{true, true}
 	for _, t := range d.tiers {
 		if t == nil {
 			continue
 		}
-		before := len(d.setAside)
-		for len(d.setAside)-before < maxSetAside && d.grantOne(now, t, classesLeft, out) {
+		before := len(d.deferred)
+		for len(d.deferred)-before < maxDeferredPerTier && d.grantOne(now, t, allowedClasses, out) {
 		}
-		if t.queued == 0 || len(d.setAside) > before {
+		if t.queued == 0 || len(d.deferred) > before {
 			continue
 		}
-		if now < d.calmFrom {
+		if now < d.shortageUntil {
 			break
 		}
-		classesLeft[long] = false
+		allowedClasses[long] = false
 	}
-	for _, r := range d.setAside {
+	for _, r := range d.deferred {
 		r.workspace.tier.enqueue(r)
 	}
-	d.setAside = d.setAside[:0]
+	d.deferred = d.deferred[:0]
 }
 
-// calmAfter is how long after a request was shed capacity counts as short.
-const calmAfter = 10 * time.Second
+// shortageWindow is how long capacity counts as short after a request was shed.
+const shortageWindow = 10 * time.Second
 
-// maxSetAside is how many requests of a tier may be passed over in a round
-// since no upstream with room suits them.
-const maxSetAside = 8
+// maxDeferredPerTier is the maximum number of requests of a tier that a round
+// may skip because no upstream with room suits them.
+const maxDeferredPerTier = 8
 
-// grantOne grants the tier's next request; it returns false where none can be.
+// grantOne grants, defers or refuses the tier's next request. It returns false
+// where no request can be considered.
 func (d *Dispatcher) grantOne(now time.Duration, t *tier, allowed [classes]bool, out *Decisions) bool {
-	for c := range d.open {
-		allowed[c] = allowed[c] && d.openFor(now, class(c))
+	for c := range d.withRoom {
+		allowed[c] = allowed[c] && d.anyRoom(now, class(c))
 	}
 	r := t.head(allowed)
 	if r == nil {
 		return false
 	}
-	r.suspect = d.suspectNow(now, r)
+	r.suspect = d.isSuspect(now, r)
 	verdict, left := d.tracker.Verdict(now, r.offer.Fingerprint)
 	if verdict == quarantine.Unsettled {
 		t.dequeue(r)
-		d.setAside = append(d.setAside, r)
+		d.deferred = append(d.deferred, r)
 		return true
 	}
 	if verdict == quarantine.Quarantined {
-		d.forgetQueued(r)
+		d.removeQueued(r)
 		out.Refusals = append(out.Refusals, *d.refuse(now, r.offer, Quarantined, left, "the content was in flight at two crashes of upstreams"))
 		return true
 	}
-	u, p, set := d.choose(now, r)
-	if u != nil && (d.waits(now, r, p) || d.waitsForPrefix(now, r, p, &set)) {
+	u, estimate, set := d.chooseUpstream(now, r)
+	if u != nil && (d.shouldWait(now, r, estimate) || d.shouldWaitForPrefix(now, r, estimate, &set)) {
 		u = nil
 	}
 	if u == nil {
 		t.dequeue(r)
-		d.setAside = append(d.setAside, r)
+		d.deferred = append(d.deferred, r)
 		return true
 	}
-	out.Grants = append(out.Grants, d.grant(now, r, u, p, set))
+	out.Grants = append(out.Grants, d.grant(now, r, u, estimate, set))
 	return true
 }
 
-// openFor says whether any upstream has room for a class; those that lost it
-// as time passed are taken out first.
-func (d *Dispatcher) openFor(now time.Duration, c class) bool {
-	h := &d.open[c]
-	for len(h.items) > 0 && !d.room(now, h.items[0], c) {
+// anyRoom reports whether any upstream has room for a class. It first removes
+// upstreams from the heap that have lost their room because time has passed.
+func (d *Dispatcher) anyRoom(now time.Duration, c class) bool {
+	h := &d.withRoom[c]
+	for len(h.items) > 0 && !d.hasRoom(now, h.items[0], c) {
 		d.refresh(now, h.items[0])
 	}
 	return len(h.items) > 0
 }
 
-// waits says whether a request had better wait than take an upstream on which
-// it would miss its deadline: where a faster one could still make it, or where
-// not even a short answer would arrive in time.
-func (d *Dispatcher) waits(now time.Duration, r *request, p parts) bool {
-	if now+p.total <= r.offer.Deadline {
+// shouldWait reports whether a request is better left queued than granted to an
+// upstream on which it would miss its deadline. That is so where the fastest
+// upstream could still meet the deadline, or where even a short answer would
+// arrive late on this one.
+func (d *Dispatcher) shouldWait(now time.Duration, r *request, estimate completionEstimate) bool {
+	if now+estimate.total <= r.offer.Deadline {
 		return false
 	}
-	if now+d.fastest.service(float64(r.offer.PromptTokens), r.output) <= r.offer.Deadline {
+	if now+d.fastest.serviceTime(float64(r.offer.PromptTokens), r.output) <= r.offer.Deadline {
 		return true
 	}
 	decode := time.Duration(0)
 	if r.output > 0 {
-		decode = time.Duration(float64(p.decode) * (r.least + r.output) / (2 * r.output))
+		decode = time.Duration(float64(estimate.decode) * (r.cautiousOutput + r.output) / (2 * r.output))
 	}
-	return now+p.queue+p.prefill+p.link+decode > r.offer.Deadline
+	return now+estimate.queue+estimate.prefill+estimate.link+decode > r.offer.Deadline
 }
 
-func (d *Dispatcher) grant(now time.Duration, r *request, u *upstream, p parts, set candidateSet) Grant {
+func (d *Dispatcher) grant(now time.Duration, r *request, u *upstream, estimate completionEstimate, set candidateSet) Grant {
 	t := r.workspace.tier
-	why := explainGrant(now, r, u, set)
+	explanation := explainGrant(now, r, u, set)
 	t.dequeue(r)
-	heap.Remove(&d.doomed, r.doomIndex)
+	heap.Remove(&d.byLatestStart, r.latestStartIndex)
 	d.queued--
 	t.running++
-	t.floor = r.workspace.counter
-	r.granted = now
-	r.expected = p.total
-	r.need = d.need(now, r, u, p)
+	t.lastServedCounter = r.workspace.counter
+	r.grantedAt = now
+	r.expectedTime = estimate.total
+	r.tokenBudget = d.tokenBudget(now, r, u, estimate)
 	for _, x := range set.scores[:set.n] {
 		r.bestCached = max(r.bestCached, x.cached)
 	}
-	d.place(now, r, u, p)
-	u.prefillUntil = max(now, u.prefillUntil) + p.prefill
+	d.assign(now, r, u, estimate)
+	u.prefillUntil = max(now, u.prefillUntil) + estimate.prefill
 	for i := len(r.offer.Blocks) - 1; i >= 0; i-- {
 		if u.cache.touch(r.offer.Blocks[i]) {
-			d.holding.add(r.offer.Blocks[i], u.id)
+			d.blockHolders.add(r.offer.Blocks[i], u.id)
 		}
 	}
 	r.charged = r.uncached() + outputCost*r.output
 	t.charge(r.workspace, r.charged)
-	d.drain.granted += r.cost
-	d.recent.add(why)
+	d.throughput.granted += r.cost
+	d.recentDecisions.add(explanation)
 	return Grant{
-		ID: r.offer.ID, Workspace: r.offer.Workspace, Tier: r.offer.Tier, Waited: now - r.arrived,
-		Upstream: u.Name, Address: u.Address, Incarnation: u.Incarnation, Why: why,
+		ID: r.offer.ID, Workspace: r.offer.Workspace, Tier: r.offer.Tier, Waited: now - r.arrivedAt,
+		Upstream: u.Name, Address: u.Address, Incarnation: u.Incarnation, Why: explanation,
 	}
 }
 
-// Wake returns when Decide has something to do by itself.
+// Wake returns the next time at which Decide must run without an external
+// event: a deadline becomes unreachable, a lease expires or an orphaned
+// request's slot is freed. It returns false where there is none.
 func (d *Dispatcher) Wake() (time.Duration, bool) {
 	at, found := time.Duration(0), false
 	consider := func(t time.Duration) {
@@ -199,8 +208,8 @@
 			at, found = t, true
 		}
 	}
-	if len(d.doomed) > 0 {
-		consider(d.doomed[0].doomAt)
+	if len(d.byLatestStart) > 0 {
+		consider(d.byLatestStart[0].latestStart)
 	}
 	if len(d.leases) > 0 {
 		consider(d.leases[0].expires)
@@ -211,21 +220,21 @@
 	return at, found
 }
 
-// Live counts the upstreams that take new work.
+// Live returns the number of upstreams that accept new requests.
 func (d *Dispatcher) Live(now time.Duration) int {
 	n := 0
 	for _, u := range d.leases {
-		if u.expires > now && !u.leaving {
+		if u.expires > now && !u.draining {
 			n++
 		}
 	}
 	return n
 }
 
-// anyLive says whether any upstream takes new work.
+// anyLive reports whether any upstream accepts new requests.
 func (d *Dispatcher) anyLive(now time.Duration) bool {
 	for _, u := range d.leases {
-		if u.expires > now && !u.leaving {
+		if u.expires > now && !u.draining {
 			return true
 		}
 	}
--- a/core/sched/dispatcher.go
+++ b/core/sched/dispatcher.go
@@ -7,53 +7,57 @@
 	"github.com/verbenastep/verbenastep/core/quarantine"
 )
 
-// Dispatcher holds one pool's queue and upstreams.
+// Dispatcher schedules the requests of one pool. It is not safe for concurrent
+// use.
 type Dispatcher struct {
 	params   Params
 	requests map[ID]*request
-	// tiers are by rank; absent ones are nil.
-	tiers  []*tier
-	queued int
-	doomed doomHeap
-	// orphans are running requests whose entry is gone.
+	// tiers is indexed by rank; unused ranks are nil.
+	tiers         []*tier
+	queued        int
+	byLatestStart latestStartHeap
+	// orphans are running requests whose entry has disconnected, by when their
+	// slot is freed.
 	orphans orphanHeap
 
-	upstreams map[string]*upstream
-	byID      []*upstream
-	open      [classes]openHeap
-	leases    leaseHeap
-	holding   holderIndex
-	probation []*upstream
-	nextTrial int
-	nextSweep time.Duration
-	// fastest holds the least times of any upstream.
+	upstreams          map[string]*upstream
+	byID               []*upstream
+	withRoom           [classes]roomHeap
+	leases             leaseHeap
+	blockHolders       holderIndex
+	slowUpstreams      []*upstream
+	nextTrial          int
+	nextStragglerCheck time.Duration
+	// fastest holds the shortest times that any live upstream has shown.
 	fastest speed
 	scratch []float64
 
-	pool      speed
-	lengths   lengths
-	meanCost  float64
-	lastShort time.Duration
-	seenShort bool
-	drain     drain
-	// lastLive is when an upstream last was live, or the first round.
+	poolSpeed  speed
+	lengths    lengthPredictor
+	meanCost   float64
+	lastShort  time.Duration
+	seenShort  bool
+	throughput throughput
+	// lastLive is when an upstream was last live, or the first round.
 	lastLive time.Duration
 	started  bool
-	// calmFrom is when capacity no longer counts as short.
-	calmFrom time.Duration
+	// shortageUntil is when capacity no longer counts as short.
+	shortageUntil time.Duration
 
-	tracker  *quarantine.Tracker
-	suspects []quarantine.Change
-	// ended are requests that ended since the last round.
+	tracker        *quarantine.Tracker
+	suspectChanges []quarantine.Change
+	// ended lists requests that ended since the last round.
 	ended []Ended
-	// setAside are requests that no upstream with room suits in this round.
-	setAside []*request
-	// localityWaits counts those that wait for a prefix in this round.
-	localityWaits int
-	recent        recent
+	// deferred are requests that no upstream with room suits in this round.
+	deferred []*request
+	// localityWaits counts the requests of this round that wait for an upstream
+	// that holds their prefix.
+	localityWaits   int
+	recentDecisions decisionRing
 }
 
-// Configure replaces the parameters.
+// Configure replaces the parameters. It takes effect for later calls; a change
+// of Concurrency with each upstream's next announcement.
 func (d *Dispatcher) Configure(p Params) {
 	if p.BlockTokens == 0 {
 		p.BlockTokens = defaultBlockTokens
@@ -61,15 +65,15 @@
 	d.params = p
 }
 
-// New returns an empty dispatcher.
+// New returns a dispatcher without requests or upstreams.
 func New(p Params) *Dispatcher {
 	d := &Dispatcher{
 		requests: map[ID]*request{}, upstreams: map[string]*upstream{},
-		holding: holderIndex{sets: map[uint64]holderSet{}}, pool: newSpeed(),
-		lengths: lengths{stats: map[lengthKey]lengthStat{}}, tracker: quarantine.New(), fastest: newSpeed(),
+		blockHolders: holderIndex{sets: map[uint64]holderSet{}}, poolSpeed: newSpeed(),
+		lengths: lengthPredictor{stats: map[lengthKey]lengthStat{}}, tracker: quarantine.New(), fastest: newSpeed(),
 	}
-	for c := range d.open {
-		d.open[c].class = class(c)
+	for c := range d.withRoom {
+		d.withRoom[c].class = class(c)
 	}
 	d.Configure(p)
 	return d
@@ -85,9 +89,10 @@
 	return d.tiers[rank]
 }
 
-// Offer queues a request, or takes up one that already runs. A refusal is the
-// final answer to a request that a limit or a quarantine forbids; an error says
-// that the offer is malformed and changed nothing.
+// Offer queues a request, or adopts one that is already running. A repeated
+// offer is ignored. It returns a Refusal where a limit or a quarantine forbids
+// the request, and an OfferError, with no state changed, where the offer is
+// malformed.
 func (d *Dispatcher) Offer(now time.Duration, o Offer) (*Refusal, error) {
 	if err := checkOffer(o); err != nil {
 		return nil, err
@@ -99,22 +104,24 @@
 		return refusal, nil
 	}
 	t := d.tier(o.Tier)
-	r := &request{offer: o, arrived: now, workspace: t.workspace(o.Workspace, o.Weight), laneIndex: notQueued, doomIndex: notQueued}
+	r := &request{offer: o, arrivedAt: now, workspace: t.workspace(o.Workspace, o.Weight), laneIndex: notInHeap, latestStartIndex: notInHeap}
 	d.predictWork(now, r)
 	d.requests[o.ID] = r
 	if o.Running != "" {
 		d.adopt(now, r)
 		return nil, nil
 	}
-	t.notePatience(now, o)
+	t.recordPatience(now, o)
 	t.enqueue(r)
-	heap.Push(&d.doomed, r)
+	heap.Push(&d.byLatestStart, r)
 	d.queued++
 	return nil, nil
 }
 
-// admit counts a request against its workspace's limits and looks for its
-// quarantine.
+// admit counts a request against its workspace's limits, and returns a refusal
+// where a limit is reached or the content is quarantined. Limits were already
+// applied to requests that run, were admitted earlier, or come from another
+// region.
 func (d *Dispatcher) admit(now time.Duration, o Offer) *Refusal {
 	verdict, left := d.tracker.Verdict(now, o.Fingerprint)
 	if verdict == quarantine.Quarantined && o.Running == "" {
@@ -132,93 +139,98 @@
 	return nil
 }
 
-// adopt counts a running request that an earlier dispatcher granted.
+// adopt takes over a running request that an earlier dispatcher granted.
 func (d *Dispatcher) adopt(now time.Duration, r *request) {
 	r.upstream = r.offer.Running
-	r.granted = now
-	r.expected = d.pool.service(float64(r.offer.PromptTokens), r.output)
+	r.grantedAt = now
+	r.expectedTime = d.poolSpeed.serviceTime(float64(r.offer.PromptTokens), r.output)
 	r.workspace.tier.running++
 	if u, ok := d.upstreams[r.upstream]; ok {
-		d.place(now, r, u, parts{})
+		d.assign(now, r, u, completionEstimate{})
 	}
 }
 
-// place counts a request on its upstream.
-func (d *Dispatcher) place(now time.Duration, r *request, u *upstream, p parts) {
+// assign adds a request to the requests in flight on an upstream.
+func (d *Dispatcher) assign(now time.Duration, r *request, u *upstream, estimate completionEstimate) {
 	r.upstream = u.Name
 	r.incarnation = u.Incarnation
-	r.cached = p.cached
-	r.clearStart = u.prefillUntil <= now
+	r.cached = estimate.cached
+	r.prefillAlone = u.prefillUntil <= now
 	u.inFlight[r.offer.ID] = r
-	u.tighten(r)
-	r.beside = len(u.inFlight)
-	u.uncached += r.uncached()
+	u.addTokenBudget(r)
+	r.batchAtStart = len(u.inFlight)
+	u.uncachedTokens += r.uncached()
 	if r.class == long {
-		u.longs++
+		u.longCount++
 	}
 	verdict, _ := d.tracker.Verdict(now, r.offer.Fingerprint)
 	r.suspect = verdict != quarantine.Clear
 	if r.suspect {
-		u.suspects++
+		u.suspectCount++
 	}
-	u.load.own(now, len(u.inFlight))
+	u.foreignLoad.recordOwn(now, len(u.inFlight))
 	d.refresh(now, u)
 }
 
-// unplace takes a request off its upstream.
-func (d *Dispatcher) unplace(now time.Duration, r *request) *upstream {
+// unassign removes a request from its upstream and returns that. It returns nil
+// where the upstream is unknown or does not run the request.
+func (d *Dispatcher) unassign(now time.Duration, r *request) *upstream {
 	u, ok := d.upstreams[r.upstream]
 	if !ok || u.inFlight[r.offer.ID] != r {
 		return nil
 	}
-	u.load.own(now, len(u.inFlight))
+	u.foreignLoad.recordOwn(now, len(u.inFlight))
 	delete(u.inFlight, r.offer.ID)
-	u.loosen(r)
-	u.uncached -= r.uncached()
+	u.removeTokenBudget(r)
+	u.uncachedTokens -= r.uncached()
 	if r.class == long {
-		u.longs--
+		u.longCount--
 	}
 	if r.suspect {
-		u.suspects--
+		u.suspectCount--
 	}
 	d.refresh(now, u)
 	return u
 }
 
-// Cancel forgets a request that waits. A granted one ends by Release.
+// Cancel removes a queued request. A granted request is ended by Release
+// instead.
 func (d *Dispatcher) Cancel(id ID) {
 	r, ok := d.requests[id]
 	if !ok || r.upstream != "" {
 		return
 	}
-	d.forgetQueued(r)
+	d.removeQueued(r)
 }
 
-// forgetQueued removes a queued request.
-func (d *Dispatcher) forgetQueued(r *request) {
+// removeQueued removes a queued request and records its end.
+func (d *Dispatcher) removeQueued(r *request) {
 	r.workspace.tier.dequeue(r)
-	heap.Remove(&d.doomed, r.doomIndex)
+	heap.Remove(&d.byLatestStart, r.latestStartIndex)
 	d.queued--
 	r.workspace.usage.Leave()
 	delete(d.requests, r.offer.ID)
 	d.ended = append(d.ended, Ended{ID: r.offer.ID, Workspace: r.offer.Workspace, Tier: r.offer.Tier})
 }
 
-// Ended is a request that is no longer queued or granted, and what it cost.
+// Ended describes a request that left the queue or its slot, and the
+// computation that was wasted.
 type Ended struct {
 	ID        ID
 	Workspace string
 	Tier      int
 	Upstream  string
-	// Lost is the uncached prompt tokens computed for an answer that did not
-	// arrive whole.
+	// Lost is the number of uncached prompt tokens computed for an answer that
+	// did not arrive completely.
 	Lost int
-	// Repeated is the prompt tokens computed though another upstream with room
-	// should still have held them.
+	// Repeated is the number of prompt tokens computed although another
+	// upstream with room was expected to have them cached.
 	Repeated int
 }
 
-// Release frees the slot of a granted request and learns from it.
+// Release frees the slot of a granted request and learns from the reported
+// measurements. It returns an OfferError where the release is malformed or the
+// request holds no grant.
 func (d *Dispatcher) Release(now time.Duration, rel Release) (Ended, error) {
 	if err := checkRelease(rel); err != nil {
 		return Ended{}, err
@@ -227,7 +239,7 @@
 	if !ok || r.upstream == "" {
 		return Ended{}, &OfferError{ID: rel.ID, Message: "it holds no grant", Remedy: "release each grant once"}
 	}
-	return d.end(now, r, rel), nil
+	return d.endRequest(now, r, rel), nil
 }
 
 func (r *request) ended(rel Release) Ended {
@@ -242,26 +254,28 @@
 	return e
 }
 
-// end frees a granted request's slot.
-func (d *Dispatcher) end(now time.Duration, r *request, rel Release) Ended {
+// endRequest frees a granted request's slot and updates charges, failure
+// records and estimates.
+func (d *Dispatcher) endRequest(now time.Duration, r *request, rel Release) Ended {
 	ended := r.ended(rel)
 	d.ended = append(d.ended, ended)
 	delete(d.requests, r.offer.ID)
 	r.workspace.tier.running--
 	r.workspace.usage.Leave()
-	u := d.unplace(now, r)
-	d.settle(now, r, rel)
+	u := d.unassign(now, r)
+	d.correctCharge(now, r, rel)
 	if u != nil && rel.Outcome == Broken {
-		d.noteBroken(now, u, r)
+		d.recordFailure(now, u, r)
 	}
 	if u != nil && rel.Outcome == Done {
-		d.learn(now, u, r, rel)
+		d.learnFromAnswer(now, u, r, rel)
 	}
 	return ended
 }
 
-// settle corrects what was charged at the grant to the work that was done.
-func (d *Dispatcher) settle(now time.Duration, r *request, rel Release) {
+// correctCharge replaces the predicted work charged to the workspace at the
+// grant by the work that was done.
+func (d *Dispatcher) correctCharge(now time.Duration, r *request, rel Release) {
 	actual := float64(max(0, r.offer.PromptTokens-rel.CachedTokens)) + outputCost*float64(rel.OutputTokens)
 	if rel.Outcome == NotSent {
 		actual = 0
@@ -273,32 +287,33 @@
 	}
 }
 
-// learn takes in what a whole answer showed.
-func (d *Dispatcher) learn(now time.Duration, u *upstream, r *request, rel Release) {
+// learnFromAnswer updates the estimates of lengths, speeds, slots and cache
+// hits from a complete answer.
+func (d *Dispatcher) learnFromAnswer(now time.Duration, u *upstream, r *request, rel Release) {
 	if change, ok := d.tracker.Completed(r.offer.Fingerprint); ok {
-		d.suspects = append(d.suspects, change)
+		d.suspectChanges = append(d.suspectChanges, change)
 	}
 	if r.offer.Running != "" {
 		return
 	}
 	if d.params.Plain {
-		learn(&u.speed.call, &u.speed.callSeen, rel.Decode.Seconds(), speedGain)
-		learn(&d.pool.call, &d.pool.callSeen, rel.Decode.Seconds(), poolGain)
+		updateAverage(&u.speed.call, &u.speed.callSamples, rel.Decode.Seconds(), speedGain)
+		updateAverage(&d.poolSpeed.call, &d.poolSpeed.callSamples, rel.Decode.Seconds(), poolGain)
 		d.refresh(now, u)
 		return
 	}
 	d.lengths.learn(r.offer, rel.OutputTokens)
 	o := observation{
-		uncached: float64(r.offer.PromptTokens - rel.CachedTokens), prefill: rel.Prefill, clean: r.clearStart,
-		tokens: rel.OutputTokens, decode: rel.Decode, beside: (r.beside + len(u.inFlight) + 1) / 2,
+		uncached: float64(r.offer.PromptTokens - rel.CachedTokens), prefill: rel.Prefill, prefillAlone: r.prefillAlone,
+		tokens: rel.OutputTokens, decode: rel.Decode, batchSize: (r.batchAtStart + len(u.inFlight) + 1) / 2,
 	}
-	known := u.known
+	known := u.blendedSpeed
 	single := u.speed.observe(o, speedGain)
-	d.pool.observe(o, poolGain)
+	d.poolSpeed.observe(o, poolGain)
 	if single > 0 {
-		u.slots.adapt(single/known.token, u.Slots)
+		u.slotLimit.adapt(single/known.token, u.Slots)
 	}
 	u.straggler.answers++
-	u.cache.confirm(float64(r.cached), float64(rel.CachedTokens))
+	u.cache.learnFromHit(float64(r.cached), float64(rel.CachedTokens))
 	d.refresh(now, u)
 }
--- a/core/sched/dump.go
+++ b/core/sched/dump.go
@@ -5,17 +5,18 @@
 	"time"
 )
 
-// dumpedDecisions is how many decisions a dump holds.
-const dumpedDecisions = 64
+// maxDumpedDecisions is the maximum number of recent decisions in a dump.
+const maxDumpedDecisions = 64
 
-// UpstreamDump is one upstream's state, for operators.
+// UpstreamDump is the state of one upstream, for operators.
 type UpstreamDump struct {
 	Name     string `json:"name"`
 	Address  string `json:"address"`
 	Slots    int    `json:"slots"`
 	InFlight int    `json:"in_flight"`
 	Live     bool   `json:"live"`
-	// PrefillRate is in prompt tokens a second, TokenMS in milliseconds.
+	// PrefillRate is in prompt tokens per second, TokenMS in milliseconds per
+	// output token of a single stream.
 	PrefillRate float64 `json:"prefill_tokens_per_second"`
 	TokenMS     float64 `json:"token_ms"`
 	Slowness    float64 `json:"slowness"`
@@ -24,7 +25,7 @@
 	Foreign     int     `json:"foreign_in_flight"`
 }
 
-// TierDump is one tier's state.
+// TierDump is the state of one tier.
 type TierDump struct {
 	Tier       int             `json:"tier"`
 	Queued     int             `json:"queued"`
@@ -32,7 +33,7 @@
 	Workspaces []WorkspaceDump `json:"workspaces"`
 }
 
-// WorkspaceDump is one workspace's standing.
+// WorkspaceDump is the fair-share state of one workspace in a tier.
 type WorkspaceDump struct {
 	Name    string  `json:"name"`
 	Counter float64 `json:"counter"`
@@ -40,7 +41,7 @@
 	Present int64   `json:"present"`
 }
 
-// Dump is a dispatcher's state, for operators.
+// Dump is the state of a dispatcher, for operators.
 type Dump struct {
 	Queued    int            `json:"queued"`
 	Running   int            `json:"running"`
@@ -50,15 +51,16 @@
 	Recent    []Explanation  `json:"recent"`
 }
 
-// Dump returns the state.
+// Dump returns the dispatcher's state, with upstreams and workspaces sorted by
+// name.
 func (d *Dispatcher) Dump(now time.Duration) Dump {
-	out := Dump{Queued: d.queued, Running: len(d.requests) - d.queued, Suspects: d.tracker.Len(), Recent: d.recent.list(dumpedDecisions)}
+	out := Dump{Queued: d.queued, Running: len(d.requests) - d.queued, Suspects: d.tracker.Len(), Recent: d.recentDecisions.list(maxDumpedDecisions)}
 	for _, u := range d.byID {
-		s := &u.known
+		s := &u.blendedSpeed
 		out.Upstreams = append(out.Upstreams, UpstreamDump{
-			Name: u.Name, Address: u.Address, Slots: u.capacity(), InFlight: len(u.inFlight), Live: u.expires > now && !u.leaving,
+			Name: u.Name, Address: u.Address, Slots: u.capacity(), InFlight: len(u.inFlight), Live: u.expires > now && !u.draining,
 			PrefillRate: 1 / s.prefill, TokenMS: milliseconds(seconds(s.token)), Slowness: u.straggler.slowness,
-			Demoted: u.straggler.demoted, CacheTrust: u.cache.trust, Foreign: u.load.foreign(),
+			Demoted: u.straggler.demoted, CacheTrust: u.cache.trust, Foreign: u.foreignLoad.requests(),
 		})
 	}
 	sort.Slice(out.Upstreams, func(i, j int) bool { return out.Upstreams[i].Name < out.Upstreams[j].Name })
@@ -79,7 +81,7 @@
 	return out
 }
 
-// QueuedByTier returns how many requests wait in each tier.
+// QueuedByTier returns the number of queued requests by tier rank.
 func (d *Dispatcher) QueuedByTier() []int {
 	out := make([]int, len(d.tiers))
 	for i, t := range d.tiers {
--- a/core/sched/entries.go
+++ b/core/sched/entries.go
@@ -5,26 +5,28 @@
 	"time"
 )
 
-// LoseEntry forgets what an entry has waiting. What it runs keeps its slots
-// for a bounded time, since the upstreams go on with it.
+// LoseEntry handles the loss of an entry's session: its queued requests are
+// removed, and its running requests keep their slots for a bounded time,
+// because the upstreams continue to run them.
 func (d *Dispatcher) LoseEntry(now time.Duration, entry string) {
 	for id, r := range d.requests {
 		if id.Entry != entry {
 			continue
 		}
 		if r.upstream == "" {
-			d.forgetQueued(r)
+			d.removeQueued(r)
 			continue
 		}
-		left := orphanFactor*r.expected - (now - r.granted)
-		r.orphaned = now + min(orphanTime, max(orphanLeast, left))
-		heap.Push(&d.orphans, orphan{at: r.orphaned, id: id})
+		left := orphanFactor*r.expectedTime - (now - r.grantedAt)
+		r.orphanedUntil = now + min(maxOrphanTimeout, max(minOrphanTimeout, left))
+		heap.Push(&d.orphans, orphan{at: r.orphanedUntil, id: id})
 	}
 }
 
-// Resync replaces what is known of an entry by what it offers again on a new
-// session, and returns the refusals. A granted request that the entry offers as
-// waiting never reached it: its slot is freed and it waits again.
+// Resync replaces the requests of an entry by those it offers on a new session,
+// and returns the refusals and the errors of malformed offers. A granted
+// request that the entry offers as queued never received its grant: its slot is
+// freed and it is queued again.
 func (d *Dispatcher) Resync(now time.Duration, entry string, offers []Offer) ([]Refusal, []error) {
 	again := make(map[ID]Offer, len(offers))
 	for _, o := range offers {
@@ -32,7 +34,7 @@
 	}
 	for id, r := range d.requests {
 		if id.Entry == entry {
-			d.resume(now, r, again)
+			d.resyncRequest(now, r, again)
 		}
 	}
 	refusals, failed := []Refusal{}, []error{}
@@ -48,33 +50,35 @@
 	return refusals, failed
 }
 
-// resume keeps a running request that the entry still runs, and ends the rest.
-func (d *Dispatcher) resume(now time.Duration, r *request, again map[ID]Offer) {
+// resyncRequest keeps a request that the entry offers again in the same state
+// and ends it otherwise.
+func (d *Dispatcher) resyncRequest(now time.Duration, r *request, again map[ID]Offer) {
 	o, ok := again[r.offer.ID]
 	switch {
 	case r.upstream == "" && ok && o.Running == "":
 	case r.upstream == "":
-		d.forgetQueued(r)
+		d.removeQueued(r)
 	case ok && o.Running == r.upstream:
-		r.orphaned = 0
+		r.orphanedUntil = 0
 	default:
-		d.end(now, r, Release{ID: r.offer.ID, Outcome: NotSent})
+		d.endRequest(now, r, Release{ID: r.offer.ID, Outcome: NotSent})
 	}
 }
 
-// freeOrphans frees the slots of running requests whose entry did not return.
+// freeOrphans frees the slots of running requests whose entry did not reconnect
+// in time.
 func (d *Dispatcher) freeOrphans(now time.Duration) {
 	for len(d.orphans) > 0 && d.orphans[0].at <= now {
 		o := heap.Pop(&d.orphans).(orphan)
 		r, ok := d.requests[o.id]
-		if ok && r.orphaned != 0 && r.orphaned <= now {
-			d.end(now, r, Release{ID: o.id, Outcome: Canceled})
+		if ok && r.orphanedUntil != 0 && r.orphanedUntil <= now {
+			d.endRequest(now, r, Release{ID: o.id, Outcome: Canceled})
 		}
 	}
 }
 
-// TakeEnded returns the requests that ended since the last round, which Decide
-// then does not return again.
+// TakeEnded returns the requests that ended since the last round. Decide does
+// not return these again.
 func (d *Dispatcher) TakeEnded() []Ended {
 	out := d.ended
 	d.ended = nil
--- a/core/sched/errors.go
+++ b/core/sched/errors.go
@@ -2,20 +2,20 @@
 
 import "fmt"
 
-// OfferError says that an offer, a release or an announcement is malformed;
-// nothing changed.
+// OfferError reports a malformed or unacceptable offer, release or
+// announcement, which has changed no state.
 type OfferError struct {
 	ID      ID
 	Message string
 	Remedy  string
 }
 
-// Error names the remedy.
+// Error returns the message followed by the remedy.
 func (e *OfferError) Error() string {
 	return fmt.Sprintf("request %s/%d: %s; %s", e.ID.Entry, e.ID.Number, e.Message, e.Remedy)
 }
 
-// checkOffer returns an error where an offer is malformed.
+// checkOffer returns an OfferError for a malformed offer.
 func checkOffer(o Offer) error {
 	if o.ID.Entry == "" {
 		return &OfferError{ID: o.ID, Message: "the entry is missing", Remedy: "name the entry that holds the request"}
@@ -35,7 +35,7 @@
 	return nil
 }
 
-// checkRelease returns an error where a release is malformed.
+// checkRelease returns an OfferError for a malformed release.
 func checkRelease(r Release) error {
 	if r.Outcome < Done || r.Outcome > Broken {
 		return &OfferError{ID: r.ID, Message: "the outcome is unknown", Remedy: "send one of the declared outcomes"}
@@ -46,7 +46,7 @@
 	return nil
 }
 
-// checkUpstream returns an error where an announcement is malformed.
+// checkUpstream returns an OfferError for a malformed announcement.
 func checkUpstream(a Upstream) error {
 	if a.Name == "" || a.Slots < 1 || a.Lease <= 0 {
 		return &OfferError{Message: "the announcement of " + a.Name + " lacks a name, slots or lease", Remedy: "announce all three"}
--- a/core/sched/estimate.go
+++ b/core/sched/estimate.go
@@ -7,65 +7,69 @@
 )
 
 const (
-	// lengthGain is the weight of a new observation of an answer's length.
+	// lengthGain is the weight of a new answer length in the moving averages.
 	lengthGain = 0.2
-	// cautiousDeviations is how many mean deviations below the mean the
-	// cautious estimate lies.
+	// cautiousDeviations is the number of mean deviations that the cautious
+	// estimate lies below the mean.
 	cautiousDeviations = 2
-	// leastPart is the cautious estimate's floor, as a part of the mean.
-	leastPart = 0.25
-	// maxLengthKeys bounds the kinds of request that are told apart.
+	// minMeanRatio is the lower bound of the cautious estimate, as a fraction
+	// of the mean.
+	minMeanRatio = 0.25
+	// maxLengthKeys bounds the kinds of request with separate statistics.
 	maxLengthKeys = 4096
-	// firstGuess is the assumed answer before any was seen, as a part of the
-	// most that the request allows.
-	firstGuess = 0.5
-	// unknownOutput is assumed where a request bounds nothing, in tokens.
-	unknownOutput = 256
-	// shortPart is the largest cost of a short request, as a part of the
-	// average cost.
-	shortPart = 0.25
+	// initialLengthRatio is the assumed answer length before any was seen, as a
+	// fraction of the request's max_tokens.
+	initialLengthRatio = 0.5
+	// defaultOutputTokens is the assumed answer length, in tokens, of a request
+	// without max_tokens before any answer was seen.
+	defaultOutputTokens = 256
+	// shortCostRatio is the maximum cost of a short request, as a fraction of
+	// the average cost.
+	shortCostRatio = 0.25
 	// costGain is the weight of a new request in the average cost.
 	costGain = 0.02
 )
 
-// lengthKey is a kind of request: sizes count in powers of two.
+// lengthKey identifies a kind of request. Sizes are grouped by powers of two.
 type lengthKey struct {
 	workspace string
 	operation string
 	prompt    uint8
-	most      uint8
+	maxTokens uint8
 }
 
-// lengthStat is what was seen of one kind.
+// lengthStat holds the moving averages of answer lengths of one kind of
+// request, in tokens.
 type lengthStat struct {
-	seen      float64
+	samples   float64
 	mean      float64
 	deviation float64
 }
 
-// lengths predicts the output tokens of requests from those seen before.
-type lengths struct {
+// lengthPredictor predicts the output tokens of requests from earlier answers.
+type lengthPredictor struct {
 	stats map[lengthKey]lengthStat
 }
 
-func keyOf(o Offer, workspace string) lengthKey {
+func lengthKeyOf(o Offer, workspace string) lengthKey {
 	return lengthKey{
 		workspace: workspace, operation: o.Operation,
-		prompt: uint8(bits.Len(uint(o.PromptTokens))), most: uint8(bits.Len(uint(o.MaxTokens))),
+		prompt: uint8(bits.Len(uint(o.PromptTokens))), maxTokens: uint8(bits.Len(uint(o.MaxTokens))),
 	}
 }
 
 // predict returns the expected output tokens and a cautious lower estimate. It
-// looks at the workspace's own requests of the kind first, then at all.
-func (l *lengths) predict(o Offer) (mean, least float64) {
-	s, ok := l.stats[keyOf(o, o.Workspace)]
+// uses the statistics of the workspace's own requests of this kind, or else
+// those of all workspaces.
+func (l *lengthPredictor) predict(o Offer) (mean, cautious float64) {
+	s, ok := l.stats[lengthKeyOf(o, o.Workspace)]
 	if !ok {
-		s, ok = l.stats[keyOf(o, "")]
+		s, ok = l.stats[lengthKeyOf(o, "")]
 	}
 	if !ok {
-		guess := firstGuess * float64(o.MaxTokens)
+		guess := initialLengthRatio * float64(o.MaxTokens)
 		if o.MaxTokens == 0 {
-			guess = unknownOutput
+			guess = defaultOutputTokens
 		}
 		return guess, 0
 	}
@@ -73,35 +77,36 @@
 	if o.MaxTokens > 0 {
 		mean = min(mean, float64(o.MaxTokens))
 	}
-	return mean, max(leastPart*mean, mean-cautiousDeviations*s.deviation)
+	return mean, max(minMeanRatio*mean, mean-cautiousDeviations*s.deviation)
 }
 
-// learn takes in a whole answer's length.
-func (l *lengths) learn(o Offer, tokens int) {
-	l.update(keyOf(o, o.Workspace), float64(tokens))
-	l.update(keyOf(o, ""), float64(tokens))
+// learn records the length of a complete answer, in tokens.
+func (l *lengthPredictor) learn(o Offer, tokens int) {
+	l.update(lengthKeyOf(o, o.Workspace), float64(tokens))
+	l.update(lengthKeyOf(o, ""), float64(tokens))
 }
 
-func (l *lengths) update(k lengthKey, tokens float64) {
+func (l *lengthPredictor) update(k lengthKey, tokens float64) {
 	s, ok := l.stats[k]
 	if !ok && len(l.stats) >= maxLengthKeys {
 		clear(l.stats)
 	}
-	s.seen++
-	gain := max(lengthGain, 1/s.seen)
+	s.samples++
+	gain := max(lengthGain, 1/s.samples)
 	s.deviation += gain * (math.Abs(tokens-s.mean) - s.deviation)
-	if s.seen == 1 {
+	if s.samples == 1 {
 		s.deviation = 0
 	}
 	s.mean += gain * (tokens - s.mean)
 	l.stats[k] = s
 }
 
-// predictWork fills in what is expected of a new request.
+// predictWork sets the predicted output, cost, class, lane position and latest
+// start of a new request.
 func (d *Dispatcher) predictWork(now time.Duration, r *request) {
-	r.output, r.least = d.lengths.predict(r.offer)
+	r.output, r.cautiousOutput = d.lengths.predict(r.offer)
 	if d.params.Plain {
-		r.output, r.least = 0, 0
+		r.output, r.cautiousOutput = 0, 0
 	}
 	r.cost = max(1, float64(r.offer.PromptTokens)+outputCost*r.output)
 	if d.meanCost == 0 {
@@ -109,21 +114,21 @@
 	}
 	d.meanCost += costGain * (r.cost - d.meanCost)
 	r.class = long
-	if r.cost <= shortPart*d.meanCost && !d.params.ByArrival {
+	if r.cost <= shortCostRatio*d.meanCost && !d.params.ByArrival {
 		r.class = short
 		d.lastShort = now
 		d.seenShort = true
 	}
-	service := d.pool.service(float64(r.offer.PromptTokens), r.output)
+	service := d.poolSpeed.serviceTime(float64(r.offer.PromptTokens), r.output)
 	aging := min(agingFactor*service, maxAging)
-	r.key = r.arrived
+	r.laneKey = r.arrivedAt
 	if !d.params.ByArrival {
-		r.key += aging
+		r.laneKey += aging
 	}
-	r.doomAt = r.offer.Deadline - d.fastest.service(0, r.least)
+	r.latestStart = r.offer.Deadline - d.fastest.serviceTime(0, r.cautiousOutput)
 }
 
-// seconds turns a number of seconds into a duration, at most a year.
+// seconds converts seconds to a duration, capped at one year.
 func seconds(s float64) time.Duration {
 	const year = 365 * 24 * 3600
 	return time.Duration(min(s, year) * float64(time.Second))
--- a/core/sched/explain.go
+++ b/core/sched/explain.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Explanation tells why a request went where it did.
+// Explanation describes the latest decision on a request, for operators.
 type Explanation struct {
 	ID       ID          `json:"id"`
 	State    string      `json:"state"`
@@ -13,8 +13,8 @@
 	Examined []Candidate `json:"candidates,omitempty"`
 }
 
-// Candidate is one upstream that was weighed, with the parts of its score in
-// milliseconds.
+// Candidate is an upstream that was scored for a request, with the parts of its
+// score in milliseconds.
 type Candidate struct {
 	Upstream   string  `json:"upstream"`
 	InFlight   int     `json:"in_flight"`
@@ -32,27 +32,27 @@
 	return float64(d) / float64(time.Millisecond)
 }
 
-// candidate shows how an upstream scored for a request.
-func candidate(u *upstream, r *request, p parts) Candidate {
+// newCandidate returns an upstream's score for a request.
+func newCandidate(u *upstream, r *request, estimate completionEstimate) Candidate {
 	c := Candidate{
 		Upstream: u.Name, InFlight: len(u.inFlight), Slots: u.capacity(),
-		QueueMS: milliseconds(p.queue), PrefillMS: milliseconds(p.prefill), DecodeMS: milliseconds(p.decode),
-		LinkMS: milliseconds(p.link), ScoreMS: milliseconds(p.total),
+		QueueMS: milliseconds(estimate.queue), PrefillMS: milliseconds(estimate.prefill), DecodeMS: milliseconds(estimate.decode),
+		LinkMS: milliseconds(estimate.link), ScoreMS: milliseconds(estimate.total),
 	}
 	if r.offer.PromptTokens > 0 {
-		c.CachedPart = float64(p.cached) / float64(r.offer.PromptTokens)
+		c.CachedPart = float64(estimate.cached) / float64(r.offer.PromptTokens)
 	}
 	return c
 }
 
-// explainGrant shows the candidates of a grant.
+// explainGrant describes a grant and the candidates that were scored.
 func explainGrant(now time.Duration, r *request, chosen *upstream, set candidateSet) Explanation {
-	e := Explanation{ID: r.offer.ID, State: "granted", WaitedMS: milliseconds(now - r.arrived), Chosen: chosen.Name, Reason: "least expected completion"}
+	e := Explanation{ID: r.offer.ID, State: "granted", WaitedMS: milliseconds(now - r.arrivedAt), Chosen: chosen.Name, Reason: "least expected completion"}
 	e.Examined = make([]Candidate, 0, set.n)
 	found := false
 	for i, u := range set.items[:set.n] {
-		c := candidate(u, r, set.scores[i])
-		if r.suspect && u.suspects > 0 {
+		c := newCandidate(u, r, set.scores[i])
+		if r.suspect && u.suspectCount > 0 {
 			c.Excluded = "another suspect runs there"
 		}
 		found = found || u == chosen
@@ -64,12 +64,12 @@
 	return e
 }
 
-// Explain tells the state of a request that waits or runs, or of one decided
-// lately.
+// Explain describes a request that is queued, running or recently decided. It
+// returns false for an unknown one.
 func (d *Dispatcher) Explain(now time.Duration, id ID) (Explanation, bool) {
 	r, ok := d.requests[id]
 	if !ok || r.upstream != "" {
-		if e, found := d.recent.find(id); found {
+		if e, found := d.recentDecisions.find(id); found {
 			return e, true
 		}
 	}
@@ -82,25 +82,26 @@
 	return d.explainWait(now, r), true
 }
 
-// explainWait shows every upstream and what keeps a request from it.
+// explainWait scores every upstream for a queued request and tells what
+// excludes each.
 func (d *Dispatcher) explainWait(now time.Duration, r *request) Explanation {
-	e := Explanation{ID: r.offer.ID, State: "queued", WaitedMS: milliseconds(now - r.arrived), Reason: "no upstream has a free slot"}
+	e := Explanation{ID: r.offer.ID, State: "queued", WaitedMS: milliseconds(now - r.arrivedAt), Reason: "no upstream has a free slot"}
 	for _, t := range d.tiers[:r.offer.Tier] {
 		if t != nil && t.queued > 0 {
 			e.Reason = "a higher tier waits"
 		}
 	}
 	for _, u := range d.byID {
-		c := candidate(u, r, d.score(now, u, r))
-		c.Excluded = d.excluded(now, u, r)
+		c := newCandidate(u, r, d.score(now, u, r))
+		c.Excluded = d.exclusionReason(now, u, r)
 		e.Examined = append(e.Examined, c)
 	}
 	return e
 }
 
-func (d *Dispatcher) excluded(now time.Duration, u *upstream, r *request) string {
+func (d *Dispatcher) exclusionReason(now time.Duration, u *upstream, r *request) string {
 	switch {
-	case u.leaving:
+	case u.draining:
 		return "it leaves"
 	case u.expires <= now:
 		return "its announcement ran out"
@@ -108,47 +109,47 @@
 		return "all slots are in use"
 	case r.class == long && u.straggler.demoted:
 		return "it is a straggler and takes short requests only"
-	case !d.room(now, u, r.class):
+	case !d.hasRoom(now, u, r.class):
 		return "the free slots are kept for short requests"
-	case r.suspect && u.suspects > 0:
+	case r.suspect && u.suspectCount > 0:
 		return "another suspect runs there"
 	}
 	return ""
 }
 
-// recentSize is how many decisions are kept for operators.
-const recentSize = 512
+// maxRecentDecisions is the number of decisions kept for operators.
+const maxRecentDecisions = 512
 
-// recent is a ring of the latest decisions.
-type recent struct {
-	items [recentSize]Explanation
+// decisionRing is a ring buffer of the latest decisions.
+type decisionRing struct {
+	items [maxRecentDecisions]Explanation
 	next  int
 }
 
-func (x *recent) add(e Explanation) {
-	x.items[x.next%recentSize] = e
+func (x *decisionRing) add(e Explanation) {
+	x.items[x.next%maxRecentDecisions] = e
 	x.next++
 }
 
-// last returns the decision added last.
-func (x *recent) last() *Explanation {
-	return &x.items[(x.next-1)%recentSize]
+// last returns the limit recent decision.
+func (x *decisionRing) last() *Explanation {
+	return &x.items[(x.next-1)%maxRecentDecisions]
 }
 
-func (x *recent) find(id ID) (Explanation, bool) {
-	for i := x.next - 1; i >= 0 && i >= x.next-recentSize; i-- {
-		if e := x.items[i%recentSize]; e.ID == id {
+func (x *decisionRing) find(id ID) (Explanation, bool) {
+	for i := x.next - 1; i >= 0 && i >= x.next-maxRecentDecisions; i-- {
+		if e := x.items[i%maxRecentDecisions]; e.ID == id {
 			return e, true
 		}
 	}
 	return Explanation{}, false
 }
 
-// list returns the decisions, the latest first.
-func (x *recent) list(most int) []Explanation {
+// list returns up to limit decisions, the limit recent first.
+func (x *decisionRing) list(limit int) []Explanation {
 	out := []Explanation{}
-	for i := x.next - 1; i >= 0 && i >= x.next-most; i-- {
-		out = append(out, x.items[i%recentSize])
+	for i := x.next - 1; i >= 0 && i >= x.next-limit; i-- {
+		out = append(out, x.items[i%maxRecentDecisions])
 	}
 	return out
 }
--- a/core/sched/fairness.go
+++ b/core/sched/fairness.go
@@ -2,11 +2,11 @@
 
 import "container/heap"
 
-// lift raises the counter of a workspace that was idle to that of the busy
-// workspace charged least, or of the one served last. Idle time gains no
-// credit.
-func (t *tier) lift(w *workspace) {
-	floor := t.floor
+// raiseCounter raises the counter of a workspace that becomes active to the
+// lowest counter among those with queued requests, or to that of the workspace
+// served last where none has. Idle time thus earns no credit.
+func (t *tier) raiseCounter(w *workspace) {
+	floor := t.lastServedCounter
 	found := false
 	for c := range t.lanes {
 		if len(t.lanes[c]) == 0 {
@@ -21,12 +21,12 @@
 	w.counter = max(w.counter, floor)
 }
 
-// charge adds work to a workspace's counter; a negative cost corrects an
-// estimate that was too high.
+// charge adds work, in prompt tokens, to a workspace's counter. A negative cost
+// corrects an estimate that was too high.
 func (t *tier) charge(w *workspace, cost float64) {
 	w.counter += cost / w.weight
 	for c := range w.lanes {
-		if w.lanes[c].index != notQueued {
+		if w.lanes[c].index != notInHeap {
 			heap.Fix(&t.lanes[c], w.lanes[c].index)
 		}
 	}
--- a/core/sched/grant_bench_test.go
+++ b/core/sched/grant_bench_test.go
@@ -9,9 +9,9 @@
 	"unsafe"
 )
 
-// loaded returns a dispatcher with upstreams that each have one slot left and
-// a queue that keeps its length.
-func loaded(b *testing.B, upstreams, queue int) *Dispatcher {
+// newLoadedDispatcher returns a dispatcher whose upstreams are filled as far as
+// the policy allows, with at least the given number of requests queued.
+func newLoadedDispatcher(b *testing.B, upstreams, queue int) *Dispatcher {
 	d := New(Params{})
 	for i := range upstreams {
 		if err := d.Announce(0, Upstream{Name: fmt.Sprintf("u%04d", i), Slots: 8, Lease: 1000 * time.Hour}); err != nil {
@@ -38,9 +38,9 @@
 // clockThreadCPU is CLOCK_THREAD_CPUTIME_ID of clock_gettime, on Linux.
 const clockThreadCPU = 3
 
-// threadTime is the processor time of the calling thread, which other load on
-// the machine does not lengthen as it does the time by the clock.
-func threadTime(b *testing.B) time.Duration {
+// threadCPUTime returns the CPU time of the calling thread. Unlike wall-clock
+// time, it is not lengthened by other load on the machine.
+func threadCPUTime(b *testing.B) time.Duration {
 	now := syscall.Timespec{}
 	if _, _, code := syscall.Syscall(syscall.SYS_CLOCK_GETTIME, clockThreadCPU, uintptr(unsafe.Pointer(&now)), 0); code != 0 {
 		b.Fatal(code)
@@ -48,13 +48,13 @@
 	return time.Duration(now.Nano())
 }
 
-// BenchmarkGrant measures one grant, its share of the round included. Offers
-// and releases between the rounds are not timed.
+// BenchmarkGrant measures the time per grant, including its share of the round.
+// Offers and releases between rounds are not timed.
 func BenchmarkGrant(b *testing.B) {
 	for _, upstreams := range []int{10, 100, 300, 1000} {
 		for _, queue := range []int{100, 1000, 10000} {
 			b.Run(fmt.Sprintf("upstreams=%d/queued=%d", upstreams, queue), func(b *testing.B) {
-				d := loaded(b, upstreams, queue)
+				d := newLoadedDispatcher(b, upstreams, queue)
 				next := 1 << 24
 				round, spent, total := 0, time.Duration(0), 0
 				runtime.LockOSThread()
@@ -64,15 +64,15 @@
 				for done := 0; done < b.N; {
 					b.StopTimer()
 					round++
-					free(b, d, round)
+					releaseUpstream(b, d, round)
 					for d.queued < queue {
 						next++
 						d.offerNumber(b, next)
 					}
 					b.StartTimer()
-					before := threadTime(b)
+					before := threadCPUTime(b)
 					got := len(d.Decide(0).Grants)
-					spent += threadTime(b) - before
+					spent += threadCPUTime(b) - before
 					if got == 0 {
 						b.Fatal("nothing was granted")
 					}
@@ -85,8 +85,9 @@
 	}
 }
 
-// free ends all requests of one upstream after the other.
-func free(b *testing.B, d *Dispatcher, round int) {
+// releaseUpstream releases all requests of one upstream, a different one in
+// each round.
+func releaseUpstream(b *testing.B, d *Dispatcher, round int) {
 	u := d.byID[round%len(d.byID)]
 	for id := range u.inFlight {
 		if _, err := d.Release(0, Release{ID: id, Outcome: Canceled}); err != nil {
--- a/core/sched/locality.go
+++ b/core/sched/locality.go
@@ -3,39 +3,41 @@
 import "time"
 
 const (
-	// localityTokens is the least hit that is worth waiting for, in tokens.
-	localityTokens = 512
-	// localityWait is the longest wait for it, from when the request was first
-	// at the head of the queue.
-	localityWait = 2 * time.Second
-	// localityPart is the longest wait as a part of the time to the deadline.
-	localityPart = 0.05
-	// maxLocality is how many requests may wait so at once, so that slots don't
-	// stay free under load.
-	maxLocality = 4
+	// minLocalityTokens is the minimum additional prefix cache hit, in tokens,
+	// for which a request waits.
+	minLocalityTokens = 512
+	// localityTimeout is the maximum wait for it, counted from when the request
+	// was first at the head of the queue.
+	localityTimeout = 2 * time.Second
+	// localityDeadlineRatio is the maximum wait as a fraction of the time to
+	// the deadline.
+	localityDeadlineRatio = 0.05
+	// maxLocalityWaits is the maximum number of requests that wait for a prefix
+	// at once, so that slots do not stay idle under load.
+	maxLocalityWaits = 4
 )
 
-// waitsForPrefix says whether a request had better wait a moment for a slot on
-// an upstream that holds much more of its prompt than the one at hand.
-func (d *Dispatcher) waitsForPrefix(now time.Duration, r *request, chosen parts, set *candidateSet) bool {
-	if r.considered == 0 {
-		r.considered = max(1, now)
+// shouldWaitForPrefix reports whether a request should wait briefly for a slot
+// on an upstream that holds much more of its prompt than the chosen one.
+func (d *Dispatcher) shouldWaitForPrefix(now time.Duration, r *request, chosen completionEstimate, set *candidateSet) bool {
+	if r.firstAtHead == 0 {
+		r.firstAtHead = max(1, now)
 	}
-	slack := time.Duration(localityPart * float64(r.offer.Deadline-r.considered))
-	if r.suspect || d.localityWaits >= maxLocality || now-r.considered >= min(localityWait, slack) {
+	slack := time.Duration(localityDeadlineRatio * float64(r.offer.Deadline-r.firstAtHead))
+	if r.suspect || d.localityWaits >= maxLocalityWaits || now-r.firstAtHead >= min(localityTimeout, slack) {
 		return false
 	}
-	tokens := min(set.depth*d.params.BlockTokens, r.offer.PromptTokens-1)
-	if tokens-chosen.cached < localityTokens {
+	tokens := min(set.heldBlocks*d.params.BlockTokens, r.offer.PromptTokens-1)
+	if tokens-chosen.cached < minLocalityTokens {
 		return false
 	}
-	for _, id := range set.held.ids[:set.held.used] {
+	for _, id := range set.holders.ids[:set.holders.used] {
 		u := d.byID[id]
-		if u.leaving || u.expires <= now || u.straggler.demoted || d.room(now, u, r.class) {
+		if u.draining || u.expires <= now || u.straggler.demoted || d.hasRoom(now, u, r.class) {
 			continue
 		}
-		_, held := u.cache.index[r.offer.Blocks[set.depth-1]]
-		if held && int(u.cache.trust*float64(tokens))-chosen.cached >= localityTokens {
+		_, held := u.cache.index[r.offer.Blocks[set.heldBlocks-1]]
+		if held && int(u.cache.trust*float64(tokens))-chosen.cached >= minLocalityTokens {
 			d.localityWaits++
 			return true
 		}
--- a/core/sched/params.go
+++ b/core/sched/params.go
@@ -3,38 +3,43 @@
 import "time"
 
 const (
-	// maxTiers bounds the declared tiers, the one below all others included.
+	// maxTiers is the maximum number of tiers, including the one below all
+	// declared tiers.
 	maxTiers = 64
-	// defaultBlockTokens is the prefix block where a model declares none.
+	// defaultBlockTokens is the prefix cache block size, in tokens, where a
+	// model declares none.
 	defaultBlockTokens = 64
-	// outputCost is the cost of an output token, in uncached prompt tokens.
+	// outputCost is the cost of an output token in uncached prompt tokens.
 	outputCost = 4
-	// orphanTime is the longest, orphanLeast the shortest that the running work
-	// of an entry whose session broke keeps its slots.
-	orphanTime  = 30 * time.Second
-	orphanLeast = 2 * time.Second
-	// orphanFactor is how many times its expected time such work is given.
+	// maxOrphanTimeout and minOrphanTimeout bound how long running requests of
+	// a disconnected entry keep their slots.
+	maxOrphanTimeout = 30 * time.Second
+	minOrphanTimeout = 2 * time.Second
+	// orphanFactor is the multiple of its expected time that such a request is
+	// given.
 	orphanFactor = 2
-	// announceGrace is how long a pool without upstreams is waited for: the
-	// announcements' renewal, with time to spare.
-	announceGrace = 2 * time.Second
-	// retryAfter is when the caller of a refused request may come back, where
-	// nothing better is known.
-	retryAfter = time.Second
+	// noUpstreamTimeout is how long a pool without upstreams waits before it
+	// refuses requests: the interval at which announcements are renewed, plus a
+	// margin.
+	noUpstreamTimeout = 2 * time.Second
+	// defaultRetryDelay is when the caller of a refused request may retry,
+	// where no better estimate is known.
+	defaultRetryDelay = time.Second
 )
 
-// Link describes the path between two regions.
+// Link describes the network path between two regions.
 type Link struct {
-	// RoundTrip is the time of a request and its answer without their bytes.
+	// RoundTrip is the time of a request and its answer without the transfer of
+	// their contents.
 	RoundTrip time.Duration
-	// BytesPerSecond is what the link carries.
+	// BytesPerSecond is the link's bandwidth; zero ignores the transfer time.
 	BytesPerSecond float64
 }
 
-// bytesPerToken estimates a prompt's bytes.
+// bytesPerToken is the estimated prompt size per token.
 const bytesPerToken = 4
 
-// cost returns what the link adds to a request.
+// cost returns the time that the link adds to a request.
 func (l Link) cost(promptTokens int) time.Duration {
 	if l.BytesPerSecond <= 0 {
 		return l.RoundTrip
@@ -43,25 +48,25 @@
 	return l.RoundTrip + time.Duration(seconds*float64(time.Second))
 }
 
-// Params steer a dispatcher.
+// Params configure a dispatcher.
 type Params struct {
-	// Region is the dispatcher's own.
+	// Region is the region of the dispatcher.
 	Region string
-	// QueueLimit is the most requests that wait at once; zero sets none.
+	// QueueLimit is the maximum number of queued requests; zero means no limit.
 	QueueLimit int
-	// BlockTokens is the prefix cache's block size, in tokens; zero means 64.
+	// BlockTokens is the prefix cache's block size in tokens; zero means 64.
 	BlockTokens int
-	// Plain says that the pool is a plain service: slots are fixed, and nothing
-	// is known of its answers' length.
+	// Plain reports whether the pool is a plain service without tokens: slots
+	// are fixed, and the length of answers is not predicted.
 	Plain bool
-	// Concurrency bounds the slots of each upstream; zero leaves what it
-	// announces.
+	// Concurrency limits the slots of each upstream; zero applies no limit
+	// beyond the announced slots.
 	Concurrency int
-	// ByArrival orders a workspace's requests by arrival alone, and reserves
-	// nothing for short ones.
+	// ByArrival orders a workspace's requests by arrival only, and reserves no
+	// slots for short ones.
 	ByArrival bool
-	// Spill says that other regions may serve the pool.
+	// Spill reports whether other regions may serve the pool.
 	Spill bool
-	// Link is the path to the other regions.
+	// Link is the network path to the other regions.
 	Link Link
 }
--- a/core/sched/policy_test.go
+++ b/core/sched/policy_test.go
@@ -12,8 +12,9 @@
 	"github.com/verbenastep/verbenastep/core/quarantine"
 )
 
-// request number n of a workspace, a page long.
-func offerOf(n int, workspace string, tier int) Offer {
+// testOffer returns an offer of 1000 prompt tokens and at most 400 output
+// tokens.
+func testOffer(n int, workspace string, tier int) Offer {
 	return Offer{ID: ID{Entry: "e", Number: uint64(n)}, Workspace: workspace, Tier: tier, Weight: 1, PromptTokens: 1000, MaxTokens: 400, Deadline: time.Hour}
 }
 
@@ -27,14 +28,14 @@
 	require.NoError(t, d.Announce(now, Upstream{Name: name, Slots: slots, Lease: time.Hour, Incarnation: 1}))
 }
 
-func finish(t require.TestingT, d *Dispatcher, now time.Duration, g Grant, token time.Duration) {
+func complete(t require.TestingT, d *Dispatcher, now time.Duration, g Grant, token time.Duration) {
 	_, err := d.Release(now, Release{ID: g.ID, Outcome: Done, Prefill: time.Second / 4, Decode: 100 * token, OutputTokens: 101})
 	require.NoError(t, err)
 }
 
-func TestBadInputChangesNothing(t *testing.T) {
-	d := fresh(t, 0)
-	mustOffer(t, d, 0, offerOf(1, "w", 0))
+func TestInvalidInputChangesNoState(t *testing.T) {
+	d := newTestDispatcher(t, 0)
+	mustOffer(t, d, 0, testOffer(1, "w", 0))
 	d.Decide(0)
 	before := d.Dump(0)
 	bad := map[string]func(*Offer){
@@ -46,9 +47,9 @@
 		"limit":      func(o *Offer) { o.Limits = limits.Limits{Concurrency: -1} },
 		"entry":      func(o *Offer) { o.ID.Entry = "" },
 	}
-	for name, spoil := range bad {
-		o := offerOf(2, "w", 0)
-		spoil(&o)
+	for name, invalidate := range bad {
+		o := testOffer(2, "w", 0)
+		invalidate(&o)
 		_, err := d.Offer(0, o)
 		require.IsType(t, &OfferError{}, err, name)
 	}
@@ -61,17 +62,17 @@
 	require.Equal(t, before, d.Dump(0))
 }
 
-func TestHigherTierGoesFirst(t *testing.T) {
+func TestHigherTierIsGrantedFirst(t *testing.T) {
 	d := New(Params{})
 	mustAnnounce(t, d, 0, "u", 1)
 	for i, tier := range []int{2, 1, 0, 1} {
-		mustOffer(t, d, 0, offerOf(i, "w", tier))
+		mustOffer(t, d, 0, testOffer(i, "w", tier))
 	}
 	order := []int{}
 	for range 4 {
 		g := d.Decide(0).Grants[0]
 		order = append(order, g.Tier)
-		finish(t, d, 0, g, time.Millisecond)
+		complete(t, d, 0, g, time.Millisecond)
 	}
 	require.Equal(t, []int{0, 1, 1, 2}, order)
 }
@@ -80,7 +81,7 @@
 	d := New(Params{})
 	mustAnnounce(t, d, 0, "u", 1)
 	for i := range 400 {
-		o := offerOf(i, "light", 0)
+		o := testOffer(i, "light", 0)
 		if i%2 == 0 {
 			o.Workspace, o.Weight = "heavy", 3
 		}
@@ -90,7 +91,7 @@
 	for range 100 {
 		g := d.Decide(0).Grants[0]
 		served[g.Workspace]++
-		finish(t, d, 0, g, time.Millisecond)
+		complete(t, d, 0, g, time.Millisecond)
 	}
 	require.InDelta(t, 75, served["heavy"], 3)
 }
@@ -103,33 +104,33 @@
 		for range n {
 			g := d.Decide(0).Grants[0]
 			served[g.Workspace]++
-			finish(t, d, 0, g, time.Millisecond)
+			complete(t, d, 0, g, time.Millisecond)
 		}
 		return served
 	}
 	for i := range 200 {
-		mustOffer(t, d, 0, offerOf(i, "busy", 0))
+		mustOffer(t, d, 0, testOffer(i, "busy", 0))
 	}
 	serve(100)
 	for i := range 50 {
-		mustOffer(t, d, 0, offerOf(1000+i, "idle", 0))
+		mustOffer(t, d, 0, testOffer(1000+i, "idle", 0))
 	}
 	require.InDelta(t, 10, serve(20)["idle"], 2)
 }
 
-func TestPrefixAttracts(t *testing.T) {
+func TestRequestIsGrantedToPrefixHolder(t *testing.T) {
 	d := New(Params{})
 	mustAnnounce(t, d, 0, "a", 8)
 	mustAnnounce(t, d, 0, "b", 8)
-	o := offerOf(1, "w", 0)
+	o := testOffer(1, "w", 0)
 	o.Blocks = []uint64{1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12}
-	mustOffer(t, d, 0, offerOf(9, "w", 0))
+	mustOffer(t, d, 0, testOffer(9, "w", 0))
 	other := d.Decide(0).Grants[0]
 	mustOffer(t, d, 0, o)
 	first := d.Decide(0).Grants[0]
 	require.NotEqual(t, other.Upstream, first.Upstream)
-	finish(t, d, time.Second, other, time.Millisecond)
-	finish(t, d, time.Second, first, time.Millisecond)
+	complete(t, d, time.Second, other, time.Millisecond)
+	complete(t, d, time.Second, first, time.Millisecond)
 	o.ID.Number = 2
 	mustOffer(t, d, time.Minute, o)
 	again := d.Decide(time.Minute).Grants[0]
@@ -137,54 +138,57 @@
 	require.Len(t, again.Why.Examined, 2)
 }
 
-// TestPrefixIsWaitedForABoundedTime fills the holder of a prompt's prefix.
-func TestPrefixIsWaitedForABoundedTime(t *testing.T) {
+// TestWaitForPrefixHolderIsBounded guards against idle slots: a request waits
+// for the upstream that holds its prefix, but once localityTimeout has passed
+// it is granted to another one.
+func TestWaitForPrefixHolderIsBounded(t *testing.T) {
 	d := New(Params{})
 	mustAnnounce(t, d, 0, "a", 1)
 	mustAnnounce(t, d, 0, "b", 1)
-	o := offerOf(1, "w", 0)
+	o := testOffer(1, "w", 0)
 	o.Blocks = []uint64{1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12}
 	mustOffer(t, d, 0, o)
 	holder := d.Decide(0).Grants[0].Upstream
 	o.ID.Number = 2
 	mustOffer(t, d, 0, o)
 	require.Empty(t, d.Decide(0).Grants)
-	require.Empty(t, d.Decide(localityWait-1).Grants)
-	g := d.Decide(localityWait + 1).Grants
+	require.Empty(t, d.Decide(localityTimeout-1).Grants)
+	g := d.Decide(localityTimeout + 1).Grants
 	require.Len(t, g, 1)
 	require.NotEqual(t, holder, g[0].Upstream)
 }
 
-func TestGapsNeverRaiseTrust(t *testing.T) {
+func TestCacheEventsNeverRaiseTrust(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		c := newResidency()
+		c := newCacheModel()
 		c.trust = 0.5
 		for range 30 {
 			before := c.trust
-			c.event(CacheEvent{Sequence: rapid.Uint64Range(0, 40).Draw(t, "sequence"), Evicted: rapid.Bool().Draw(t, "evicted"), Blocks: []uint64{1}})
+			c.applyEvent(CacheEvent{Sequence: rapid.Uint64Range(0, 40).Draw(t, "sequence"), Evicted: rapid.Bool().Draw(t, "evicted"), Blocks: []uint64{1}})
 			require.LessOrEqual(t, c.trust, before)
 		}
 	})
 }
 
-func TestGapLowersTrust(t *testing.T) {
-	c := newResidency()
-	c.event(CacheEvent{Sequence: 1})
-	c.event(CacheEvent{Sequence: 2})
+func TestCacheEventGapLowersTrust(t *testing.T) {
+	c := newCacheModel()
+	c.applyEvent(CacheEvent{Sequence: 1})
+	c.applyEvent(CacheEvent{Sequence: 2})
 	require.InDelta(t, 1, c.trust, 0)
-	c.event(CacheEvent{Sequence: 4})
+	c.applyEvent(CacheEvent{Sequence: 4})
 	require.Less(t, c.trust, 1.0)
 }
 
-// TestChargesFollowWhatHappened gives two workspaces equal predictions, of
-// which one's answers turn out far shorter.
-func TestChargesFollowWhatHappened(t *testing.T) {
+// TestChargesFollowActualOutput guards against unfair shares from wrong
+// predictions: two workspaces have equal predictions, but the answers of one
+// are four times shorter, so it must be served four times as often.
+func TestChargesFollowActualOutput(t *testing.T) {
 	d := New(Params{})
 	mustAnnounce(t, d, 0, "u", 1)
 	for i := range 200 {
-		o := offerOf(i, "brief", 0)
+		o := testOffer(i, "short-answers", 0)
 		if i%2 == 0 {
-			o.Workspace = "full"
+			o.Workspace = "long-answers"
 		}
 		o.PromptTokens = 0
 		mustOffer(t, d, 0, o)
@@ -194,30 +198,32 @@
 		g := d.Decide(0).Grants[0]
 		served[g.Workspace]++
 		tokens := 400
-		if g.Workspace == "brief" {
+		if g.Workspace == "short-answers" {
 			tokens = 100
 		}
 		_, err := d.Release(0, Release{ID: g.ID, Outcome: Done, OutputTokens: tokens})
 		require.NoError(t, err)
 	}
-	require.InDelta(t, 48, served["brief"], 4, "four answers for one")
+	require.InDelta(t, 48, served["short-answers"], 4, "four short answers cost as much as one long answer")
 }
 
-// TestKeptSlotsGoToShortRequestsOfLowerTiersOnly fills all but the kept slot.
-func TestKeptSlotsGoToShortRequestsOfLowerTiersOnly(t *testing.T) {
+// TestReservedSlotsServeOnlyShortRequestsOfLowerTiers fills all slots of an upstream
+// but the reserved one. While a higher tier has requests queued, a lower one
+// may use the reserved slot for short requests only.
+func TestReservedSlotsServeOnlyShortRequestsOfLowerTiers(t *testing.T) {
 	d := New(Params{})
 	mustAnnounce(t, d, 0, "u", 8)
-	lookup := func(n int) Offer {
-		o := offerOf(n, "w", 1)
+	shortOffer := func(n int) Offer {
+		o := testOffer(n, "w", 1)
 		o.PromptTokens, o.MaxTokens = 10, 10
 		return o
 	}
 	for i := range 9 {
-		mustOffer(t, d, 0, offerOf(i, "w", 0))
+		mustOffer(t, d, 0, testOffer(i, "w", 0))
 	}
-	mustOffer(t, d, 0, offerOf(20, "w", 1))
-	mustOffer(t, d, 0, lookup(21))
-	mustOffer(t, d, 0, lookup(22))
+	mustOffer(t, d, 0, testOffer(20, "w", 1))
+	mustOffer(t, d, 0, shortOffer(21))
+	mustOffer(t, d, 0, shortOffer(22))
 	granted := []uint64{}
 	for _, g := range d.Decide(0).Grants {
 		granted = append(granted, g.ID.Number)
@@ -227,37 +233,38 @@
 	require.NotContains(t, granted, uint64(20))
 }
 
-// TestLowestTierIsShedFirst keeps a lower tier in service: nothing above it is
-// shed.
+// TestLowestTierIsShedFirst checks that no request is shed while one of a lower
+// tier is in service, and that the lowest queued tier is shed first.
 func TestLowestTierIsShedFirst(t *testing.T) {
 	d := New(Params{QueueLimit: 1})
 	mustAnnounce(t, d, 0, "u", 1)
-	mustOffer(t, d, 0, offerOf(1, "w", 2))
+	mustOffer(t, d, 0, testOffer(1, "w", 2))
 	running := d.Decide(0).Grants[0]
 	for i, tier := range []int{0, 1, 1} {
-		mustOffer(t, d, 0, offerOf(10+i, "w", tier))
+		mustOffer(t, d, 0, testOffer(10+i, "w", tier))
 	}
 	require.Empty(t, d.Decide(0).Refusals, "tier 2 is in service")
-	finish(t, d, 0, running, time.Millisecond)
+	complete(t, d, 0, running, time.Millisecond)
 	out := d.Decide(0)
 	require.Equal(t, 0, out.Grants[0].Tier)
 	require.Len(t, out.Refusals, 1)
 	require.Equal(t, 1, out.Refusals[0].Tier)
 }
 
-// TestOwnWorkIsNeverForeign reports any earlier count of our own requests, at
-// any age: a lagging report must not look like another's load.
-func TestOwnWorkIsNeverForeign(t *testing.T) {
+// TestOwnRequestsAreNeverCountedAsForeign reports earlier counts of the dispatcher's own
+// requests with every lag up to 2 s: a stale report must not be taken for the
+// load of others.
+func TestOwnRequestsAreNeverCountedAsForeign(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		l := loadReport{}
+		l := foreignLoad{}
 		history := []int{0}
 		for step := range 60 {
 			now := time.Duration(step) * time.Second / 2
 			history = append(history, max(0, history[len(history)-1]+rapid.IntRange(-2, 2).Draw(t, "change")))
-			l.own(now, history[len(history)-1])
+			l.recordOwn(now, history[len(history)-1])
 			lag := rapid.IntRange(0, min(4, len(history)-1)).Draw(t, "lag")
-			l.take(Load{Running: history[len(history)-1-lag], Age: time.Duration(lag) * time.Second / 2}, 8)
-			require.Zero(t, l.foreign())
+			l.recordReport(Load{Running: history[len(history)-1-lag], Age: time.Duration(lag) * time.Second / 2}, 8)
+			require.Zero(t, l.requests())
 		}
 	})
 }
@@ -268,12 +275,12 @@
 		mustAnnounce(t, d, 0, fmt.Sprintf("u%d", i), 8)
 	}
 	now, next := time.Duration(0), 0
-	play := func(rounds int, slow time.Duration) (onSlow, lookups int) {
+	runRounds := func(rounds int, slow time.Duration) (onSlow, lookups int) {
 		for range rounds {
 			now += time.Second
 			for i := range 4 {
 				next++
-				o := offerOf(next, "w", 0)
+				o := testOffer(next, "w", 0)
 				if i == 0 {
 					o.PromptTokens, o.MaxTokens = 20, 20
 				}
@@ -285,24 +292,24 @@
 					token *= slow
 					onSlow++
 				}
-				finish(t, d, now+time.Second/2, g, token)
+				complete(t, d, now+time.Second/2, g, token)
 			}
 		}
 		return onSlow, lookups
 	}
-	play(20, 1)
-	play(60, 5)
+	runRounds(20, 1)
+	runRounds(60, 5)
 	require.True(t, d.upstreams["u0"].straggler.demoted)
-	onSlow, _ := play(20, 5)
-	require.LessOrEqual(t, onSlow, 20, "a trickle at most")
-	play(120, 1)
+	onSlow, _ := runRounds(20, 5)
+	require.LessOrEqual(t, onSlow, 20, "a demoted upstream gets at most one request per second")
+	runRounds(120, 1)
 	require.False(t, d.upstreams["u0"].straggler.demoted)
 }
 
-func TestWhatCannotFinishIsRefusedBeforeItRuns(t *testing.T) {
+func TestUnreachableDeadlineIsRefusedBeforeGrant(t *testing.T) {
 	d := New(Params{})
 	mustAnnounce(t, d, 0, "u", 4)
-	o := offerOf(1, "w", 0)
+	o := testOffer(1, "w", 0)
 	o.PromptTokens, o.Deadline = 1_000_000, time.Second
 	mustOffer(t, d, 0, o)
 	require.Empty(t, d.Decide(0).Grants)
@@ -311,12 +318,12 @@
 	require.Equal(t, TooLate, out.Refusals[0].Code)
 }
 
-func TestSpillComesBeforeShed(t *testing.T) {
+func TestSpillPrecedesShedding(t *testing.T) {
 	codeOf := func(change func(*Offer)) Code {
 		d := New(Params{QueueLimit: 1, Spill: true})
 		mustAnnounce(t, d, 0, "u", 1)
 		for i := range 3 {
-			o := offerOf(i, "w", 1)
+			o := testOffer(i, "w", 1)
 			change(&o)
 			mustOffer(t, d, 0, o)
 		}
@@ -325,8 +332,8 @@
 		return out.Refusals[0].Code
 	}
 	require.Equal(t, Spill, codeOf(func(*Offer) {}))
-	require.Equal(t, Overload, codeOf(func(o *Offer) { o.Final = true }), "the others refused")
-	require.Equal(t, Overload, codeOf(func(o *Offer) { o.Spilled = "r" }), "it goes back to where it came from")
+	require.Equal(t, Overload, codeOf(func(o *Offer) { o.Final = true }), "the other regions refused the request")
+	require.Equal(t, Overload, codeOf(func(o *Offer) { o.Spilled = "r" }), "a spilled request is not spilled again")
 }
 
 func TestCrashingRequestIsQuarantinedAndInnocentsAreNot(t *testing.T) {
@@ -335,7 +342,7 @@
 	number := 0
 	send := func(print uint64) {
 		number++
-		o := offerOf(number, "w", 0)
+		o := testOffer(number, "w", 0)
 		o.Fingerprint = print
 		mustOffer(t, d, 0, o)
 	}
@@ -353,11 +360,11 @@
 	send(66)
 	send(1)
 	alone := d.Decide(0).Grants
-	require.Len(t, alone, 1, "suspects do not run side by side")
+	require.Len(t, alone, 1, "two suspects must not run on one upstream")
 	require.Equal(t, []quarantine.Change{{Fingerprint: 66, Crashes: 2}}, crash("a", 3, alone))
-	innocent := d.upstreams["a"].inFlight
-	require.Len(t, innocent, 1)
-	o := offerOf(99, "w", 0)
+	unaffected := d.upstreams["a"].inFlight
+	require.Len(t, unaffected, 1)
+	o := testOffer(99, "w", 0)
 	o.Fingerprint = 66
 	refusal, err := d.Offer(0, o)
 	require.NoError(t, err)
@@ -365,18 +372,19 @@
 	require.Equal(t, quarantine.Hold, refusal.RetryAfter)
 }
 
-// TestAbsentEntryKeepsItsSlotsForABoundedTime loses the entries of requests of
-// every size: twice the expected time, 2 s at the least and 30 s at the most.
-func TestAbsentEntryKeepsItsSlotsForABoundedTime(t *testing.T) {
-	for tokens, want := range map[int]time.Duration{10: orphanLeast, 1000: 20 * time.Second, 100_000: orphanTime} {
+// TestOrphanedRequestsKeepSlotsForBoundedTime disconnects the entry of requests
+// of different sizes. Each keeps its slot for twice its expected time, but at
+// least 2 s and at most 30 s.
+func TestOrphanedRequestsKeepSlotsForBoundedTime(t *testing.T) {
+	for tokens, want := range map[int]time.Duration{10: minOrphanTimeout, 1000: 20 * time.Second, 100_000: maxOrphanTimeout} {
 		d := New(Params{})
 		mustAnnounce(t, d, 0, "u", 1)
-		o := offerOf(1, "w", 0)
+		o := testOffer(1, "w", 0)
 		o.PromptTokens, o.MaxTokens = 0, tokens
 		mustOffer(t, d, 0, o)
 		require.Len(t, d.Decide(0).Grants, 1)
 		d.LoseEntry(0, "e")
-		other := offerOf(2, "w", 0)
+		other := testOffer(2, "w", 0)
 		other.ID.Entry = "f"
 		mustOffer(t, d, 0, other)
 		require.Empty(t, d.Decide(want-1).Grants, "%d tokens", tokens)
@@ -384,39 +392,41 @@
 	}
 }
 
-// TestSuccessorWaitsForAnnouncementsBeforeItRefuses begins without upstreams.
-func TestSuccessorWaitsForAnnouncementsBeforeItRefuses(t *testing.T) {
+// TestNewDispatcherWaitsForAnnouncementsBeforeRefusing guards against a new
+// dispatcher that refuses requests before live upstreams have announced
+// themselves. Later requests are refused at once.
+func TestNewDispatcherWaitsForAnnouncementsBeforeRefusing(t *testing.T) {
 	d := New(Params{})
 	offer := func(now time.Duration, n int) {
-		o := offerOf(n, "w", 0)
+		o := testOffer(n, "w", 0)
 		o.Deadline = 9 * time.Hour
 		mustOffer(t, d, now, o)
 	}
 	offer(time.Hour, 1)
 	require.Empty(t, d.Decide(time.Hour).Refusals)
-	require.Empty(t, d.Decide(time.Hour+announceGrace-1).Refusals)
-	out := d.Decide(time.Hour + announceGrace)
+	require.Empty(t, d.Decide(time.Hour+noUpstreamTimeout-1).Refusals)
+	out := d.Decide(time.Hour + noUpstreamTimeout)
 	require.Equal(t, NoUpstream, out.Refusals[0].Code)
 	offer(2*time.Hour, 2)
-	require.Len(t, d.Decide(2*time.Hour).Refusals, 1, "known by then")
+	require.Len(t, d.Decide(2*time.Hour).Refusals, 1, "the pool is known to be without upstreams")
 }
 
-func TestPlainServiceTakesItsConcurrency(t *testing.T) {
+func TestServiceConcurrencyLimitsSlots(t *testing.T) {
 	d := New(Params{Plain: true, Concurrency: 2})
 	mustAnnounce(t, d, 0, "u", 8)
 	for i := range 5 {
-		mustOffer(t, d, 0, offerOf(i, "w", 0))
+		mustOffer(t, d, 0, testOffer(i, "w", 0))
 	}
 	require.Len(t, d.Decide(0).Grants, 2)
 }
 
-func TestExplanationsForAllStates(t *testing.T) {
+func TestExplainCoversAllStates(t *testing.T) {
 	d := New(Params{})
 	mustAnnounce(t, d, 0, "u", 1)
 	for i := range 2 {
-		mustOffer(t, d, 0, offerOf(i, "w", 0))
+		mustOffer(t, d, 0, testOffer(i, "w", 0))
 	}
-	late := offerOf(7, "w", 0)
+	late := testOffer(7, "w", 0)
 	late.Deadline = -time.Second
 	mustOffer(t, d, 0, late)
 	d.Decide(0)
@@ -432,10 +442,11 @@
 	require.False(t, ok)
 }
 
-// TestThirdUpstreamWaitsForTwoUnsettledFailures sends a content that breaks on
-// two upstreams in quick succession: it runs nowhere else until it is known
-// whether they died, and then it is refused, or runs where they live after all.
-func TestThirdUpstreamWaitsForTwoUnsettledFailures(t *testing.T) {
+// TestThirdAttemptWaitsForTwoUnresolvedFailures guards against a third crash: a
+// content fails on two upstreams before it is known whether they crashed. It
+// stays queued until then; it is refused if they crashed and granted if they
+// are alive.
+func TestThirdAttemptWaitsForTwoUnresolvedFailures(t *testing.T) {
 	for _, died := range []bool{true, false} {
 		d := New(Params{})
 		renew := func(now time.Duration, names ...string) {
@@ -444,7 +455,7 @@
 			}
 		}
 		send := func(now time.Duration, number int) []Grant {
-			o := offerOf(number, "w", 0)
+			o := testOffer(number, "w", 0)
 			o.Fingerprint = 66
 			mustOffer(t, d, now, o)
 			return d.Decide(now).Grants
@@ -457,7 +468,7 @@
 			_, err := d.Release(0, Release{ID: g.ID, Outcome: Broken})
 			require.NoError(t, err)
 		}
-		require.Empty(t, send(0, 3), "two failures are unsettled")
+		require.Empty(t, send(0, 3), "two failures are unresolved")
 		if died {
 			for _, n := range []string{"a", "b", "c"} {
 				if n != grants[0].Upstream && n != grants[1].Upstream {
--- a/core/sched/queue.go
+++ b/core/sched/queue.go
@@ -7,44 +7,45 @@
 	"github.com/verbenastep/verbenastep/core/limits"
 )
 
-// agingFactor is how many of its own predicted service times later another
-// request may arrive and still be served before it.
+// agingFactor bounds overtaking within a workspace.
 //
-// A lane is ordered by arrival plus agingFactor times the predicted service
-// time. So within a workspace a request is overtaken only by requests that
-// arrive within agingFactor times its own prediction, capped by maxAging.
+// A lane is ordered by arrival time plus agingFactor times the predicted
+// service time. A request is thus overtaken only by requests that arrive within
+// agingFactor times its own predicted service time, capped by maxAging.
 const agingFactor = 4
 
-// maxAging bounds how much later a request may arrive and still overtake.
+// maxAging caps how much later than a request another may arrive and still
+// overtake it.
 const maxAging = 60 * time.Second
 
-// tier holds the queue of one tier.
+// tier is the queue of one tier.
 type tier struct {
 	rank       int
 	workspaces map[string]*workspace
-	// lanes are the nonempty lanes of each class, by workspace counter.
+	// lanes are the nonempty lanes of each class, ordered by workspace counter.
 	lanes   [classes]laneHeap
 	queued  int
 	running int
-	// cost is the queued requests' predicted work.
-	cost float64
-	// patience is the average time that requests of the tier can wait.
+	// queuedCost is the predicted work of the queued requests, in prompt
+	// tokens.
+	queuedCost float64
+	// patience is the moving average of the time from arrival to deadline.
 	patience time.Duration
-	// floor is the counter of the workspace that was served last.
-	floor float64
+	// lastServedCounter is the counter of the workspace that was served last.
+	lastServedCounter float64
 }
 
-// workspace is one customer's standing in a tier.
+// workspace is the fair-share state and queue of one workspace in a tier.
 type workspace struct {
 	name   string
 	tier   *tier
 	weight float64
 	// counter is the work charged so far, divided by the weight.
-	counter float64
-	lanes   [classes]lane
-	queued  int
-	cost    float64
-	usage   limits.Usage
+	counter    float64
+	lanes      [classes]lane
+	queued     int
+	queuedCost float64
+	usage      limits.Usage
 }
 
 // lane is a workspace's queue of one class.
@@ -54,7 +55,7 @@
 	index     int
 }
 
-// laneHeap orders lanes by their workspaces' counters.
+// laneHeap is a heap of lanes ordered by their workspaces' counters.
 type laneHeap []*lane
 
 func (h laneHeap) Len() int { return len(h) }
@@ -83,7 +84,7 @@
 	last := old[len(old)-1]
 	old[len(old)-1] = nil
 	*h = old[:len(old)-1]
-	last.index = notQueued
+	last.index = notInHeap
 	return last
 }
 
@@ -91,13 +92,14 @@
 	return &tier{rank: rank, workspaces: map[string]*workspace{}}
 }
 
-// workspace finds or adds a workspace; a new weight takes effect at once.
+// workspace returns the named workspace, creating it on first use. A new weight
+// takes effect immediately.
 func (t *tier) workspace(name string, weight int) *workspace {
 	w, ok := t.workspaces[name]
 	if !ok {
 		w = &workspace{name: name, tier: t}
 		for c := range w.lanes {
-			w.lanes[c] = lane{workspace: w, index: notQueued}
+			w.lanes[c] = lane{workspace: w, index: notInHeap}
 		}
 		t.workspaces[name] = w
 	}
@@ -109,17 +111,17 @@
 func (t *tier) enqueue(r *request) {
 	w := r.workspace
 	if w.queued == 0 {
-		t.lift(w)
+		t.raiseCounter(w)
 	}
 	l := &w.lanes[r.class]
 	heap.Push(&l.requests, r)
-	if l.index == notQueued {
+	if l.index == notInHeap {
 		heap.Push(&t.lanes[r.class], l)
 	}
 	w.queued++
-	w.cost += r.cost
+	w.queuedCost += r.cost
 	t.queued++
-	t.cost += r.cost
+	t.queuedCost += r.cost
 }
 
 // dequeue removes a queued request.
@@ -131,13 +133,14 @@
 		heap.Remove(&t.lanes[r.class], l.index)
 	}
 	w.queued--
-	w.cost -= r.cost
+	w.queuedCost -= r.cost
 	t.queued--
-	t.cost -= r.cost
+	t.queuedCost -= r.cost
 }
 
-// head returns the request to serve next among the classes allowed: that of
-// the workspace charged least, and within it the one with the smallest key.
+// head returns the next request to serve among the allowed classes: that of the
+// workspace with the lowest counter and, within it, the one with the smallest
+// laneKey.
 func (t *tier) head(allowed [classes]bool) *request {
 	best := (*request)(nil)
 	for c := range t.lanes {
@@ -156,5 +159,5 @@
 	if a.workspace.counter != b.workspace.counter {
 		return a.workspace.counter < b.workspace.counter
 	}
-	return a.key < b.key
+	return a.laneKey < b.laneKey
 }
--- a/core/sched/request.go
+++ b/core/sched/request.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// class separates short requests from the rest.
+// class separates short requests from all others.
 type class uint8
 
 const (
@@ -14,61 +14,66 @@
 	classes
 )
 
-// notQueued marks what is in no heap.
-const notQueued = -1
+// notInHeap is the index of an item that is in no heap.
+const notInHeap = -1
 
-// request is one offer and its state.
+// request is an offered request and its scheduling state.
 type request struct {
-	offer   Offer
-	arrived time.Duration
-	// workspace is nil once the request ended.
+	offer     Offer
+	arrivedAt time.Duration
 	workspace *workspace
 	class     class
-	// output is the predicted answer, least a cautious lower bound, in tokens.
-	output float64
-	least  float64
+	// output is the predicted answer length and cautiousOutput a cautious lower
+	// estimate, in tokens.
+	output         float64
+	cautiousOutput float64
 	// cost is the predicted work in uncached prompt tokens.
 	cost float64
-	// key orders a lane; see queue.go.
-	key       time.Duration
-	laneIndex int
-	doomIndex int
-	// doomAt is when the request can no longer finish in time.
-	doomAt time.Duration
-	// considered is when the request was first at the head of the queue.
-	considered time.Duration
-	// set once granted:
+	// laneKey orders a lane; see agingFactor.
+	laneKey          time.Duration
+	laneIndex        int
+	latestStartIndex int
+	// latestStart is when the request can no longer finish before its deadline.
+	latestStart time.Duration
+	// firstAtHead is when the request was first at the head of the queue; zero
+	// where it never was.
+	firstAtHead time.Duration
+	// The fields below are set when the request is granted.
 	upstream    string
 	incarnation uint64
-	// counted says that a crash of its upstream has made it a suspect.
-	counted  bool
-	granted  time.Duration
-	charged  float64
-	expected time.Duration
-	// need is the time per output token that it must have, in seconds.
-	need   float64
-	cached int
-	// bestCached is the most that any upstream weighed should have held.
-	bestCached int
-	beside     int
-	clearStart bool
-	suspect    bool
-	// orphaned is when the slot is freed without its entry; zero for never.
-	orphaned time.Duration
+	// crashCounted reports whether a crash of its upstream has already been
+	// counted for it.
+	crashCounted bool
+	grantedAt    time.Duration
+	charged      float64
+	expectedTime time.Duration
+	// tokenBudget is the maximum time per output token, in seconds, with which
+	// the request meets its deadline; zero where unknown.
+	tokenBudget float64
+	cached      int
+	// bestCached is the largest expected cache hit, in tokens, among the
+	// candidates.
+	bestCached   int
+	batchAtStart int
+	prefillAlone bool
+	suspect      bool
+	// orphanedUntil is when the slot is freed unless the entry reconnects; zero
+	// where the entry is connected.
+	orphanedUntil time.Duration
 }
 
-// uncached returns the prompt tokens that the upstream must compute.
+// uncached returns the prompt tokens that the upstream is expected to compute.
 func (r *request) uncached() float64 {
 	return float64(max(0, r.offer.PromptTokens-r.cached))
 }
 
-// requestHeap orders a lane's requests by key.
+// requestHeap is a heap of a lane's requests ordered by laneKey.
 type requestHeap []*request
 
 func (h requestHeap) Len() int { return len(h) }
 func (h requestHeap) Less(i, j int) bool {
-	if h[i].key != h[j].key {
-		return h[i].key < h[j].key
+	if h[i].laneKey != h[j].laneKey {
+		return h[i].laneKey < h[j].laneKey
 	}
 	return lessID(h[i].offer.ID, h[j].offer.ID)
 }
@@ -90,7 +95,7 @@
 	last := old[len(old)-1]
 	old[len(old)-1] = nil
 	*h = old[:len(old)-1]
-	last.laneIndex = notQueued
+	last.laneIndex = notInHeap
 	return last
 }
 
@@ -101,34 +106,35 @@
 	return a.Number < b.Number
 }
 
-// doomHeap orders queued requests by when they can no longer finish.
-type doomHeap []*request
+// latestStartHeap is a heap of queued requests ordered by latestStart.
+type latestStartHeap []*request
 
-func (h doomHeap) Len() int           { return len(h) }
-func (h doomHeap) Less(i, j int) bool { return h[i].doomAt < h[j].doomAt }
-func (h doomHeap) Swap(i, j int) {
+func (h latestStartHeap) Len() int           { return len(h) }
+func (h latestStartHeap) Less(i, j int) bool { return h[i].latestStart < h[j].latestStart }
+func (h latestStartHeap) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
-	h[i].doomIndex = i
-	h[j].doomIndex = j
+	h[i].latestStartIndex = i
+	h[j].latestStartIndex = j
 }
 
-func (h *doomHeap) Push(x any) {
+func (h *latestStartHeap) Push(x any) {
 	r := x.(*request)
-	r.doomIndex = len(*h)
+	r.latestStartIndex = len(*h)
 	*h = append(*h, r)
 }
 
-func (h *doomHeap) Pop() any {
+func (h *latestStartHeap) Pop() any {
 	old := *h
 	last := old[len(old)-1]
 	old[len(old)-1] = nil
 	*h = old[:len(old)-1]
-	last.doomIndex = notQueued
+	last.latestStartIndex = notInHeap
 	return last
 }
 
-// orphanHeap orders requests whose entry is gone by when their slot is freed.
-// Entries of requests that ended or were taken up again are skipped.
+// orphan is a running request whose entry has disconnected, with the time at
+// which its slot is freed. Items of requests that ended or were reclaimed are
+// skipped.
 type orphan struct {
 	at time.Duration
 	id ID
@@ -149,6 +155,6 @@
 
 var (
 	_ heap.Interface = (*requestHeap)(nil)
-	_ heap.Interface = (*doomHeap)(nil)
+	_ heap.Interface = (*latestStartHeap)(nil)
 	_ heap.Interface = (*orphanHeap)(nil)
 )
--- a/core/sched/residency.go
+++ b/core/sched/residency.go
@@ -1,56 +1,60 @@
 package sched
 
 const (
-	// firstBlocks is the assumed size of an upstream's prefix cache, in blocks.
-	firstBlocks = 4096
-	// minBlocks is the smallest size assumed.
-	minBlocks = 64
-	// maxBlocks is the largest size assumed.
-	maxBlocks = 1 << 16
-	// gapTrust is what remains of the trust after a gap in the cache events.
-	gapTrust = 0.9
+	// initialCacheBlocks is the initial estimate of an upstream's prefix cache
+	// size, in blocks.
+	initialCacheBlocks = 4096
+	// minCacheBlocks is the lower bound of the estimated size.
+	minCacheBlocks = 64
+	// maxCacheBlocks is the upper bound of the estimated size.
+	maxCacheBlocks = 1 << 16
+	// gapTrustFactor multiplies the trust after a gap in the cache events.
+	gapTrustFactor = 0.9
 	// trustGain is the weight of a new observation in the trust.
 	trustGain = 0.1
-	// growth is by how many blocks the assumed size grows after a hit as
-	// predicted, shrink is what remains of it after a miss.
-	growth = 16
-	shrink = 0.9
-	// missPart is the part of the predicted hit below which it was a miss.
-	missPart = 0.5
-	// holders is how many upstreams are remembered for each block.
-	holders = 4
+	// cacheGrowthBlocks is added to the estimated size after a hit as
+	// predicted; cacheShrinkFactor multiplies it after a miss.
+	cacheGrowthBlocks = 16
+	cacheShrinkFactor = 0.9
+	// missRatio is the fraction of the predicted hit below which an observation
+	// counts as a miss.
+	missRatio = 0.5
+	// maxHolders is the maximum number of upstreams remembered per block.
+	maxHolders = 4
 )
 
-// block is one entry of a residency list; links are indexes.
+// block is a node of the cache model's recency list, linked by node index.
 type block struct {
 	hash       uint64
 	prev, next int32
 }
 
-// residency models which prefix blocks an upstream holds: a list in order of
-// last use, kept from the dispatcher's own grants and corrected by events.
-type residency struct {
+// cacheModel estimates which prefix blocks an upstream holds. It is a
+// least-recently-used list, updated from the dispatcher's own grants and
+// corrected by the upstream's cache events.
+type cacheModel struct {
 	index map[uint64]int32
 	nodes []block
 	free  []int32
 	head  int32
 	tail  int32
 	size  int
-	// trust is the part of a predicted hit to count on, from 0 to 1.
+	// trust is the fraction of a predicted hit that is relied on, from 0 to 1.
 	trust    float64
 	sequence uint64
-	started  bool
+	sawEvent bool
 }
 
-const nowhere = -1
+const noIndex = -1
 
-func newResidency() *residency {
-	return &residency{index: map[uint64]int32{}, head: nowhere, tail: nowhere, size: firstBlocks, trust: 1}
+func newCacheModel() *cacheModel {
+	return &cacheModel{index: map[uint64]int32{}, head: noIndex, tail: noIndex, size: initialCacheBlocks, trust: 1}
 }
 
-// touch makes a block the most recently used, and pushes out the least recent
-// one where there is no space. It returns false where the block was held.
-func (c *residency) touch(hash uint64) bool {
+// touch marks a block as the most recently used, evicting the least recently
+// used one where the cache is full. It returns false where the block was
+// already held.
+func (c *cacheModel) touch(hash uint64) bool {
 	if i, ok := c.index[hash]; ok {
 		if c.head != i {
 			c.unlink(i)
@@ -59,7 +63,7 @@
 		return false
 	}
 	if len(c.index) >= c.size {
-		c.drop(c.nodes[c.tail].hash)
+		c.evict(c.nodes[c.tail].hash)
 	}
 	i := int32(len(c.nodes))
 	if n := len(c.free); n > 0 {
@@ -74,33 +78,33 @@
 	return true
 }
 
-func (c *residency) link(i int32) {
-	c.nodes[i].prev = nowhere
+func (c *cacheModel) link(i int32) {
+	c.nodes[i].prev = noIndex
 	c.nodes[i].next = c.head
-	if c.head != nowhere {
+	if c.head != noIndex {
 		c.nodes[c.head].prev = i
 	}
 	c.head = i
-	if c.tail == nowhere {
+	if c.tail == noIndex {
 		c.tail = i
 	}
 }
 
-func (c *residency) unlink(i int32) {
+func (c *cacheModel) unlink(i int32) {
 	n := c.nodes[i]
-	if n.prev != nowhere {
+	if n.prev != noIndex {
 		c.nodes[n.prev].next = n.next
 	} else {
 		c.head = n.next
 	}
-	if n.next != nowhere {
+	if n.next != noIndex {
 		c.nodes[n.next].prev = n.prev
 	} else {
 		c.tail = n.prev
 	}
 }
 
-func (c *residency) drop(hash uint64) {
+func (c *cacheModel) evict(hash uint64) {
 	i, ok := c.index[hash]
 	if !ok {
 		return
@@ -110,10 +114,10 @@
 	c.free = append(c.free, i)
 }
 
-// matched returns how many leading blocks the upstream holds. Since a block's
-// hash covers all before it, and earlier blocks are used with later ones, a
-// binary search finds the end.
-func (c *residency) matched(blocks []uint64) int {
+// matchedBlocks returns the number of leading blocks that the upstream holds. A
+// block's hash covers all blocks before it, and earlier blocks are used
+// together with later ones, so a binary search finds the end.
+func (c *cacheModel) matchedBlocks(blocks []uint64) int {
 	if len(blocks) == 0 {
 		return 0
 	}
@@ -132,53 +136,54 @@
 	return low
 }
 
-// event corrects the model by one cache event. Events of the past, and such
-// that come twice, change nothing; a gap lowers the trust.
-func (c *residency) event(e CacheEvent) {
-	if c.started && e.Sequence <= c.sequence {
+// applyEvent corrects the model by one cache event. Old and repeated events are
+// ignored; a gap in the sequence lowers the trust.
+func (c *cacheModel) applyEvent(e CacheEvent) {
+	if c.sawEvent && e.Sequence <= c.sequence {
 		return
 	}
-	if c.started && e.Sequence > c.sequence+1 {
-		c.trust *= gapTrust
+	if c.sawEvent && e.Sequence > c.sequence+1 {
+		c.trust *= gapTrustFactor
 	}
-	c.started = true
+	c.sawEvent = true
 	c.sequence = e.Sequence
 	if !e.Evicted {
 		return
 	}
 	for _, h := range e.Blocks {
-		c.drop(h)
+		c.evict(h)
 	}
 }
 
-// confirm compares a predicted hit with what the engine reported.
-func (c *residency) confirm(predicted, reported float64) {
+// learnFromHit updates trust and estimated size from the predicted hit and the
+// hit that the engine reported, both in tokens.
+func (c *cacheModel) learnFromHit(predicted, reported float64) {
 	if predicted <= 0 {
 		return
 	}
 	got := min(1, reported/predicted)
 	c.trust += trustGain * (got - c.trust)
-	if got < missPart {
-		c.size = max(minBlocks, int(float64(c.size)*shrink))
+	if got < missRatio {
+		c.size = max(minCacheBlocks, int(float64(c.size)*cacheShrinkFactor))
 	} else {
-		c.size = min(maxBlocks, c.size+growth)
+		c.size = min(maxCacheBlocks, c.size+cacheGrowthBlocks)
 	}
 }
 
-// reset forgets all, after a restart of the upstream.
-func (c *residency) reset() {
-	*c = *newResidency()
+// reset empties the model after a restart of the upstream.
+func (c *cacheModel) reset() {
+	*c = *newCacheModel()
 }
 
-// holderSet remembers a few upstreams that hold a block.
+// holderSet is a small set of upstreams that hold a block.
 type holderSet struct {
-	ids  [holders]int32
+	ids  [maxHolders]int32
 	used uint8
 	next uint8
 }
 
-// add remembers an upstream in place of the oldest one. It returns false where
-// the upstream was known.
+// add adds an upstream, replacing the oldest one where the set is full. It
+// returns false where the upstream is already in the set.
 func (h *holderSet) add(id int32) bool {
 	for i := range h.used {
 		if h.ids[i] == id {
@@ -186,17 +191,19 @@
 		}
 	}
 	h.ids[h.next] = id
-	h.next = (h.next + 1) % holders
-	h.used = min(holders, h.used+1)
+	h.next = (h.next + 1) % maxHolders
+	h.used = min(maxHolders, h.used+1)
 	return true
 }
 
-// holderIndex finds upstreams by block, within a bounded memory.
+// holderIndex maps blocks to the upstreams that hold them, within bounded
+// memory.
 type holderIndex struct {
 	sets map[uint64]holderSet
 }
 
-// maxHolderSets bounds the blocks whose holders are remembered.
+// maxHolderSets is the maximum number of blocks in the index, which is cleared
+// when full.
 const maxHolderSets = 1 << 18
 
 func (x *holderIndex) add(hash uint64, id int32) {
@@ -209,9 +216,9 @@
 	}
 }
 
-// deepest returns the holders of the last block that any upstream was granted,
-// and how many blocks these are.
-func (x *holderIndex) deepest(blocks []uint64) (holderSet, int) {
+// longestHeld returns the holders of the longest indexed prefix of the blocks,
+// and its length in blocks.
+func (x *holderIndex) longestHeld(blocks []uint64) (holderSet, int) {
 	low, high := 0, len(blocks)
 	best := holderSet{}
 	for low < high {
--- a/core/sched/sched.go
+++ b/core/sched/sched.go
@@ -1,11 +1,16 @@
-// Package sched decides for one pool, a model or service in one region, which
-// queued request goes to which upstream and which is refused.
+// Package sched implements the scheduling policy of one pool (a model or
+// service in one region): which queued request is granted to which upstream,
+// and which request is refused.
 //
-// The dispatcher is pure: time comes in as a duration on the caller's
-// monotonic clock and decisions come out of Decide. It is not safe for
-// concurrent use. Invariants: a request is granted at most once by one
-// dispatcher; an upstream never holds more grants than slots; no request is
-// refused for overload while one of a lower tier is queued or in service.
+// Package dispatch drives a Dispatcher with offers, releases and upstream
+// announcements; benchmarks and simulations drive it directly. The package does
+// no I/O and reads no clock: times are durations on the caller's monotonic
+// clock, and decisions are returned by Decide. A Dispatcher is not safe for
+// concurrent use.
+//
+// Invariants: one dispatcher grants a request at most once; an upstream never
+// holds more grants than slots; no request is refused for overload while one of
+// a lower tier is queued or in service.
 package sched
 
 import (
@@ -15,108 +20,113 @@
 	"github.com/verbenastep/verbenastep/core/quarantine"
 )
 
-// ID names a request: the entry that offered it and the entry's own number.
+// ID identifies a request by the entry that offered it and the number that the
+// entry gave it.
 type ID struct {
 	Entry  string
 	Number uint64
 }
 
-// Offer is a request that waits for an upstream.
+// Offer describes a request that an entry offers for scheduling.
 type Offer struct {
 	ID        ID
 	Workspace string
-	// Tier is the position in the declared order; 0 is the highest.
+	// Tier is the index in the declared order; 0 is the highest.
 	Tier int
-	// Weight is the workspace's share within its tier, at least 1.
+	// Weight is the workspace's fair-share weight within its tier, at least 1.
 	Weight int
 	// Operation is a service's declared operation; empty for a model.
 	Operation string
 	// PromptTokens and MaxTokens bound the work, in tokens.
 	PromptTokens int
 	MaxTokens    int
-	// Blocks are hashes of the prompt's leading blocks, each over all before.
+	// Blocks are hashes of the prompt's leading blocks, each computed over the
+	// block and all before it.
 	Blocks []uint64
-	// Deadline is when the caller stops waiting for the whole answer.
+	// Deadline is when the caller stops waiting for the complete answer.
 	Deadline time.Duration
-	// Fingerprint identifies the content, for requests that crash upstreams.
+	// Fingerprint identifies the content for quarantine; zero means unknown.
 	Fingerprint uint64
 	// Running names the upstream of a request that an earlier dispatcher
-	// granted; such an offer takes its slot and is never granted again.
+	// granted. Such an offer occupies a slot there and is not granted again.
 	Running string
-	// Limits are the workspace's, as this dispatcher enforces them.
+	// Limits are the workspace's limits, enforced by this dispatcher.
 	Limits limits.Limits
-	// Admitted says that an earlier session offered the request already, so
-	// that the workspace's limits do not refuse it now.
+	// Admitted reports whether an earlier session already offered the request;
+	// the workspace's limits are then not applied again.
 	Admitted bool
-	// Spilled names the region that passed the offer on; empty for the first.
+	// Spilled names the region that spilled the request to this one; empty
+	// where it was offered here first.
 	Spilled string
-	// Final says that the other regions refused the request; it is not passed
-	// on again.
+	// Final reports whether the other regions refused the request, so that it
+	// is not spilled again.
 	Final bool
 }
 
-// Upstream is what an upstream announced of itself.
+// Upstream is the announcement of an upstream.
 type Upstream struct {
 	Name       string
 	Address    string
 	Region     string
 	DataCentre string
-	// Incarnation grows with each start of the upstream's process.
+	// Incarnation increases with each start of the upstream's process.
 	Incarnation uint64
-	// Slots is the most requests it takes at once.
+	// Slots is the maximum number of concurrent requests.
 	Slots int
-	// Lease is how long the announcement holds without renewal.
+	// Lease is how long the announcement is valid without renewal.
 	Lease   time.Duration
 	Version string
-	// Load is the upstream's own report, which may be stale.
+	// Load is the upstream's own load report, which may be stale.
 	Load Load
 	// Events are the cache events since the last announcement.
 	Events []CacheEvent
 }
 
-// Load is an upstream's report of its own state, Age old when it was sent.
+// Load is an upstream's report of the requests it runs, and the report's age
+// when it was sent.
 type Load struct {
 	Running int
 	Age     time.Duration
 }
 
-// CacheEvent is one of a numbered sequence that an engine publishes, late and
-// with gaps.
+// CacheEvent is one event in the numbered sequence that an engine publishes
+// about its prefix cache. Events may arrive late or be missing.
 type CacheEvent struct {
 	Sequence uint64
 	Evicted  bool
 	Blocks   []uint64
 }
 
-// Outcome says how a granted request ended.
+// Outcome tells how a granted request ended.
 type Outcome uint8
 
-// Outcomes.
+// Outcomes of a granted request.
 const (
-	// Done says that the whole answer arrived.
+	// Done means that the complete answer arrived.
 	Done Outcome = iota + 1
-	// NotSent says that nothing was sent to the upstream.
+	// NotSent means that nothing was sent to the upstream.
 	NotSent
-	// Canceled says that the caller went away.
+	// Canceled means that the caller canceled the request or disconnected.
 	Canceled
-	// Broken says that the upstream failed while it ran the request.
+	// Broken means that the upstream failed while it ran the request.
 	Broken
 )
 
-// Release ends a grant and tells what was observed.
+// Release ends a grant and reports what was measured.
 type Release struct {
 	ID      ID
 	Outcome Outcome
-	// Prefill is the time from dispatch to the first token, Decode from there
-	// to the last.
+	// Prefill is the time from dispatch to the first token, Decode that from
+	// the first token to the last.
 	Prefill time.Duration
 	Decode  time.Duration
-	// OutputTokens were generated; CachedTokens of the prompt were not computed.
+	// OutputTokens is the number of generated tokens, CachedTokens that of
+	// prompt tokens served from the prefix cache.
 	OutputTokens int
 	CachedTokens int
 }
 
-// Grant sends a request to an upstream.
+// Grant assigns a request to an upstream.
 type Grant struct {
 	ID          ID
 	Workspace   string
@@ -128,46 +138,49 @@
 	Why         Explanation
 }
 
-// Code says why a request is refused. Each means that it did not run.
+// Code classifies a refusal. A refused request was never run.
 type Code string
 
-// Codes.
+// Refusal codes.
 const (
-	// Overload says that lower tiers were shed before and capacity is short.
+	// Overload means that capacity is short and that no lower tier is left to
+	// shed.
 	Overload Code = "overloaded"
-	// Spill says that this region would shed the request: the entry is to ask
-	// the other regions before it is offered here again as final.
+	// Spill means that this region would shed the request: the entry asks the
+	// other regions before it offers the request here again as final.
 	Spill Code = "spill"
-	// TooLate says that the answer can no longer arrive before the deadline.
+	// TooLate means that the answer can no longer arrive before the deadline.
 	TooLate Code = "deadline_unreachable"
-	// NoUpstream says that no upstream serves the pool.
+	// NoUpstream means that no upstream serves the pool.
 	NoUpstream Code = "no_upstream"
-	// Limited says that the workspace used up a declared limit.
+	// Limited means that the workspace has used up a declared limit.
 	Limited Code = "limit_exceeded"
-	// Quarantined says that the request was present at upstreams' crashes.
+	// Quarantined means that the content was in flight at repeated crashes of
+	// upstreams.
 	Quarantined Code = "quarantined"
 )
 
-// Refusal is the final answer to a request that did not run.
+// Refusal is the final decision on a request that was not run.
 type Refusal struct {
 	ID        ID
 	Code      Code
 	Workspace string
 	Tier      int
-	// RetryAfter is when the caller may come back.
+	// RetryAfter is how long the caller should wait before it retries.
 	RetryAfter time.Duration
 	Why        string
 }
 
-// Decisions are what Decide settled, in order.
+// Decisions are the results of one call of Decide, each list in the order in
+// which it was decided.
 type Decisions struct {
 	Grants   []Grant
 	Refusals []Refusal
-	// Ended are all requests that left the queue or their slot since the round
-	// before, for whatever cause, this round's refusals included.
+	// Ended lists all requests that left the queue or their slot since the
+	// previous round for any reason, including this round's refusals.
 	Ended []Ended
 	// Suspects are crash counts to share with the other dispatchers.
 	Suspects []quarantine.Change
-	// Lost names the upstreams whose lease ended.
+	// Lost names the upstreams whose lease expired.
 	Lost []string
 }
--- a/core/sched/session_test.go
+++ b/core/sched/session_test.go
@@ -12,80 +12,81 @@
 	"github.com/stretchr/testify/require"
 )
 
-// script plays a whole session and writes down what was decided.
-type script struct {
-	t   *testing.T
-	d   *Dispatcher
-	out strings.Builder
-	now time.Duration
-	// running are the granted requests, the first one first.
+// sessionRecorder drives a dispatcher through a session and records its
+// decisions as text.
+type sessionRecorder struct {
+	t          *testing.T
+	d          *Dispatcher
+	transcript strings.Builder
+	now        time.Duration
+	// running lists the granted requests in the order of their grants.
 	running []uint64
 }
 
-func (s *script) say(format string, args ...any) {
-	fmt.Fprintf(&s.out, "%8s ", s.now)
-	fmt.Fprintf(&s.out, format+"\n", args...)
+func (s *sessionRecorder) logf(format string, args ...any) {
+	fmt.Fprintf(&s.transcript, "%8s ", s.now)
+	fmt.Fprintf(&s.transcript, format+"\n", args...)
 }
 
-func (s *script) offer(n int, tier int, change func(*Offer)) {
-	o := offerOf(n, fmt.Sprintf("w%d", n%2), tier)
+func (s *sessionRecorder) offer(n int, tier int, change func(*Offer)) {
+	o := testOffer(n, fmt.Sprintf("w%d", n%2), tier)
 	o.Deadline = s.now + 30*time.Second
 	if change != nil {
 		change(&o)
 	}
 	refusal, err := s.d.Offer(s.now, o)
 	require.NoError(s.t, err)
-	s.say("offer %d of %s in tier %d", n, o.Workspace, tier)
+	s.logf("offer %d of %s in tier %d", n, o.Workspace, tier)
 	if refusal != nil {
-		s.say("refused %d: %s, %s, come back after %s", n, refusal.Code, refusal.Why, refusal.RetryAfter)
+		s.logf("refused %d: %s, %s, come back after %s", n, refusal.Code, refusal.Why, refusal.RetryAfter)
 	}
 }
 
-func (s *script) decide(after time.Duration) {
+func (s *sessionRecorder) decide(after time.Duration) {
 	s.now += after
 	out := s.d.Decide(s.now)
 	for _, g := range out.Grants {
 		why, err := json.Marshal(g.Why)
 		require.NoError(s.t, err)
 		s.running = append(s.running, g.ID.Number)
-		s.say("granted %d to %s: %s", g.ID.Number, g.Upstream, why)
+		s.logf("granted %d to %s: %s", g.ID.Number, g.Upstream, why)
 	}
 	for _, r := range out.Refusals {
-		s.say("refused %d: %s, %s, come back after %s", r.ID.Number, r.Code, r.Why, r.RetryAfter)
+		s.logf("refused %d: %s, %s, come back after %s", r.ID.Number, r.Code, r.Why, r.RetryAfter)
 	}
 	for _, c := range out.Suspects {
-		s.say("suspect %d: %d crashes", c.Fingerprint, c.Crashes)
+		s.logf("suspect %d: %d crashes", c.Fingerprint, c.Crashes)
 	}
 	for _, name := range out.Lost {
-		s.say("lost %s", name)
+		s.logf("lost %s", name)
 	}
 	ended := []uint64{}
 	for _, e := range out.Ended {
 		ended = append(ended, e.ID.Number)
 	}
 	slices.Sort(ended)
-	s.say("ended %v", ended)
+	s.logf("ended %v", ended)
 }
 
-// release ends the request that was granted first.
-func (s *script) release(outcome Outcome) {
+// release releases the request that was granted first.
+func (s *sessionRecorder) release(outcome Outcome) {
 	n := s.running[0]
 	s.running = s.running[1:]
 	e, err := s.d.Release(s.now, Release{ID: ID{"e", n}, Outcome: outcome, Prefill: time.Second / 4, Decode: 2 * time.Second, OutputTokens: 101, CachedTokens: 64})
 	require.NoError(s.t, err)
-	s.say("released %d of %s: lost %d tokens, repeated %d", n, e.Upstream, e.Lost, e.Repeated)
+	s.logf("released %d of %s: lost %d tokens, repeated %d", n, e.Upstream, e.Lost, e.Repeated)
 }
 
-func (s *script) announce(name string, incarnation uint64) {
+func (s *sessionRecorder) announce(name string, incarnation uint64) {
 	require.NoError(s.t, s.d.Announce(s.now, Upstream{Name: name, Slots: 2, Lease: 8 * time.Second, Incarnation: incarnation}))
-	s.say("announced %s, start %d", name, incarnation)
+	s.logf("announced %s, start %d", name, incarnation)
 }
 
 func TestGoldenSession(t *testing.T) {
-	s := &script{t: t, d: New(Params{QueueLimit: 4, Spill: true})}
+	s := &sessionRecorder{t: t, d: New(Params{QueueLimit: 4, Spill: true})}
 	s.offer(1, 1, nil)
 	s.decide(0)
-	s.decide(announceGrace)
+	s.decide(noUpstreamTimeout)
 	s.announce("a", 1)
 	s.announce("b", 1)
 	prefix := func(o *Offer) { o.Blocks = []uint64{1, 2, 3, 4, 5, 6, 7, 8, 9, 10} }
@@ -103,5 +104,5 @@
 	s.d.LoseEntry(s.now, "e")
 	s.decide(10 * time.Second)
 	s.decide(30 * time.Second)
-	goldie.New(t).Assert(t, "session", []byte(s.out.String()))
+	goldie.New(t).Assert(t, "session", []byte(s.transcript.String()))
 }
--- a/core/sched/shed.go
+++ b/core/sched/shed.go
@@ -5,25 +5,29 @@
 const (
 	// patienceGain is the weight of a new request in a tier's patience.
 	patienceGain = 0.05
-	// drainGain is the weight of a new measurement of the pool's throughput.
-	drainGain = 0.2
-	// drainWindow is how long the pool must be busy for one measurement.
-	drainWindow = 2 * time.Second
-	// patiencePart is the part of a tier's patience that its queue may take.
-	patiencePart = 0.7
+	// throughputGain is the weight of a new measurement of the pool's
+	// throughput.
+	throughputGain = 0.2
+	// throughputWindow is how long requests must be queued without a break for
+	// one measurement.
+	throughputWindow = 2 * time.Second
+	// maxPatienceRatio is the maximum time to clear the queue as a fraction of
+	// the lowest queued tier's patience.
+	maxPatienceRatio = 0.7
 )
 
-// drain measures how much queued work the pool takes up a second while more
-// waits.
-type drain struct {
+// throughput measures the predicted work that the pool accepts per second while
+// requests are queued.
+type throughput struct {
 	busySince time.Duration
 	busy      bool
 	granted   float64
 	rate      float64
 }
 
-// measure is told after each round whether requests still wait.
-func (m *drain) measure(now time.Duration, waiting bool) {
+// measure updates the measurement after each round; waiting tells whether
+// requests are still queued.
+func (m *throughput) measure(now time.Duration, waiting bool) {
 	if !waiting {
 		m.busy = false
 		return
@@ -35,20 +39,20 @@
 		return
 	}
 	span := now - m.busySince
-	if span < drainWindow {
+	if span < throughputWindow {
 		return
 	}
 	seen := m.granted / span.Seconds()
 	if m.rate == 0 {
 		m.rate = seen
 	}
-	m.rate += drainGain * (seen - m.rate)
+	m.rate += throughputGain * (seen - m.rate)
 	m.busySince = now
 	m.granted = 0
 }
 
-// notePatience learns how long a tier's requests can wait.
-func (t *tier) notePatience(now time.Duration, o Offer) {
+// recordPatience updates the tier's patience with a new request.
+func (t *tier) recordPatience(now time.Duration, o Offer) {
 	left := o.Deadline - now
 	if t.patience == 0 {
 		t.patience = left
@@ -56,44 +60,45 @@
 	t.patience += time.Duration(patienceGain * float64(left-t.patience))
 }
 
-// shed refuses what the pool can't serve in time, the lowest tier first, the
-// workspace with the most work queued for its weight first within it. A tier
-// of which a lower one is still in service is never shed.
+// shed refuses queued requests that the pool can't serve in time: those of the
+// lowest tier first and, within it, those of the workspace with the most queued
+// work relative to its weight. A tier is never shed while a lower one is in
+// service.
 func (d *Dispatcher) shed(now time.Duration, out *Decisions) {
-	d.drain.measure(now, d.queued > 0)
-	for d.overfull() {
+	d.throughput.measure(now, d.queued > 0)
+	for d.overloaded() {
 		t := d.lowestQueued()
-		if t == nil || d.runsBelow(t.rank) {
+		if t == nil || d.lowerTierRunning(t.rank) {
 			return
 		}
-		r := t.victim()
-		code, why := Overload, "capacity is short and no lower tier is queued or in service"
+		r := t.selectVictim()
+		code, reason := Overload, "capacity is short and no lower tier is queued or in service"
 		if d.params.Spill && !r.offer.Final && r.offer.Spilled == "" {
-			code, why = Spill, "capacity is short in this region"
+			code, reason = Spill, "capacity is short in this region"
 		}
-		d.drop(now, r, code, why, out)
+		d.refuseQueued(now, r, code, reason, out)
 	}
 }
 
-// overfull says whether the queue is longer than its limit, or would take
-// longer than its lowest tier can wait.
-func (d *Dispatcher) overfull() bool {
+// overloaded reports whether the queue exceeds its limit, or would take longer
+// to clear than its lowest tier can wait.
+func (d *Dispatcher) overloaded() bool {
 	if d.params.QueueLimit > 0 && d.queued > d.params.QueueLimit {
 		return true
 	}
 	t := d.lowestQueued()
-	if t == nil || d.drain.rate <= 0 {
+	if t == nil || d.throughput.rate <= 0 {
 		return false
 	}
-	wait := seconds(d.queuedCost() / d.drain.rate)
-	return float64(wait) > patiencePart*float64(t.patience)
+	wait := seconds(d.queuedCost() / d.throughput.rate)
+	return float64(wait) > maxPatienceRatio*float64(t.patience)
 }
 
 func (d *Dispatcher) queuedCost() float64 {
 	sum := 0.0
 	for _, t := range d.tiers {
 		if t != nil {
-			sum += t.cost
+			sum += t.queuedCost
 		}
 	}
 	return sum
@@ -108,8 +113,8 @@
 	return nil
 }
 
-// runsBelow says whether a tier below a rank is in service.
-func (d *Dispatcher) runsBelow(rank int) bool {
+// lowerTierRunning reports whether a tier below a rank is in service.
+func (d *Dispatcher) lowerTierRunning(rank int) bool {
 	for _, t := range d.tiers[rank+1:] {
 		if t != nil && t.running > 0 {
 			return true
@@ -118,15 +123,16 @@
 	return false
 }
 
-// victim returns a late request of the workspace with the most work queued for
-// its weight.
-func (t *tier) victim() *request {
+// selectVictim returns the request to shed: a late position in the queue of the
+// workspace with the most queued work relative to its weight, preferring long
+// requests.
+func (t *tier) selectVictim() *request {
 	heaviest := (*workspace)(nil)
 	for _, w := range t.workspaces {
 		if w.queued == 0 {
 			continue
 		}
-		if heaviest == nil || heavier(w, heaviest) {
+		if heaviest == nil || moreQueuedWork(w, heaviest) {
 			heaviest = w
 		}
 	}
@@ -137,18 +143,19 @@
 	return l.requests[len(l.requests)-1]
 }
 
-func heavier(a, b *workspace) bool {
-	left, right := a.cost/a.weight, b.cost/b.weight
-	if left != right {
-		return left > right
+func moreQueuedWork(a, b *workspace) bool {
+	loadA, loadB := a.queuedCost/a.weight, b.queuedCost/b.weight
+	if loadA != loadB {
+		return loadA > loadB
 	}
 	return a.name > b.name
 }
 
-// comeBack returns when a refused caller may come back.
-func (d *Dispatcher) comeBack(code Code) time.Duration {
-	if code != Overload || d.drain.rate <= 0 {
-		return retryAfter
+// retryDelay returns how long the caller of a refused request should wait
+// before a retry.
+func (d *Dispatcher) retryDelay(code Code) time.Duration {
+	if code != Overload || d.throughput.rate <= 0 {
+		return defaultRetryDelay
 	}
-	return max(retryAfter, seconds(d.queuedCost()/d.drain.rate))
+	return max(defaultRetryDelay, seconds(d.queuedCost()/d.throughput.rate))
 }
--- a/core/sched/slots.go
+++ b/core/sched/slots.go
@@ -1,44 +1,46 @@
 package sched
 
 const (
-	// slotTolerance is how much slower than learned a token may come before
-	// the slots are cut.
-	slotTolerance = 2.0
-	// slotCut is what remains of the slots then.
-	slotCut = 0.9
-	// slotFloor is the smallest part of the announced slots.
-	slotFloor = 0.25
+	// maxTokenSlowdown is the time per token, relative to the learned one,
+	// above which the slots are reduced.
+	maxTokenSlowdown = 2.0
+	// slotReductionFactor multiplies the slots in use at each reduction.
+	slotReductionFactor = 0.9
+	// minSlotRatio is the lower bound of the slots in use, as a fraction of the
+	// announced slots.
+	minSlotRatio = 0.25
 )
 
-// slots adapts how many requests an upstream runs at once: it falls where
-// tokens come much slower than the batch explains, as when an engine's memory
-// is short, and rises by one for each batch that runs as learned. The announced
-// number is never exceeded.
-type slots struct {
-	// part is the share of the announced slots in use; zero means all.
-	part float64
+// slotLimit adapts the number of concurrent requests of an upstream by additive
+// increase and multiplicative decrease. It decreases where tokens take much
+// longer than the batch size explains, as when an engine is short of memory,
+// and increases by about one slot per full batch of requests that run as
+// learned. The announced number is never exceeded.
+type slotLimit struct {
+	// ratio is the fraction of the announced slots in use; zero means all.
+	ratio float64
 }
 
-// now returns the slots in use, at least one.
-func (s *slots) now(announced int) int {
-	if s.part == 0 {
+// current returns the slots in use, at least one.
+func (s *slotLimit) current(announced int) int {
+	if s.ratio == 0 {
 		return announced
 	}
-	return max(1, int(s.part*float64(announced)))
+	return max(1, int(s.ratio*float64(announced)))
 }
 
-// adapt takes in the time per token of one request against the learned one.
-// It returns whether the slots may have changed.
-func (s *slots) adapt(ratio float64, announced int) bool {
-	before := s.now(announced)
-	if s.part == 0 {
-		s.part = 1
+// adapt updates the limit with the ratio of a request's time per token to the
+// learned one. It reports whether the slots in use changed.
+func (s *slotLimit) adapt(ratio float64, announced int) bool {
+	before := s.current(announced)
+	if s.ratio == 0 {
+		s.ratio = 1
 	}
-	if ratio > slotTolerance {
-		s.part = max(slotFloor, s.part*slotCut)
+	if ratio > maxTokenSlowdown {
+		s.ratio = max(minSlotRatio, s.ratio*slotReductionFactor)
 	} else {
 		n := float64(announced)
-		s.part = min(1, s.part+1/(n*n))
+		s.ratio = min(1, s.ratio+1/(n*n))
 	}
-	return s.now(announced) != before
+	return s.current(announced) != before
 }
--- a/core/sched/speed.go
+++ b/core/sched/speed.go
@@ -3,41 +3,45 @@
 import "time"
 
 const (
-	// speedGain is the weight of a new observation of an upstream's speed.
+	// speedGain is the weight of a new observation in an upstream's speed.
 	speedGain = 0.2
-	// poolGain is the same for the pool's average.
+	// poolGain is the weight of a new observation in the pool's average speed.
 	poolGain = 0.05
-	// batchKnee is the batch at which an engine's time per token has doubled
-	// against a single stream's.
+	// batchKnee sets how the time per token grows with the batch size: it about
+	// doubles from a single stream to a batch of batchKnee.
 	batchKnee = 16
-	// firstPrefill is the assumed speed before any was seen, in tokens a second.
-	firstPrefill = 4000
-	// firstToken is the assumed time per output token of a single stream.
-	firstToken = 0.02
-	// minTokens is the shortest answer whose time per token is learned from.
-	minTokens = 4
-	// minUncached is the smallest prefill that is learned from, in tokens.
-	minUncached = 32
-	// priorSamples is how many observations the pool's average counts for in
-	// the speed of an upstream that has shown little.
+	// initialPrefillRate is the prefill speed assumed before any observation,
+	// in tokens per second.
+	initialPrefillRate = 4000
+	// initialTokenSeconds is the time per output token of a single stream
+	// assumed before any observation.
+	initialTokenSeconds = 0.02
+	// minOutputTokens is the minimum answer length from which the time per
+	// token is learned.
+	minOutputTokens = 4
+	// minUncachedTokens is the minimum prefill, in tokens, from which the
+	// prefill speed is learned.
+	minUncachedTokens = 32
+	// priorSamples is the number of observations that the pool's average counts
+	// as in the speed of an upstream with few observations.
 	priorSamples = 2
 )
 
-// speed is a learned speed, of one upstream or of the pool.
+// speed holds the learned speed of an upstream or of the pool.
 type speed struct {
 	// prefill is in seconds per uncached prompt token.
-	prefill     float64
-	prefillSeen float64
+	prefill        float64
+	prefillSamples float64
 	// token is in seconds per output token of a single stream.
-	token     float64
-	tokenSeen float64
-	// call is a plain service's time in seconds.
-	call     float64
-	callSeen float64
+	token        float64
+	tokenSamples float64
+	// call is the time of a plain service's request in seconds.
+	call        float64
+	callSamples float64
 }
 
 func newSpeed() speed {
-	return speed{prefill: 1.0 / firstPrefill, token: firstToken}
+	return speed{prefill: 1.0 / initialPrefillRate, token: initialTokenSeconds}
 }
 
 // perToken returns the seconds per output token in a batch of n streams.
@@ -49,61 +53,64 @@
 	return (batchKnee + float64(n)) / (batchKnee + 1)
 }
 
-// service returns the time of a request that runs alone.
-func (s *speed) service(uncached, output float64) time.Duration {
+// serviceTime returns the time of a request that runs alone.
+func (s *speed) serviceTime(uncached, output float64) time.Duration {
 	return seconds(s.prefill*uncached + s.token*output + s.call)
 }
 
-// maxSlowdown bounds how far one observation may raise a time.
+// maxSlowdown bounds the factor by which one observation may exceed the current
+// average.
 const maxSlowdown = 2
 
-// learnBounded learns a time that waiting may have lengthened.
-func learnBounded(value, seen *float64, x, gain float64) {
-	learn(value, seen, min(x, maxSlowdown**value), gain)
+// updateBoundedAverage updates an average from an observation that may include
+// waiting time.
+func updateBoundedAverage(value, seen *float64, x, gain float64) {
+	updateAverage(value, seen, min(x, maxSlowdown**value), gain)
 }
 
-func learn(value, seen *float64, x, gain float64) {
+func updateAverage(value, seen *float64, x, gain float64) {
 	*seen++
 	g := max(gain, 1 / *seen)
 	*value += g * (x - *value)
 }
 
-// observation is what a finished request tells of its upstream.
+// observation holds the measurements of a completed request.
 type observation struct {
 	uncached float64
 	prefill  time.Duration
-	// clean says that no other prefill ran before this one.
-	clean  bool
-	tokens int
-	decode time.Duration
-	// beside is the average number of streams in the batch.
-	beside int
+	// prefillAlone reports whether no other prefill was pending when this one
+	// began.
+	prefillAlone bool
+	tokens       int
+	decode       time.Duration
+	// batchSize is the average number of streams in the batch.
+	batchSize int
 }
 
-// observe learns from one request and returns the time per token of a single
-// stream, or zero where it showed none.
+// observe learns from one request and returns the time per token that a single
+// stream would have had, in seconds, or zero where the request shows none.
 func (s *speed) observe(o observation, gain float64) float64 {
-	if o.clean && o.uncached >= minUncached && o.prefill > 0 {
-		learnBounded(&s.prefill, &s.prefillSeen, o.prefill.Seconds()/o.uncached, gain)
+	if o.prefillAlone && o.uncached >= minUncachedTokens && o.prefill > 0 {
+		updateBoundedAverage(&s.prefill, &s.prefillSamples, o.prefill.Seconds()/o.uncached, gain)
 	}
-	if o.tokens < minTokens || o.decode <= 0 {
+	if o.tokens < minOutputTokens || o.decode <= 0 {
 		return 0
 	}
-	single := o.decode.Seconds() / float64(o.tokens-1) / batchFactor(o.beside)
-	learn(&s.token, &s.tokenSeen, single, gain)
+	single := o.decode.Seconds() / float64(o.tokens-1) / batchFactor(o.batchSize)
+	updateAverage(&s.token, &s.tokenSamples, single, gain)
 	return single
 }
 
-// blend returns an upstream's speed, the pool's counting for what the upstream
-// has not shown yet.
+// blend returns an upstream's speed averaged with the pool's, which counts as
+// priorSamples observations.
 func blend(own, pool *speed) speed {
 	return speed{
-		prefill: mix(own.prefill, own.prefillSeen, pool.prefill),
-		token:   mix(own.token, own.tokenSeen, pool.token),
-		call:    mix(own.call, own.callSeen, pool.call),
+		prefill: weightedAverage(own.prefill, own.prefillSamples, pool.prefill),
+		token:   weightedAverage(own.token, own.tokenSamples, pool.token),
+		call:    weightedAverage(own.call, own.callSamples, pool.call),
 	}
 }
 
-func mix(own, seen, pool float64) float64 {
+func weightedAverage(own, seen, pool float64) float64 {
 	return (own*seen + pool*priorSamples) / (seen + priorSamples)
 }
--- a/core/sched/straggler.go
+++ b/core/sched/straggler.go
@@ -6,66 +6,73 @@
 )
 
 const (
-	// demoteAt is how many times slower than its peers an upstream is demoted.
-	demoteAt = 2.5
-	// restoreAt is below how many times it is restored.
-	restoreAt = 1.6
-	// minSamples is how many answers must show its speed.
-	minSamples = 3
-	// minPeers is how many upstreams a comparison needs.
+	// demoteSlowness is the slowness relative to the pool's median at which an
+	// upstream is demoted.
+	demoteSlowness = 2.5
+	// restoreSlowness is the slowness below which a demoted upstream is
+	// restored.
+	restoreSlowness = 1.6
+	// minSpeedSamples is the minimum number of answers needed to judge an
+	// upstream's speed.
+	minSpeedSamples = 3
+	// minPeers is the minimum number of upstreams needed for a comparison.
 	minPeers = 3
-	// trickleDivisor divides the slots of a demoted upstream.
-	trickleDivisor = 8
-	// overdueAt is how many times its expected time a request must have run to
-	// count as overdue.
-	overdueAt = 2.5
-	// overdueLeast is the fewest overdue requests that demote, and overduePart
-	// their part of all in flight.
-	overdueLeast = 3
-	overduePart  = 0.6
-	// sweepEvery is how often peers are compared.
-	sweepEvery = time.Second
-	// trialPause is how often a slow upstream is given a short request that
-	// another could finish sooner, so that its recovery shows.
-	trialPause = 10 * time.Second
+	// demotedSlotDivisor divides the slots of a demoted upstream.
+	demotedSlotDivisor = 8
+	// overdueFactor is the multiple of its expected time after which a running
+	// request is overdue.
+	overdueFactor = 2.5
+	// minOverdue is the minimum number of overdue requests that demotes an
+	// upstream, minOverdueRatio their minimum fraction of the requests in
+	// flight.
+	minOverdue      = 3
+	minOverdueRatio = 0.6
+	// stragglerCheckInterval is how often upstreams are compared.
+	stragglerCheckInterval = time.Second
+	// trialInterval is the minimum time between the trial requests of a slow
+	// upstream. A trial is a short request that another upstream could finish
+	// sooner, sent so that a recovery is noticed.
+	trialInterval = 10 * time.Second
 )
 
-// straggler is an upstream's standing against its peers.
+// straggler holds how an upstream's speed compares to the pool.
 type straggler struct {
 	demoted bool
-	// slowness is its time per token over the median of the pool.
+	// slowness is the time per token divided by the pool's median.
 	slowness float64
-	// lastTrial is when it last was given a trial request.
+	// lastTrial is when the upstream last got a trial request.
 	lastTrial time.Duration
-	// answers counts those since it was demoted.
+	// answers is the number of complete answers since the demotion.
 	answers int
 }
 
-// sweep compares all upstreams with the median of the pool.
-func (d *Dispatcher) sweep(now time.Duration) {
-	if now < d.nextSweep || d.params.Plain {
+// findStragglers compares all upstreams with the pool's median, at most once
+// per stragglerCheckInterval.
+func (d *Dispatcher) findStragglers(now time.Duration) {
+	if now < d.nextStragglerCheck || d.params.Plain {
 		return
 	}
-	d.nextSweep = now + sweepEvery
-	d.findFastest(now)
+	d.nextStragglerCheck = now + stragglerCheckInterval
+	d.updateFastest(now)
 	median, ok := d.medianToken(now)
 	if !ok {
 		return
 	}
-	d.probation = d.probation[:0]
+	d.slowUpstreams = d.slowUpstreams[:0]
 	for _, u := range d.byID {
-		d.judge(now, u, median)
-		if u.straggler.demoted || u.straggler.slowness >= restoreAt {
-			d.probation = append(d.probation, u)
+		d.updateStraggler(now, u, median)
+		if u.straggler.demoted || u.straggler.slowness >= restoreSlowness {
+			d.slowUpstreams = append(d.slowUpstreams, u)
 		}
 	}
 }
 
-// medianToken returns the median time per token of live upstreams.
+// medianToken returns the median time per token of the live upstreams. It
+// returns false where fewer than minPeers have enough samples.
 func (d *Dispatcher) medianToken(now time.Duration) (float64, bool) {
 	d.scratch = d.scratch[:0]
 	for _, u := range d.byID {
-		if u.expires > now && u.speed.tokenSeen >= minSamples {
+		if u.expires > now && u.speed.tokenSamples >= minSpeedSamples {
 			d.scratch = append(d.scratch, u.speed.token)
 		}
 	}
@@ -76,16 +83,16 @@
 	return d.scratch[len(d.scratch)/2], true
 }
 
-func (d *Dispatcher) judge(now time.Duration, u *upstream, median float64) {
+func (d *Dispatcher) updateStraggler(now time.Duration, u *upstream, median float64) {
 	s := &u.straggler
 	s.slowness = u.speed.token / median
 	was := s.demoted
-	slow := u.speed.tokenSeen >= minSamples && s.slowness >= demoteAt
+	slow := u.speed.tokenSamples >= minSpeedSamples && s.slowness >= demoteSlowness
 	switch {
 	case !s.demoted && (slow || overdue(now, u)):
 		s.demoted = true
 		s.answers = 0
-	case s.demoted && s.answers >= minSamples && s.slowness < restoreAt:
+	case s.demoted && s.answers >= minSpeedSamples && s.slowness < restoreSlowness:
 		s.demoted = false
 	}
 	if s.demoted != was {
@@ -93,26 +100,27 @@
 	}
 }
 
-// overdue says whether most of what runs on an upstream takes far longer than
-// it should have: a straggler shows so before it finishes anything.
+// overdue reports whether most requests in flight on an upstream have run far
+// longer than expected. This detects a straggler before it completes any
+// request.
 func overdue(now time.Duration, u *upstream) bool {
 	late := 0
 	for _, r := range u.inFlight {
-		if float64(now-r.granted) > overdueAt*float64(r.expected) {
+		if float64(now-r.grantedAt) > overdueFactor*float64(r.expectedTime) {
 			late++
 		}
 	}
-	return late >= overdueLeast && float64(late) >= overduePart*float64(len(u.inFlight))
+	return late >= minOverdue && float64(late) >= minOverdueRatio*float64(len(u.inFlight))
 }
 
-// trial returns a slow upstream that is due a short request, or nil.
-func (d *Dispatcher) trial(now time.Duration, r *request) *upstream {
-	if r.class != short || len(d.probation) == 0 {
+// pickTrial returns a slow upstream that is due for a trial request, or nil.
+func (d *Dispatcher) pickTrial(now time.Duration, r *request) *upstream {
+	if r.class != short || len(d.slowUpstreams) == 0 {
 		return nil
 	}
 	d.nextTrial++
-	u := d.probation[d.nextTrial%len(d.probation)]
-	if now-u.straggler.lastTrial < trialPause || !d.room(now, u, short) {
+	u := d.slowUpstreams[d.nextTrial%len(d.slowUpstreams)]
+	if now-u.straggler.lastTrial < trialInterval || !d.hasRoom(now, u, short) {
 		return nil
 	}
 	if now+d.score(now, u, r).total > r.offer.Deadline {
@@ -122,15 +130,15 @@
 	return u
 }
 
-// findFastest notes the best speeds that live upstreams have shown, or the
-// pool's average.
-func (d *Dispatcher) findFastest(now time.Duration) {
-	best := d.pool
+// updateFastest recomputes the best speeds of the live upstreams and the pool's
+// average.
+func (d *Dispatcher) updateFastest(now time.Duration) {
+	best := d.poolSpeed
 	for _, u := range d.byID {
-		if u.expires <= now || u.leaving || u.straggler.demoted {
+		if u.expires <= now || u.draining || u.straggler.demoted {
 			continue
 		}
-		s := &u.known
+		s := &u.blendedSpeed
 		best.prefill = min(best.prefill, s.prefill)
 		best.token = min(best.token, s.token)
 	}
--- a/core/sched/tight.go
+++ b/core/sched/tight.go
@@ -5,53 +5,55 @@
 	"time"
 )
 
-// need returns the time per output token, in seconds, that a request must have
-// to end in time; at least the time that it gets now, so that it never forbids
-// what runs already.
-func (d *Dispatcher) need(now time.Duration, r *request, u *upstream, p parts) float64 {
+// tokenBudget returns the maximum time per output token, in seconds, with which
+// a request meets its deadline. It is at least the current time per token, so
+// that the budget never rules out the streams already running.
+func (d *Dispatcher) tokenBudget(now time.Duration, r *request, u *upstream, estimate completionEstimate) float64 {
 	if r.output <= 0 {
 		return math.Inf(1)
 	}
-	deviation := (r.output - r.least) / cautiousDeviations
-	left := r.offer.Deadline - now - p.queue - p.prefill - p.link
-	s := &u.known
+	deviation := (r.output - r.cautiousOutput) / cautiousDeviations
+	left := r.offer.Deadline - now - estimate.queue - estimate.prefill - estimate.link
+	s := &u.blendedSpeed
 	return max(left.Seconds()/(r.output+deviation), s.perToken(len(u.inFlight)))
 }
 
-// breaks says whether one more stream would slow a request of the same or a
-// higher tier on the upstream so much that it misses its deadline.
-func (d *Dispatcher) breaks(u *upstream, r *request) bool {
-	s := &u.known
+// wouldMissDeadlines reports whether one more stream on the upstream would slow
+// a request of the same or a higher tier so much that it misses its deadline.
+func (d *Dispatcher) wouldMissDeadlines(u *upstream, r *request) bool {
+	s := &u.blendedSpeed
 	after := s.perToken(len(u.inFlight) + 1)
-	for t := range min(len(u.tight), r.offer.Tier+1) {
-		if u.tight[t] > 0 && after > u.tight[t] {
+	for t := range min(len(u.tokenBudgets), r.offer.Tier+1) {
+		if u.tokenBudgets[t] > 0 && after > u.tokenBudgets[t] {
 			return true
 		}
 	}
 	return false
 }
 
-// tighten takes in a granted request's need; zero stands for none.
-func (u *upstream) tighten(r *request) {
-	for len(u.tight) <= r.offer.Tier {
-		u.tight = append(u.tight, 0)
+// addTokenBudget lowers the tier's budget to that of a granted request; zero is
+// ignored.
+func (u *upstream) addTokenBudget(r *request) {
+	for len(u.tokenBudgets) <= r.offer.Tier {
+		u.tokenBudgets = append(u.tokenBudgets, 0)
 	}
-	t := &u.tight[r.offer.Tier]
-	if r.need > 0 && (*t == 0 || r.need < *t) {
-		*t = r.need
+	t := &u.tokenBudgets[r.offer.Tier]
+	if r.tokenBudget > 0 && (*t == 0 || r.tokenBudget < *t) {
+		*t = r.tokenBudget
 	}
 }
 
-// loosen recomputes a tier's need once its tightest request has left.
-func (u *upstream) loosen(r *request) {
+// removeTokenBudget recomputes the tier's budget after its tightest request has
+// left.
+func (u *upstream) removeTokenBudget(r *request) {
 	tier := r.offer.Tier
-	if tier >= len(u.tight) || r.need == 0 || r.need > u.tight[tier] {
+	if tier >= len(u.tokenBudgets) || r.tokenBudget == 0 || r.tokenBudget > u.tokenBudgets[tier] {
 		return
 	}
-	u.tight[tier] = 0
+	u.tokenBudgets[tier] = 0
 	for _, other := range u.inFlight {
 		if other.offer.Tier == tier {
-			u.tighten(other)
+			u.addTokenBudget(other)
 		}
 	}
 }
--- a/core/sched/upstream.go
+++ b/core/sched/upstream.go
@@ -6,53 +6,62 @@
 )
 
 const (
-	// reservePart is the part of an upstream's slots that long requests leave
-	// free while short ones are about.
-	reservePart = 8
-	// reserveFrom is the fewest slots of which any is reserved.
-	reserveFrom = 4
-	// shortMemory is how long after the last short request slots are reserved.
-	shortMemory = 60 * time.Second
+	// reserveDivisor sets the fraction of an upstream's slots, one in
+	// reserveDivisor, that long requests leave free while short ones are
+	// arriving.
+	reserveDivisor = 8
+	// minSlotsForReserve is the minimum number of slots of which any is
+	// reserved.
+	minSlotsForReserve = 4
+	// reserveWindow is how long slots stay reserved after the last short
+	// request.
+	reserveWindow = 60 * time.Second
 )
 
-// upstream is an announced upstream and what runs on it.
+// upstream is an announced upstream and the requests in flight on it.
 type upstream struct {
 	Upstream
 	id       int32
 	expires  time.Duration
-	leaving  bool
+	draining bool
 	inFlight map[ID]*request
-	// longs counts the long requests in flight, suspects the suspect ones.
-	longs    int
-	suspects int
-	// uncached and output sum what the requests in flight were granted with.
-	uncached float64
-	// prefillUntil is when the prefill of all granted requests should be over.
+	// longCount and suspectCount count the long and the suspect requests in
+	// flight.
+	longCount    int
+	suspectCount int
+	// uncachedTokens is the sum of the expected uncached prompt tokens of the
+	// requests in flight.
+	uncachedTokens float64
+	// prefillUntil is when the prefill of all granted requests is expected to
+	// end.
 	prefillUntil time.Duration
-	// tight is the least need of the requests in flight by tier.
-	tight []float64
-	speed speed
-	// known is the speed with the pool's average counted in.
-	known     speed
-	slots     slots
-	straggler straggler
-	cache     *residency
-	load      loadReport
-	// broken are the requests that failed here lately, oldest first.
-	broken []failure
-	// base orders upstreams for a request that nothing is known of, in seconds.
-	base  float64
-	index [classes]int
-	lease int
+	// tokenBudgets holds, by tier, the smallest token budget of the requests in
+	// flight; zero where there is none.
+	tokenBudgets []float64
+	speed        speed
+	// blendedSpeed is the speed averaged with the pool's.
+	blendedSpeed speed
+	slotLimit    slotLimit
+	straggler    straggler
+	cache        *cacheModel
+	foreignLoad  foreignLoad
+	// recentFailures are failed requests of which it is not known whether the
+	// upstream crashed, oldest first.
+	recentFailures []failure
+	// baseCost orders upstreams by load alone, in seconds of expected
+	// completion of a typical request.
+	baseCost   float64
+	roomIndex  [classes]int
+	leaseIndex int
 }
 
-// room says whether the upstream has a slot for a class of request.
-func (d *Dispatcher) room(now time.Duration, u *upstream, c class) bool {
-	if u.leaving || u.expires <= now {
+// hasRoom reports whether the upstream has a free slot for a class of request.
+func (d *Dispatcher) hasRoom(now time.Duration, u *upstream, c class) bool {
+	if u.draining || u.expires <= now {
 		return false
 	}
-	most := u.capacity()
-	if len(u.inFlight) >= most {
+	capacity := u.capacity()
+	if len(u.inFlight) >= capacity {
 		return false
 	}
 	if c == short {
@@ -61,103 +70,105 @@
 	if u.straggler.demoted {
 		return false
 	}
-	return u.longs < most-d.reserve(now, most)
+	return u.longCount < capacity-d.reservedSlots(now, capacity)
 }
 
-// capacity returns how many requests the upstream may run at once.
+// capacity returns the maximum number of concurrent requests.
 func (u *upstream) capacity() int {
 	if u.straggler.demoted {
-		return max(1, u.slots.now(u.Slots)/trickleDivisor)
+		return max(1, u.slotLimit.current(u.Slots)/demotedSlotDivisor)
 	}
-	return u.slots.now(u.Slots)
+	return u.slotLimit.current(u.Slots)
 }
 
-// reserve returns how many slots long requests leave free.
-func (d *Dispatcher) reserve(now time.Duration, slots int) int {
-	if d.params.Plain || !d.seenShort || now-d.lastShort > shortMemory || slots < reserveFrom {
+// reservedSlots returns the number of slots that long requests leave free.
+func (d *Dispatcher) reservedSlots(now time.Duration, slots int) int {
+	if d.params.Plain || !d.seenShort || now-d.lastShort > reserveWindow || slots < minSlotsForReserve {
 		return 0
 	}
-	return max(1, slots/reservePart)
+	return max(1, slots/reserveDivisor)
 }
 
-// refresh recomputes an upstream's place among those with room.
+// refresh recomputes an upstream's blended speed and its position in the heaps
+// of upstreams with room.
 func (d *Dispatcher) refresh(now time.Duration, u *upstream) {
-	u.known = blend(&u.speed, &d.pool)
-	s := &u.known
-	n := len(u.inFlight) + u.load.foreign()
-	u.base = s.prefill*u.uncached*prefillPart + s.perToken(n+1)*d.typicalOutput() + s.call*float64(n+1)/float64(max(1, u.Slots))
-	for c := range d.open {
-		h := &d.open[c]
-		has := d.room(now, u, class(c))
+	u.blendedSpeed = blend(&u.speed, &d.poolSpeed)
+	s := &u.blendedSpeed
+	n := len(u.inFlight) + u.foreignLoad.requests()
+	u.baseCost = s.prefill*u.uncachedTokens*remainingPrefillRatio + s.perToken(n+1)*d.typicalOutput() + s.call*float64(n+1)/float64(max(1, u.Slots))
+	for c := range d.withRoom {
+		h := &d.withRoom[c]
+		fits := d.hasRoom(now, u, class(c))
 		switch {
-		case has && u.index[c] == notQueued:
+		case fits && u.roomIndex[c] == notInHeap:
 			heap.Push(h, u)
-		case has:
-			heap.Fix(h, u.index[c])
-		case u.index[c] != notQueued:
-			heap.Remove(h, u.index[c])
+		case fits:
+			heap.Fix(h, u.roomIndex[c])
+		case u.roomIndex[c] != notInHeap:
+			heap.Remove(h, u.roomIndex[c])
 		}
 	}
 }
 
-// prefillPart is the part of the granted prefill that is still to be done on
-// average.
-const prefillPart = 0.5
+// remainingPrefillRatio is the average fraction of the granted prefill that
+// remains to be computed.
+const remainingPrefillRatio = 0.5
 
-// typicalOutput is the answer assumed where no request is at hand, in tokens.
+// typicalOutput is the answer length assumed where no particular request is
+// considered, in tokens.
 func (d *Dispatcher) typicalOutput() float64 {
 	return d.meanCost / (2 * outputCost)
 }
 
-// openHeap orders upstreams with room for a class by their base.
-type openHeap struct {
+// roomHeap is a heap of upstreams with room for a class, ordered by baseCost.
+type roomHeap struct {
 	class class
 	items []*upstream
 }
 
-func (h *openHeap) Len() int { return len(h.items) }
-func (h *openHeap) Less(i, j int) bool {
+func (h *roomHeap) Len() int { return len(h.items) }
+func (h *roomHeap) Less(i, j int) bool {
 	a, b := h.items[i], h.items[j]
-	if a.base != b.base {
-		return a.base < b.base
+	if a.baseCost != b.baseCost {
+		return a.baseCost < b.baseCost
 	}
 	return a.Name < b.Name
 }
 
-func (h *openHeap) Swap(i, j int) {
+func (h *roomHeap) Swap(i, j int) {
 	h.items[i], h.items[j] = h.items[j], h.items[i]
-	h.items[i].index[h.class] = i
-	h.items[j].index[h.class] = j
+	h.items[i].roomIndex[h.class] = i
+	h.items[j].roomIndex[h.class] = j
 }
 
-func (h *openHeap) Push(x any) {
+func (h *roomHeap) Push(x any) {
 	u := x.(*upstream)
-	u.index[h.class] = len(h.items)
+	u.roomIndex[h.class] = len(h.items)
 	h.items = append(h.items, u)
 }
 
-func (h *openHeap) Pop() any {
+func (h *roomHeap) Pop() any {
 	last := h.items[len(h.items)-1]
 	h.items[len(h.items)-1] = nil
 	h.items = h.items[:len(h.items)-1]
-	last.index[h.class] = notQueued
+	last.roomIndex[h.class] = notInHeap
 	return last
 }
 
-// leaseHeap orders upstreams by the end of their leases.
+// leaseHeap is a heap of upstreams ordered by the end of their leases.
 type leaseHeap []*upstream
 
 func (h leaseHeap) Len() int           { return len(h) }
 func (h leaseHeap) Less(i, j int) bool { return h[i].expires < h[j].expires }
 func (h leaseHeap) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
-	h[i].lease = i
-	h[j].lease = j
+	h[i].leaseIndex = i
+	h[j].leaseIndex = j
 }
 
 func (h *leaseHeap) Push(x any) {
 	u := x.(*upstream)
-	u.lease = len(*h)
+	u.leaseIndex = len(*h)
 	*h = append(*h, u)
 }
 
@@ -166,11 +177,11 @@
 	last := old[len(old)-1]
 	old[len(old)-1] = nil
 	*h = old[:len(old)-1]
-	last.lease = notQueued
+	last.leaseIndex = notInHeap
 	return last
 }
 
-// failure is a request that broke on an upstream.
+// failure is a request that failed on an upstream.
 type failure struct {
 	fingerprint uint64
 	at          time.Duration
