--- a/core/quarantine/quarantine.go
+++ b/core/quarantine/quarantine.go
@@ -3,7 +3,7 @@
 //
 // When an upstream crashes, every request in flight on it becomes suspect,
 // identified by the fingerprint of its content. A suspect that completes is
-// cleared; one that is in flight at a second crash is quarantined for Hold.
+// cleared; one that is in flight at a second crash is quarantined for Duration.
 //
 // The package does no I/O: times are durations on the caller's monotonic clock,
 // and each Change is returned for the caller to share with the other
@@ -16,9 +16,9 @@
 	// quarantineThreshold is the number of crashes after which a content is
 	// quarantined.
 	quarantineThreshold = 2
-	// Hold is how long a quarantined content is refused, counted from its last
+	// Duration is how long a quarantined content is refused, counted from its last
 	// crash.
-	Hold = 10 * time.Minute
+	Duration = 10 * time.Minute
 	// suspicionTTL is how long a suspect that is not offered again is
 	// remembered, counted from its last crash.
 	suspicionTTL = time.Hour
@@ -33,10 +33,10 @@
 	Clear Verdict = iota
 	// Suspect requests may run only on upstreams that run no other suspect.
 	Suspect
-	// Unsettled requests stay queued: the content failed on an upstream that
+	// Undetermined requests stay queued: the content failed on an upstream that
 	// may or may not have crashed, and if it did, the content reaches
 	// quarantineThreshold.
-	Unsettled
+	Undetermined
 	// Quarantined requests are refused without being run.
 	Quarantined
 )
@@ -98,33 +98,33 @@
 	case fingerprint == 0:
 		return Clear, 0
 	case m.crashes >= quarantineThreshold:
-		return Quarantined, max(0, m.since+Hold-now)
+		return Quarantined, max(0, m.since+Duration-now)
 	case m.crashes+t.pendingFailures[fingerprint] >= quarantineThreshold:
-		return Unsettled, 0
+		return Undetermined, 0
 	case ok:
 		return Suspect, 0
 	}
 	return Clear, 0
 }
 
-// Broke records that a content failed on an upstream that may have crashed.
-// Settled resolves it.
-func (t *Tracker) Broke(fingerprint uint64) {
+// RecordFailure records that a content failed on an upstream that may have
+// crashed. ResolveFailure resolves it.
+func (t *Tracker) RecordFailure(fingerprint uint64) {
 	t.pendingFailures[fingerprint]++
 }
 
-// Settled resolves one failure recorded by Broke, once the upstream is known to
-// have survived or its crash has been counted.
-func (t *Tracker) Settled(fingerprint uint64) {
+// ResolveFailure resolves one failure recorded by RecordFailure, once the
+// upstream is known to have survived or its crash has been counted.
+func (t *Tracker) ResolveFailure(fingerprint uint64) {
 	t.pendingFailures[fingerprint]--
 	if t.pendingFailures[fingerprint] <= 0 {
 		delete(t.pendingFailures, fingerprint)
 	}
 }
 
-// Crashed counts one crash for each distinct content that was in flight on a
-// crashed upstream. Unknown contents, with fingerprint zero, are skipped.
-func (t *Tracker) Crashed(now time.Duration, inFlight []uint64) []Change {
+// RecordCrash counts one crash for each distinct content that was in flight on
+// a crashed upstream. Unknown contents, with fingerprint zero, are skipped.
+func (t *Tracker) RecordCrash(now time.Duration, inFlight []uint64) []Change {
 	out := []Change{}
 	seen := map[uint64]bool{}
 	for _, f := range inFlight {
@@ -139,9 +139,9 @@
 	return out
 }
 
-// Completed clears a suspect whose request completed. It returns false where
-// there is nothing to clear; a quarantine is not ended early.
-func (t *Tracker) Completed(fingerprint uint64) (Change, bool) {
+// RecordCompletion clears a suspect whose request completed. It returns false
+// where there is nothing to clear; a quarantine is not ended early.
+func (t *Tracker) RecordCompletion(fingerprint uint64) (Change, bool) {
 	m, ok := t.records[fingerprint]
 	if !ok || m.crashes >= quarantineThreshold {
 		return Change{}, false
@@ -150,13 +150,13 @@
 	return Change{Fingerprint: fingerprint}, true
 }
 
-// Expire removes quarantines after Hold and suspicions after suspicionTTL.
+// Expire removes quarantines after Duration and suspicions after suspicionTTL.
 func (t *Tracker) Expire(now time.Duration) []Change {
 	out := []Change{}
 	for f, m := range t.records {
 		ttl := suspicionTTL
 		if m.crashes >= quarantineThreshold {
-			ttl = Hold
+			ttl = Duration
 		}
 		if now-m.since >= ttl {
 			delete(t.records, f)
--- a/core/sched/announce.go
+++ b/core/sched/announce.go
@@ -17,7 +17,7 @@
 
 // Announce adds an upstream or renews its lease. A higher incarnation counts as
 // a restart. It returns an OfferError where the announcement is malformed, has
-// an earlier incarnation, or follows a Leave of the same incarnation.
+// an earlier incarnation, or follows a Drain of the same incarnation.
 func (d *Dispatcher) Announce(now time.Duration, a Upstream) error {
 	if err := checkUpstream(a); err != nil {
 		return err
@@ -104,7 +104,7 @@
 			r.crashCounted = true
 		}
 	}
-	d.suspectChanges = append(d.suspectChanges, d.tracker.Crashed(now, fingerprints)...)
+	d.suspectChanges = append(d.suspectChanges, d.tracker.RecordCrash(now, fingerprints)...)
 }
 
 // recordFailure records a request that failed on an upstream until it is known
@@ -115,11 +115,11 @@
 		return
 	}
 	if u.expires <= now {
-		d.suspectChanges = append(d.suspectChanges, d.tracker.Crashed(now, []uint64{r.offer.Fingerprint})...)
+		d.suspectChanges = append(d.suspectChanges, d.tracker.RecordCrash(now, []uint64{r.offer.Fingerprint})...)
 		return
 	}
 	u.recentFailures = append(u.recentFailures, failure{fingerprint: r.offer.Fingerprint, at: now})
-	d.tracker.Broke(r.offer.Fingerprint)
+	d.tracker.RecordFailure(r.offer.Fingerprint)
 }
 
 // resolveFailures removes the failures up to a time from an upstream that has
@@ -128,16 +128,16 @@
 	fingerprints := []uint64{}
 	for len(u.recentFailures) > 0 && u.recentFailures[0].at <= upTo {
 		fingerprints = append(fingerprints, u.recentFailures[0].fingerprint)
-		d.tracker.Settled(u.recentFailures[0].fingerprint)
+		d.tracker.ResolveFailure(u.recentFailures[0].fingerprint)
 		u.recentFailures = u.recentFailures[1:]
 	}
 	return fingerprints
 }
 
-// Leave starts draining an upstream: it gets no new requests, and its running
+// Drain starts draining an upstream: it gets no new requests, and its running
 // requests continue. It returns false where the upstream is unknown, already
 // draining, or of a later incarnation.
-func (d *Dispatcher) Leave(now time.Duration, name string, incarnation uint64) bool {
+func (d *Dispatcher) Drain(now time.Duration, name string, incarnation uint64) bool {
 	u, ok := d.upstreams[name]
 	if !ok || incarnation < u.Incarnation || u.draining {
 		return false
@@ -154,7 +154,7 @@
 	for len(d.leases) > 0 && d.leases[0].expires <= now {
 		u := heap.Pop(&d.leases).(*upstream)
 		d.refresh(now, u)
-		out.Lost = append(out.Lost, u.Name)
+		out.LostUpstreams = append(out.LostUpstreams, u.Name)
 		if len(u.recentFailures) > 0 && !u.draining {
 			d.recordCrash(now, u)
 		}
--- a/core/sched/choice.go
+++ b/core/sched/choice.go
@@ -37,7 +37,7 @@
 	estimate.queue = max(0, min(u.prefillUntil-now, seconds(s.prefill*u.uncachedTokens)))
 	estimate.prefill = seconds(s.prefill * uncached)
 	estimate.decode = seconds(s.perToken(n)*r.output + s.call)
-	if r.offer.Spilled != "" {
+	if r.offer.SpilledFrom != "" {
 		estimate.link = d.params.Link.cost(r.offer.PromptTokens)
 	}
 	estimate.total = estimate.queue + estimate.prefill + estimate.decode + estimate.link
--- a/core/sched/decide.go
+++ b/core/sched/decide.go
@@ -31,7 +31,7 @@
 // their deadline, so that no work is spent on them.
 func (d *Dispatcher) refuseUnreachable(now time.Duration, out *Decisions) {
 	for len(d.byLatestStart) > 0 && d.byLatestStart[0].latestStart <= now {
-		d.refuseQueued(now, d.byLatestStart[0], TooLate, "the answer can no longer arrive before the deadline", out)
+		d.refuseQueued(now, d.byLatestStart[0], DeadlineUnreachable, "the answer can no longer arrive before the deadline", out)
 	}
 }
 
@@ -56,7 +56,7 @@
 // refuseQueued removes a queued request and refuses it.
 func (d *Dispatcher) refuseQueued(now time.Duration, r *request, code Code, reason string, out *Decisions) {
 	d.removeQueued(r)
-	if code == Overload || code == Spill {
+	if code == Overloaded || code == Spill {
 		d.shortageUntil = now + shortageWindow
 	}
 	refusal := d.refuse(now, r.offer, code, d.retryDelay(code), reason)
@@ -66,7 +66,7 @@
 
 func (d *Dispatcher) refuse(_ time.Duration, o Offer, code Code, after time.Duration, reason string) *Refusal {
 	d.recentDecisions.add(Explanation{ID: o.ID, State: "refused", Code: code, Reason: reason})
-	return &Refusal{ID: o.ID, Code: code, Workspace: o.Workspace, Tier: o.Tier, RetryAfter: after, Why: reason}
+	return &Refusal{ID: o.ID, Code: code, Workspace: o.Workspace, Tier: o.Tier, RetryAfter: after, Reason: reason}
 }
 
 // grantAll grants requests in tier order. While a higher tier has requests
@@ -116,7 +116,7 @@
 	}
 	r.suspect = d.isSuspect(now, r)
 	verdict, left := d.tracker.Verdict(now, r.offer.Fingerprint)
-	if verdict == quarantine.Unsettled {
+	if verdict == quarantine.Undetermined {
 		t.dequeue(r)
 		d.deferred = append(d.deferred, r)
 		return true
@@ -194,14 +194,14 @@
 	d.recentDecisions.add(explanation)
 	return Grant{
 		ID: r.offer.ID, Workspace: r.offer.Workspace, Tier: r.offer.Tier, Waited: now - r.arrivedAt,
-		Upstream: u.Name, Address: u.Address, Incarnation: u.Incarnation, Why: explanation,
+		Upstream: u.Name, Address: u.Address, Incarnation: u.Incarnation, Explanation: explanation,
 	}
 }
 
-// Wake returns the next time at which Decide must run without an external
+// NextWake returns the next time at which Decide must run without an external
 // event: a deadline becomes unreachable, a lease expires or an orphaned
 // request's slot is freed. It returns false where there is none.
-func (d *Dispatcher) Wake() (time.Duration, bool) {
+func (d *Dispatcher) NextWake() (time.Duration, bool) {
 	at, found := time.Duration(0), false
 	consider := func(t time.Duration) {
 		if !found || t < at {
@@ -220,8 +220,8 @@
 	return at, found
 }
 
-// Live returns the number of upstreams that accept new requests.
-func (d *Dispatcher) Live(now time.Duration) int {
+// LiveUpstreams returns the number of upstreams that accept new requests.
+func (d *Dispatcher) LiveUpstreams(now time.Duration) int {
 	n := 0
 	for _, u := range d.leases {
 		if u.expires > now && !u.draining {
--- a/core/sched/dispatcher.go
+++ b/core/sched/dispatcher.go
@@ -107,7 +107,7 @@
 	r := &request{offer: o, arrivedAt: now, workspace: t.workspace(o.Workspace, o.Weight), laneIndex: notInHeap, latestStartIndex: notInHeap}
 	d.predictWork(now, r)
 	d.requests[o.ID] = r
-	if o.Running != "" {
+	if o.RunningOn != "" {
 		d.adopt(now, r)
 		return nil, nil
 	}
@@ -124,24 +124,24 @@
 // region.
 func (d *Dispatcher) admit(now time.Duration, o Offer) *Refusal {
 	verdict, left := d.tracker.Verdict(now, o.Fingerprint)
-	if verdict == quarantine.Quarantined && o.Running == "" {
+	if verdict == quarantine.Quarantined && o.RunningOn == "" {
 		return d.refuse(now, o, Quarantined, left, "the content was in flight at two crashes of upstreams")
 	}
 	usage := &d.tier(o.Tier).workspace(o.Workspace, o.Weight).usage
-	if o.Running != "" || o.Admitted || o.Spilled != "" || o.Final {
+	if o.RunningOn != "" || o.Admitted || o.SpilledFrom != "" || o.Final {
 		usage.Resume()
 		return nil
 	}
 	denial, ok := usage.Admit(now, o.Limits)
 	if !ok {
-		return d.refuse(now, o, Limited, denial.RetryAfter, "the workspace is at its limit "+denial.Limit)
+		return d.refuse(now, o, LimitExceeded, denial.RetryAfter, "the workspace is at its limit "+denial.Limit)
 	}
 	return nil
 }
 
 // adopt takes over a running request that an earlier dispatcher granted.
 func (d *Dispatcher) adopt(now time.Duration, r *request) {
-	r.upstream = r.offer.Running
+	r.upstream = r.offer.RunningOn
 	r.grantedAt = now
 	r.expectedTime = d.poolSpeed.serviceTime(float64(r.offer.PromptTokens), r.output)
 	r.workspace.tier.running++
@@ -220,12 +220,12 @@
 	Workspace string
 	Tier      int
 	Upstream  string
-	// Lost is the number of uncached prompt tokens computed for an answer that
-	// did not arrive completely.
-	Lost int
-	// Repeated is the number of prompt tokens computed although another
+	// WastedTokens is the number of uncached prompt tokens computed for an
+	// answer that did not arrive completely.
+	WastedTokens int
+	// RepeatedTokens is the number of prompt tokens computed although another
 	// upstream with room was expected to have them cached.
-	Repeated int
+	RepeatedTokens int
 }
 
 // Release frees the slot of a granted request and learns from the reported
@@ -245,11 +245,11 @@
 func (r *request) ended(rel Release) Ended {
 	e := Ended{ID: r.offer.ID, Workspace: r.offer.Workspace, Tier: r.offer.Tier, Upstream: r.upstream}
 	computed := max(0, r.offer.PromptTokens-rel.CachedTokens)
-	if rel.Outcome == Canceled || rel.Outcome == Broken {
-		e.Lost = computed
+	if rel.Outcome == Canceled || rel.Outcome == ConnectionLost {
+		e.WastedTokens = computed
 	}
-	if rel.Outcome == Done {
-		e.Repeated = min(computed, max(0, r.bestCached-rel.CachedTokens))
+	if rel.Outcome == Completed {
+		e.RepeatedTokens = min(computed, max(0, r.bestCached-rel.CachedTokens))
 	}
 	return e
 }
@@ -264,10 +264,10 @@
 	r.workspace.usage.Leave()
 	u := d.unassign(now, r)
 	d.correctCharge(now, r, rel)
-	if u != nil && rel.Outcome == Broken {
+	if u != nil && rel.Outcome == ConnectionLost {
 		d.recordFailure(now, u, r)
 	}
-	if u != nil && rel.Outcome == Done {
+	if u != nil && rel.Outcome == Completed {
 		d.learnFromAnswer(now, u, r, rel)
 	}
 	return ended
@@ -290,13 +290,13 @@
 // learnFromAnswer updates the estimates of lengths, speeds, slots and cache
 // hits from a complete answer.
 func (d *Dispatcher) learnFromAnswer(now time.Duration, u *upstream, r *request, rel Release) {
-	if change, ok := d.tracker.Completed(r.offer.Fingerprint); ok {
+	if change, ok := d.tracker.RecordCompletion(r.offer.Fingerprint); ok {
 		d.suspectChanges = append(d.suspectChanges, change)
 	}
-	if r.offer.Running != "" {
+	if r.offer.RunningOn != "" {
 		return
 	}
-	if d.params.Plain {
+	if d.params.PlainService {
 		updateAverage(&u.speed.call, &u.speed.callSamples, rel.Decode.Seconds(), speedGain)
 		updateAverage(&d.poolSpeed.call, &d.poolSpeed.callSamples, rel.Decode.Seconds(), poolGain)
 		d.refresh(now, u)
--- a/core/sched/entries.go
+++ b/core/sched/entries.go
@@ -55,10 +55,10 @@
 func (d *Dispatcher) resyncRequest(now time.Duration, r *request, again map[ID]Offer) {
 	o, ok := again[r.offer.ID]
 	switch {
-	case r.upstream == "" && ok && o.Running == "":
+	case r.upstream == "" && ok && o.RunningOn == "":
 	case r.upstream == "":
 		d.removeQueued(r)
-	case ok && o.Running == r.upstream:
+	case ok && o.RunningOn == r.upstream:
 		r.orphanedUntil = 0
 	default:
 		d.endRequest(now, r, Release{ID: r.offer.ID, Outcome: NotSent})
--- a/core/sched/errors.go
+++ b/core/sched/errors.go
@@ -37,7 +37,7 @@
 
 // checkRelease returns an OfferError for a malformed release.
 func checkRelease(r Release) error {
-	if r.Outcome < Done || r.Outcome > Broken {
+	if r.Outcome < Completed || r.Outcome > ConnectionLost {
 		return &OfferError{ID: r.ID, Message: "the outcome is unknown", Remedy: "send one of the declared outcomes"}
 	}
 	if r.Prefill < 0 || r.Decode < 0 || r.OutputTokens < 0 || r.CachedTokens < 0 {
--- a/core/sched/estimate.go
+++ b/core/sched/estimate.go
@@ -105,7 +105,7 @@
 // start of a new request.
 func (d *Dispatcher) predictWork(now time.Duration, r *request) {
 	r.output, r.cautiousOutput = d.lengths.predict(r.offer)
-	if d.params.Plain {
+	if d.params.PlainService {
 		r.output, r.cautiousOutput = 0, 0
 	}
 	r.cost = max(1, float64(r.offer.PromptTokens)+outputCost*r.output)
--- a/core/sched/params.go
+++ b/core/sched/params.go
@@ -56,9 +56,9 @@
 	QueueLimit int
 	// BlockTokens is the prefix cache's block size in tokens; zero means 64.
 	BlockTokens int
-	// Plain reports whether the pool is a plain service without tokens: slots
+	// PlainService reports whether the pool is a plain service without tokens: slots
 	// are fixed, and the length of answers is not predicted.
-	Plain bool
+	PlainService bool
 	// Concurrency limits the slots of each upstream; zero applies no limit
 	// beyond the announced slots.
 	Concurrency int
--- a/core/sched/policy_test.go
+++ b/core/sched/policy_test.go
@@ -29,7 +29,7 @@
 }
 
 func complete(t require.TestingT, d *Dispatcher, now time.Duration, g Grant, token time.Duration) {
-	_, err := d.Release(now, Release{ID: g.ID, Outcome: Done, Prefill: time.Second / 4, Decode: 100 * token, OutputTokens: 101})
+	_, err := d.Release(now, Release{ID: g.ID, Outcome: Completed, Prefill: time.Second / 4, Decode: 100 * token, OutputTokens: 101})
 	require.NoError(t, err)
 }
 
@@ -53,12 +53,12 @@
 		_, err := d.Offer(0, o)
 		require.IsType(t, &OfferError{}, err, name)
 	}
-	for _, r := range []Release{{ID: ID{"e", 1}}, {ID: ID{"e", 1}, Outcome: Done, OutputTokens: -1}, {ID: ID{"e", 9}, Outcome: Done}} {
+	for _, r := range []Release{{ID: ID{"e", 1}}, {ID: ID{"e", 1}, Outcome: Completed, OutputTokens: -1}, {ID: ID{"e", 9}, Outcome: Completed}} {
 		_, err := d.Release(0, r)
 		require.IsType(t, &OfferError{}, err)
 	}
 	require.IsType(t, &OfferError{}, d.Announce(0, Upstream{Name: "x"}))
-	require.False(t, d.Leave(0, "unknown", 9))
+	require.False(t, d.Drain(0, "unknown", 9))
 	require.Equal(t, before, d.Dump(0))
 }
 
@@ -135,7 +135,7 @@
 	mustOffer(t, d, time.Minute, o)
 	again := d.Decide(time.Minute).Grants[0]
 	require.Equal(t, first.Upstream, again.Upstream)
-	require.Len(t, again.Why.Examined, 2)
+	require.Len(t, again.Explanation.Examined, 2)
 }
 
 // TestWaitForPrefixHolderIsBounded guards against idle slots: a request waits
@@ -201,7 +201,7 @@
 		if g.Workspace == "short-answers" {
 			tokens = 100
 		}
-		_, err := d.Release(0, Release{ID: g.ID, Outcome: Done, OutputTokens: tokens})
+		_, err := d.Release(0, Release{ID: g.ID, Outcome: Completed, OutputTokens: tokens})
 		require.NoError(t, err)
 	}
 	require.InDelta(t, 48, served["short-answers"], 4, "four short answers cost as much as one long answer")
@@ -315,7 +315,7 @@
 	require.Empty(t, d.Decide(0).Grants)
 	out := d.Decide(time.Second)
 	require.Empty(t, out.Grants)
-	require.Equal(t, TooLate, out.Refusals[0].Code)
+	require.Equal(t, DeadlineUnreachable, out.Refusals[0].Code)
 }
 
 func TestSpillPrecedesShedding(t *testing.T) {
@@ -332,8 +332,8 @@
 		return out.Refusals[0].Code
 	}
 	require.Equal(t, Spill, codeOf(func(*Offer) {}))
-	require.Equal(t, Overload, codeOf(func(o *Offer) { o.Final = true }), "the other regions refused the request")
-	require.Equal(t, Overload, codeOf(func(o *Offer) { o.Spilled = "r" }), "a spilled request is not spilled again")
+	require.Equal(t, Overloaded, codeOf(func(o *Offer) { o.Final = true }), "the other regions refused the request")
+	require.Equal(t, Overloaded, codeOf(func(o *Offer) { o.SpilledFrom = "r" }), "a spilled request is not spilled again")
 }
 
 func TestCrashingRequestIsQuarantinedAndInnocentsAreNot(t *testing.T) {
@@ -348,7 +348,7 @@
 	}
 	crash := func(name string, incarnation uint64, grants []Grant) []quarantine.Change {
 		for _, g := range grants {
-			_, err := d.Release(0, Release{ID: g.ID, Outcome: Broken})
+			_, err := d.Release(0, Release{ID: g.ID, Outcome: ConnectionLost})
 			require.NoError(t, err)
 		}
 		require.NoError(t, d.Announce(0, Upstream{Name: name, Slots: 4, Lease: time.Hour, Incarnation: incarnation}))
@@ -369,7 +369,7 @@
 	refusal, err := d.Offer(0, o)
 	require.NoError(t, err)
 	require.Equal(t, Quarantined, refusal.Code)
-	require.Equal(t, quarantine.Hold, refusal.RetryAfter)
+	require.Equal(t, quarantine.Duration, refusal.RetryAfter)
 }
 
 // TestOrphanedRequestsKeepSlotsForBoundedTime disconnects the entry of requests
@@ -412,7 +412,7 @@
 }
 
 func TestServiceConcurrencyLimitsSlots(t *testing.T) {
-	d := New(Params{Plain: true, Concurrency: 2})
+	d := New(Params{PlainService: true, Concurrency: 2})
 	mustAnnounce(t, d, 0, "u", 8)
 	for i := range 5 {
 		mustOffer(t, d, 0, testOffer(i, "w", 0))
@@ -465,7 +465,7 @@
 		require.Len(t, grants, 2)
 		require.NotEqual(t, grants[0].Upstream, grants[1].Upstream)
 		for _, g := range grants {
-			_, err := d.Release(0, Release{ID: g.ID, Outcome: Broken})
+			_, err := d.Release(0, Release{ID: g.ID, Outcome: ConnectionLost})
 			require.NoError(t, err)
 		}
 		require.Empty(t, send(0, 3), "two failures are unresolved")
--- a/core/sched/property_test.go
+++ b/core/sched/property_test.go
@@ -69,7 +69,7 @@
 	}
 	for _, r := range out.Refusals {
 		require.Contains(m.t, m.queued, r.ID)
-		if r.Code == Overload {
+		if r.Code == Overloaded {
 			m.checkNoInversion(r)
 		}
 		delete(m.queued, r.ID)
@@ -138,10 +138,10 @@
 				if !received {
 					continue
 				}
-				require.Empty(t, offers[g.ID].Running, "granted twice")
+				require.Empty(t, offers[g.ID].RunningOn, "granted twice")
 				granted[g.ID]++
 				o := offers[g.ID]
-				o.Running = g.Upstream
+				o.RunningOn = g.Upstream
 				offers[g.ID] = o
 			}
 			if received && !rapid.Bool().Draw(t, "reconnects") {
@@ -188,7 +188,7 @@
 			refusal, err := d.Offer(0, Offer{ID: ID{Entry: fmt.Sprint(i % 9), Number: uint64(i)}, Workspace: "w", Weight: 1, MaxTokens: 9, Deadline: time.Hour, Limits: limits.Limits{Concurrency: int64(limit)}})
 			require.NoError(t, err)
 			if refusal != nil {
-				require.Equal(t, Limited, refusal.Code)
+				require.Equal(t, LimitExceeded, refusal.Code)
 				refused++
 			}
 		}
@@ -213,7 +213,7 @@
 			if g.ID == longOffer.ID {
 				return
 			}
-			_, err := d.Release(now, Release{ID: g.ID, Outcome: Done, Decode: time.Second / 4, OutputTokens: 10})
+			_, err := d.Release(now, Release{ID: g.ID, Outcome: Completed, Decode: time.Second / 4, OutputTokens: 10})
 			require.NoError(t, err)
 		}
 	}
--- a/core/sched/sched.go
+++ b/core/sched/sched.go
@@ -47,17 +47,17 @@
 	Deadline time.Duration
 	// Fingerprint identifies the content for quarantine; zero means unknown.
 	Fingerprint uint64
-	// Running names the upstream of a request that an earlier dispatcher
+	// RunningOn names the upstream of a request that an earlier dispatcher
 	// granted. Such an offer occupies a slot there and is not granted again.
-	Running string
+	RunningOn string
 	// Limits are the workspace's limits, enforced by this dispatcher.
 	Limits limits.Limits
 	// Admitted reports whether an earlier session already offered the request;
 	// the workspace's limits are then not applied again.
 	Admitted bool
-	// Spilled names the region that spilled the request to this one; empty
+	// SpilledFrom names the region that spilled the request to this one; empty
 	// where it was offered here first.
-	Spilled string
+	SpilledFrom string
 	// Final reports whether the other regions refused the request, so that it
 	// is not spilled again.
 	Final bool
@@ -102,14 +102,15 @@
 
 // Outcomes of a granted request.
 const (
-	// Done means that the complete answer arrived.
-	Done Outcome = iota + 1
+	// Completed means that the complete answer arrived.
+	Completed Outcome = iota + 1
 	// NotSent means that nothing was sent to the upstream.
 	NotSent
 	// Canceled means that the caller canceled the request or disconnected.
 	Canceled
-	// Broken means that the upstream failed while it ran the request.
-	Broken
+	// ConnectionLost means that the upstream failed, or the connection to it
+	// broke, while it ran the request.
+	ConnectionLost
 )
 
 // Release ends a grant and reports what was measured.
@@ -135,7 +136,7 @@
 	Upstream    string
 	Address     string
 	Incarnation uint64
-	Why         Explanation
+	Explanation Explanation
 }
 
 // Code classifies a refusal. A refused request was never run.
@@ -143,18 +144,19 @@
 
 // Refusal codes.
 const (
-	// Overload means that capacity is short and that no lower tier is left to
+	// Overloaded means that capacity is short and that no lower tier is left to
 	// shed.
-	Overload Code = "overloaded"
+	Overloaded Code = "overloaded"
 	// Spill means that this region would shed the request: the entry asks the
 	// other regions before it offers the request here again as final.
 	Spill Code = "spill"
-	// TooLate means that the answer can no longer arrive before the deadline.
-	TooLate Code = "deadline_unreachable"
+	// DeadlineUnreachable means that the answer can no longer arrive before the
+	// deadline.
+	DeadlineUnreachable Code = "deadline_unreachable"
 	// NoUpstream means that no upstream serves the pool.
 	NoUpstream Code = "no_upstream"
-	// Limited means that the workspace has used up a declared limit.
-	Limited Code = "limit_exceeded"
+	// LimitExceeded means that the workspace has used up a declared limit.
+	LimitExceeded Code = "limit_exceeded"
 	// Quarantined means that the content was in flight at repeated crashes of
 	// upstreams.
 	Quarantined Code = "quarantined"
@@ -168,7 +170,7 @@
 	Tier      int
 	// RetryAfter is how long the caller should wait before it retries.
 	RetryAfter time.Duration
-	Why        string
+	Reason     string
 }
 
 // Decisions are the results of one call of Decide, each list in the order in
@@ -181,6 +183,6 @@
 	Ended []Ended
 	// Suspects are crash counts to share with the other dispatchers.
 	Suspects []quarantine.Change
-	// Lost names the upstreams whose lease expired.
-	Lost []string
+	// LostUpstreams names the upstreams whose lease expired.
+	LostUpstreams []string
 }
--- a/core/sched/session_test.go
+++ b/core/sched/session_test.go
@@ -38,7 +38,7 @@
 	require.NoError(s.t, err)
 	s.logf("offer %d of %s in tier %d", n, o.Workspace, tier)
 	if refusal != nil {
-		s.logf("refused %d: %s, %s, come back after %s", n, refusal.Code, refusal.Why, refusal.RetryAfter)
+		s.logf("refused %d: %s, %s, come back after %s", n, refusal.Code, refusal.Reason, refusal.RetryAfter)
 	}
 }
 
@@ -46,18 +46,18 @@
 	s.now += after
 	out := s.d.Decide(s.now)
 	for _, g := range out.Grants {
-		why, err := json.Marshal(g.Why)
+		why, err := json.Marshal(g.Explanation)
 		require.NoError(s.t, err)
 		s.running = append(s.running, g.ID.Number)
 		s.logf("granted %d to %s: %s", g.ID.Number, g.Upstream, why)
 	}
 	for _, r := range out.Refusals {
-		s.logf("refused %d: %s, %s, come back after %s", r.ID.Number, r.Code, r.Why, r.RetryAfter)
+		s.logf("refused %d: %s, %s, come back after %s", r.ID.Number, r.Code, r.Reason, r.RetryAfter)
 	}
 	for _, c := range out.Suspects {
 		s.logf("suspect %d: %d crashes", c.Fingerprint, c.Crashes)
 	}
-	for _, name := range out.Lost {
+	for _, name := range out.LostUpstreams {
 		s.logf("lost %s", name)
 	}
 	ended := []uint64{}
@@ -74,7 +74,7 @@
 	s.running = s.running[1:]
 	e, err := s.d.Release(s.now, Release{ID: ID{"e", n}, Outcome: outcome, Prefill: time.Second / 4, Decode: 2 * time.Second, OutputTokens: 101, CachedTokens: 64})
 	require.NoError(s.t, err)
-	s.logf("released %d of %s: lost %d tokens, repeated %d", n, e.Upstream, e.Lost, e.Repeated)
+	s.logf("released %d of %s: lost %d tokens, repeated %d", n, e.Upstream, e.WastedTokens, e.RepeatedTokens)
 }
 
 func (s *sessionRecorder) announce(name string, incarnation uint64) {
@@ -95,7 +95,7 @@
 	}
 	s.decide(time.Millisecond)
 	s.decide(2 * time.Second)
-	s.release(Done)
+	s.release(Completed)
 	s.release(Canceled)
 	s.decide(time.Second)
 	s.offer(20, 2, func(o *Offer) { o.Deadline = s.now })
--- a/core/sched/shed.go
+++ b/core/sched/shed.go
@@ -72,8 +72,8 @@
 			return
 		}
 		r := t.selectVictim()
-		code, reason := Overload, "capacity is short and no lower tier is queued or in service"
-		if d.params.Spill && !r.offer.Final && r.offer.Spilled == "" {
+		code, reason := Overloaded, "capacity is short and no lower tier is queued or in service"
+		if d.params.Spill && !r.offer.Final && r.offer.SpilledFrom == "" {
 			code, reason = Spill, "capacity is short in this region"
 		}
 		d.refuseQueued(now, r, code, reason, out)
@@ -154,7 +154,7 @@
 // retryDelay returns how long the caller of a refused request should wait
 // before a retry.
 func (d *Dispatcher) retryDelay(code Code) time.Duration {
-	if code != Overload || d.throughput.rate <= 0 {
+	if code != Overloaded || d.throughput.rate <= 0 {
 		return defaultRetryDelay
 	}
 	return max(defaultRetryDelay, seconds(d.queuedCost()/d.throughput.rate))
--- a/core/sched/straggler.go
+++ b/core/sched/straggler.go
@@ -49,7 +49,7 @@
 // findStragglers compares all upstreams with the pool's median, at most once
 // per stragglerCheckInterval.
 func (d *Dispatcher) findStragglers(now time.Duration) {
-	if now < d.nextStragglerCheck || d.params.Plain {
+	if now < d.nextStragglerCheck || d.params.PlainService {
 		return
 	}
 	d.nextStragglerCheck = now + stragglerCheckInterval
--- a/core/sched/upstream.go
+++ b/core/sched/upstream.go
@@ -83,7 +83,7 @@
 
 // reservedSlots returns the number of slots that long requests leave free.
 func (d *Dispatcher) reservedSlots(now time.Duration, slots int) int {
-	if d.params.Plain || !d.seenShort || now-d.lastShort > reserveWindow || slots < minSlotsForReserve {
+	if d.params.PlainService || !d.seenShort || now-d.lastShort > reserveWindow || slots < minSlotsForReserve {
 		return 0
 	}
 	return max(1, slots/reserveDivisor)
--- a/internal/capacity/dispatcher.go
+++ b/internal/capacity/dispatcher.go
@@ -82,7 +82,7 @@
 		}
 		g := running[0]
 		running = running[1:]
-		_, _ = r.core.Release(r.now, sched.Release{ID: g.ID, Outcome: sched.Done, Prefill: time.Second, Decode: time.Second, OutputTokens: maxTokens})
+		_, _ = r.core.Release(r.now, sched.Release{ID: g.ID, Outcome: sched.Completed, Prefill: time.Second, Decode: time.Second, OutputTokens: maxTokens})
 		r.offer()
 		running = append(running, r.core.Decide(r.now).Grants...)
 	})
--- a/internal/dispatch/codec.go
+++ b/internal/dispatch/codec.go
@@ -30,7 +30,7 @@
 		out.BlockTokens = int(m.BlockTokens)
 	}
 	if s, ok := c.Service(pool); ok {
-		out.Plain = true
+		out.PlainService = true
 		out.Concurrency = int(max(1, s.Concurrency))
 	}
 	return out
@@ -55,8 +55,8 @@
 	out := sched.Offer{
 		ID: sched.ID{Entry: entry, Number: o.Id}, Workspace: o.Workspace, Operation: o.Operation,
 		PromptTokens: int(o.PromptTokens), MaxTokens: int(o.MaxTokens), Blocks: o.Blocks,
-		Deadline: now + time.Duration(o.WaitMs)*time.Millisecond, Fingerprint: o.Fingerprint, Running: o.Running,
-		Spilled: o.Spilled, Admitted: o.Admitted, Final: o.Final,
+		Deadline: now + time.Duration(o.WaitMs)*time.Millisecond, Fingerprint: o.Fingerprint, RunningOn: o.Running,
+		SpilledFrom: o.Spilled, Admitted: o.Admitted, Final: o.Final,
 	}
 	out.Tier, out.Weight, out.Limits = standing(p.view.Snapshot().Config, o.Workspace, p.region)
 	return out
@@ -84,7 +84,7 @@
 }
 
 func encodeGrant(g sched.Grant) *rpc.Grant {
-	why, err := json.Marshal(g.Why)
+	why, err := json.Marshal(g.Explanation)
 	if err != nil {
 		why = nil
 	}
@@ -92,7 +92,7 @@
 }
 
 func encodeRefusal(r sched.Refusal) *rpc.Refusal {
-	return &rpc.Refusal{Id: r.ID.Number, Code: string(r.Code), RetryAfterMs: uint32(r.RetryAfter.Milliseconds()), Why: r.Why}
+	return &rpc.Refusal{Id: r.ID.Number, Code: string(r.Code), RetryAfterMs: uint32(r.RetryAfter.Milliseconds()), Why: r.Reason}
 }
 
 // offerName is how events name an offer.
--- a/internal/dispatch/metrics.go
+++ b/internal/dispatch/metrics.go
@@ -60,10 +60,10 @@
 }
 
 func (m *metrics) ended(pool string, e sched.Ended) {
-	if e.Lost > 0 {
-		m.wasted.WithLabelValues(pool, e.Workspace, "lost").Add(float64(e.Lost))
+	if e.WastedTokens > 0 {
+		m.wasted.WithLabelValues(pool, e.Workspace, "lost").Add(float64(e.WastedTokens))
 	}
-	if e.Repeated > 0 {
-		m.wasted.WithLabelValues(pool, e.Workspace, "repeated").Add(float64(e.Repeated))
+	if e.RepeatedTokens > 0 {
+		m.wasted.WithLabelValues(pool, e.Workspace, "repeated").Add(float64(e.RepeatedTokens))
 	}
 }
--- a/internal/dispatch/pool.go
+++ b/internal/dispatch/pool.go
@@ -165,7 +165,7 @@
 	}
 	now := p.now()
 	decided := p.core.Decide(now)
-	batches := batchSet{pool: p, live: uint32(p.core.Live(now)), byEntry: map[string]*rpc.GrantBatch{}}
+	batches := batchSet{pool: p, live: uint32(p.core.LiveUpstreams(now)), byEntry: map[string]*rpc.GrantBatch{}}
 	p.ended(decided.Ended)
 	for _, g := range decided.Grants {
 		b := batches.of(g.ID.Entry)
@@ -176,7 +176,7 @@
 	for _, r := range decided.Refusals {
 		batches.refuse(r)
 	}
-	for _, name := range decided.Lost {
+	for _, name := range decided.LostUpstreams {
 		p.events.Record(promise.Event{Kind: promise.Leave, Pool: p.name, Region: p.region, Upstream: name, Epoch: p.epoch})
 	}
 	if len(decided.Suspects) > 0 {
@@ -206,7 +206,7 @@
 	b := s.of(r.ID.Entry)
 	b.Refusals = append(b.Refusals, encodeRefusal(r))
 	s.pool.metrics.refused(s.pool.name, r)
-	if r.Code == sched.Overload {
+	if r.Code == sched.Overloaded {
 		s.pool.event(promise.Shed, r.ID, r.Tier, r.Workspace, "", string(r.Code))
 	}
 }
--- a/internal/dispatch/pool_test.go
+++ b/internal/dispatch/pool_test.go
@@ -198,7 +198,7 @@
 		s = b.join(t, "one#1@a", &rpc.EntryBatch{Offers: []*rpc.Offer{again}})
 		grants, _ = s.grants()
 		require.Len(t, grants, 1)
-		s.in <- &rpc.EntryBatch{Releases: []*rpc.Release{{Id: 1, Outcome: uint32(sched.Done)}}, Offers: []*rpc.Offer{offer(2), offer(3), offer(4)}}
+		s.in <- &rpc.EntryBatch{Releases: []*rpc.Release{{Id: 1, Outcome: uint32(sched.Completed)}}, Offers: []*rpc.Offer{offer(2), offer(3), offer(4)}}
 		grants, _ = s.grants()
 		require.Len(t, grants, 2, "both slots are free again")
 	})
@@ -213,7 +213,7 @@
 		time.Sleep(settleTime + time.Second)
 		s.in <- &rpc.EntryBatch{Offers: []*rpc.Offer{bad}}
 		s.grants()
-		s.in <- &rpc.EntryBatch{Releases: []*rpc.Release{{Id: 1, Outcome: uint32(sched.Broken)}}}
+		s.in <- &rpc.EntryBatch{Releases: []*rpc.Release{{Id: 1, Outcome: uint32(sched.ConnectionLost)}}}
 		s.in <- &rpc.EntryBatch{Upstreams: []*rpc.UpstreamState{upstreamState(2)}}
 		s.grants()
 		require.Equal(t, []quarantine.Change{{Fingerprint: 66, Crashes: 1}}, b.shared)
--- a/internal/dispatch/session.go
+++ b/internal/dispatch/session.go
@@ -107,7 +107,7 @@
 		refused[r.ID] = true
 	}
 	for _, o := range offers {
-		if o.Running == "" && !refused[o.ID] {
+		if o.RunningOn == "" && !refused[o.ID] {
 			p.event(promise.Queue, o.ID, o.Tier, o.Workspace, "", "")
 		}
 	}
@@ -157,7 +157,7 @@
 
 func (p *pool) takeUpstream(now time.Duration, u *rpc.UpstreamState) {
 	if u.Leaving {
-		if p.core.Leave(now, u.Name, u.Incarnation) {
+		if p.core.Drain(now, u.Name, u.Incarnation) {
 			p.events.Record(promise.Event{Kind: promise.Leave, Pool: p.name, Region: p.region, Upstream: u.Name, Epoch: p.epoch})
 		}
 		return
@@ -175,7 +175,7 @@
 		p.log.Warn("offer refused", zap.String("pool", p.name), zap.Error(err))
 	case refusal != nil:
 		p.refuse([]sched.Refusal{*refusal})
-	case offer.Running == "":
+	case offer.RunningOn == "":
 		p.event(promise.Queue, offer.ID, offer.Tier, offer.Workspace, "", "")
 	}
 }
--- a/internal/entry/effects.go
+++ b/internal/entry/effects.go
@@ -62,10 +62,10 @@
 
 // outcomes translates the use of a slot for the scheduler.
 var outcomes = map[claims.Slot]sched.Outcome{
-	claims.SlotDone:     sched.Done,
+	claims.SlotDone:     sched.Completed,
 	claims.SlotNotSent:  sched.NotSent,
 	claims.SlotCanceled: sched.Canceled,
-	claims.SlotBroken:   sched.Broken,
+	claims.SlotBroken:   sched.ConnectionLost,
 }
 
 func (x *execution) release(slot claims.Slot) {
--- a/internal/entry/execution.go
+++ b/internal/entry/execution.go
@@ -130,7 +130,7 @@
 	x.service.log.Error("request stopped without an end", zap.String("key", x.request.key), zap.String("state", string(x.machine.State())))
 	x.fail(claims.Failure{Code: claims.OutcomeUnknown, Ran: claims.MayHaveRun})
 	if x.ticket != nil {
-		x.ticket.Release(x.seen.release(sched.Broken))
+		x.ticket.Release(x.seen.release(sched.ConnectionLost))
 	}
 }
 
--- a/internal/entry/move.go
+++ b/internal/entry/move.go
@@ -33,7 +33,7 @@
 		t.Release(sched.Release{Outcome: sched.NotSent})
 		return x.interrupted(claims.MoveFailed)
 	}
-	x.ticket.Release(x.seen.release(sched.Done))
+	x.ticket.Release(x.seen.release(sched.Completed))
 	x.ticket = t
 	x.seen.moved = true
 	x.seen.base = x.seen.tokens
--- a/internal/entry/stream_test.go
+++ b/internal/entry/stream_test.go
@@ -70,7 +70,7 @@
 			require.True(t, whole)
 			require.Equal(t, answerTo("draft #8"), answer)
 			require.Equal(t, 1, total(r.Executions()))
-			require.Equal(t, []sched.Outcome{sched.Done}, c.outcomes())
+			require.Equal(t, []sched.Outcome{sched.Completed}, c.outcomes())
 			require.Equal(t, 1, c.count(promise.Dispatch))
 		})
 	}
@@ -98,7 +98,7 @@
 	again := e.do(t, "POST", "/v1/chat/completions", chatBody("draft #400", false), "Idempotency-Key", "k1")
 	require.Equal(t, fault.MayHaveRun, faultOf(t, again.body).Ran)
 	require.Zero(t, total(back.Executions()))
-	require.Equal(t, []sched.Outcome{sched.Broken}, c.outcomes())
+	require.Equal(t, []sched.Outcome{sched.ConnectionLost}, c.outcomes())
 }
 
 func TestCrashingPromptIsUnknown(t *testing.T) {
--- a/internal/matrix/attempt.go
+++ b/internal/matrix/attempt.go
@@ -133,10 +133,10 @@
 
 // outcomes translates the use of a slot for the scheduler.
 var outcomes = map[claims.Slot]sched.Outcome{
-	claims.SlotDone:     sched.Done,
+	claims.SlotDone:     sched.Completed,
 	claims.SlotNotSent:  sched.NotSent,
 	claims.SlotCanceled: sched.Canceled,
-	claims.SlotBroken:   sched.Broken,
+	claims.SlotBroken:   sched.ConnectionLost,
 }
 
 func (a *attempt) claimed(r state.Result, ok bool) {
--- a/internal/matrix/scheduler.go
+++ b/internal/matrix/scheduler.go
@@ -47,6 +47,6 @@
 	})
 }
 
-func (s *scheduler) leave(now time.Duration, e *engine) { s.core.Leave(now, e.name, e.incarnation) }
+func (s *scheduler) leave(now time.Duration, e *engine) { s.core.Drain(now, e.name, e.incarnation) }
 
 func (s *scheduler) decide(now time.Duration) sched.Decisions { return s.core.Decide(now) }
--- a/internal/matrix/session.go
+++ b/internal/matrix/session.go
@@ -94,7 +94,7 @@
 func (s *session) form(id uint64, o *offered) sched.Offer {
 	return sched.Offer{
 		ID: sched.ID{Entry: s.entry(), Number: id}, Workspace: space, Tier: o.attempt.tier, Weight: 1,
-		PromptTokens: promptTokens, MaxTokens: maxTokens, Deadline: o.attempt.deadline, Fingerprint: fingerprint(o.attempt.key), Running: o.upstream,
+		PromptTokens: promptTokens, MaxTokens: maxTokens, Deadline: o.attempt.deadline, Fingerprint: fingerprint(o.attempt.key), RunningOn: o.upstream,
 	}
 }
 
@@ -196,7 +196,7 @@
 	h.heard[entry] = h.daemon.world.now()
 	refusals := h.core.resync(h.daemon.world.now(), entry, offers)
 	for _, o := range offers {
-		h.note(promise.Queue, o.ID, o.Tier, o.Running)
+		h.note(promise.Queue, o.ID, o.Tier, o.RunningOn)
 	}
 	h.refuse(refusals)
 	h.decide()
--- a/internal/schedbench/dispatcher.go
+++ b/internal/schedbench/dispatcher.go
@@ -65,7 +65,7 @@
 	delete(d.jobs, j.id)
 	r := sched.Release{ID: sched.ID{Entry: entryName, Number: j.id}, Outcome: sched.Canceled, CachedTokens: j.cached}
 	if j.whole {
-		r.Outcome = sched.Done
+		r.Outcome = sched.Completed
 		r.Prefill = j.first - j.started
 		r.Decode = j.ended - j.first
 		r.OutputTokens = j.output
@@ -132,7 +132,7 @@
 	for _, r := range out.Refusals {
 		j := d.jobs[r.ID.Number]
 		delete(d.jobs, r.ID.Number)
-		w.refuse(j, string(r.Code), r.Code != sched.Overload)
+		w.refuse(j, string(r.Code), r.Code != sched.Overloaded)
 	}
 }
 
--- a/internal/schedclient/places_test.go
+++ b/internal/schedclient/places_test.go
@@ -57,7 +57,7 @@
 		require.NoError(t, got.err)
 		time.Sleep(2 * farIdle)
 		require.Contains(t, b.regionsSpoken(), "there", "the request still runs")
-		got.ticket.Release(sched.Release{Outcome: sched.Done})
+		got.ticket.Release(sched.Release{Outcome: sched.Completed})
 		time.Sleep(2 * farIdle)
 		require.Equal(t, []string{"here"}, b.regionsSpoken())
 	})
--- a/internal/schedclient/session_test.go
+++ b/internal/schedclient/session_test.go
@@ -208,8 +208,8 @@
 		require.Empty(t, waiting, "a grant of an earlier epoch")
 		second.grant(2, 2)
 		require.NoError(t, (<-waiting).err)
-		got.ticket.Release(sched.Release{Outcome: sched.Done})
-		got.ticket.Release(sched.Release{Outcome: sched.Done})
+		got.ticket.Release(sched.Release{Outcome: sched.Completed})
+		got.ticket.Release(sched.Release{Outcome: sched.Completed})
 		require.Len(t, second.read().Releases, 1)
 	})
 }
@@ -243,7 +243,7 @@
 		d.grant(1, 1)
 		got := <-w
 		d.end()
-		got.ticket.Release(sched.Release{Outcome: sched.Broken})
+		got.ticket.Release(sched.Release{Outcome: sched.ConnectionLost})
 		d = b.at("a")
 		go d.beat(1)
 		hello := d.read()
@@ -276,9 +276,9 @@
 		passed := there.read().Offers
 		require.Len(t, passed, 1)
 		require.Equal(t, "here", passed[0].Spilled)
-		there.refuse(1, passed[0].Id, sched.Overload)
+		there.refuse(1, passed[0].Id, sched.Overloaded)
 		here.read()
-		here.refuse(1, 3, sched.Overload)
+		here.refuse(1, 3, sched.Overloaded)
 		e := fault.From((<-w).err)
 		require.Equal(t, fault.Overloaded, e.Kind)
 		require.Equal(t, fault.NotRun, e.Ran)
