--- a/core/claims/claims.go
+++ b/core/claims/claims.go
@@ -31,32 +31,33 @@
 )
 
 const (
-	// ResumeTries bounds consecutive resume attempts of one stream that bring no
-	// progress.
-	ResumeTries = 5
-	// FetchTries bounds consecutive calls without progress to the entry that
-	// holds an answer, before that entry is considered gone.
-	FetchTries = 3
+	// MaxResumeAttempts bounds consecutive resume attempts of one stream that
+	// bring no progress.
+	MaxResumeAttempts = 5
+	// MaxFetchAttempts bounds consecutive calls without progress to the entry
+	// that holds an answer, before that entry is considered gone.
+	MaxFetchAttempts = 3
 )
 
 // Request describes the request that a Machine handles.
 type Request struct {
 	Workspace string
 	Key       string
-	// Keyed is set if the caller supplied the key; the request is claimed in the
-	// log before it is sent.
+	// Keyed is set if the caller supplied the key; the request is claimed in
+	// the log before it is sent.
 	Keyed bool
-	// Join is set if the machine only follows an existing claim and dispatches
-	// nothing.
-	Join bool
-	// Plain is set for a call to a plain service, whose reply can't be resumed.
-	Plain  bool
-	Digest string
-	Pool   string
-	// Known is the newest attempt under the key that the entry knew to be marked
-	// as not run when it accepted the request; zero for none. Only a request
-	// accepted after such a mark may run as the next attempt.
-	Known uint64
+	// JoinOnly is set if the machine only follows an existing claim and
+	// dispatches nothing.
+	JoinOnly bool
+	// PlainService is set for a call to a plain service, whose reply can't be
+	// resumed.
+	PlainService bool
+	Digest       string
+	Pool         string
+	// KnownNotRunAttempt is the newest attempt under the key that the entry
+	// knew to be marked as not run when it accepted the request; zero for none.
+	// Only a request accepted after such a mark may run as the next attempt.
+	KnownNotRunAttempt uint64
 	// Stream identifies the only dispatch that this machine makes.
 	Stream string
 	// Entry is the peer address of the entry that runs the machine.
@@ -82,8 +83,8 @@
 	claim          state.Claim
 	received       int64
 	failedAttempts int
-	// moveAttempted is set once a move to another engine was requested; there is
-	// no second one.
+	// moveAttempted is set once a move to another engine was requested; there
+	// is no second one.
 	moveAttempted bool
 	// pendingFailure is the failure that a keyed request ends with once its key
 	// is marked as not run.
@@ -146,7 +147,7 @@
 		return m.join(e.Claim)
 	case Failed, Canceled, Expired:
 		// An earlier attempt under the key may have run.
-		return m.fail(Failure{Code: NoLog, Ran: MayHaveRun})
+		return m.fail(Failure{Code: LogUnavailable, Ran: MayHaveRun})
 	}
 	return nil
 }
@@ -156,25 +157,25 @@
 	switch {
 	case c.Digest != m.request.Digest:
 		return m.fail(Failure{Code: KeyConflict, Ran: NotRun})
-	case c.NotRun && max(c.Attempt, 1) <= m.request.Known:
+	case c.NotRun && max(c.Attempt, 1) <= m.request.KnownNotRunAttempt:
 		m.attempt = max(c.Attempt, 1) + 1
 		return m.enqueue()
 	case c.NotRun:
-		return m.failRefusedBefore(c)
+		return m.failAlreadyRefused(c)
 	}
 	return m.follow(c)
 }
 
-// failRefusedBefore ends a request whose key another entry marked as not run,
+// failAlreadyRefused ends a request whose key another entry marked as not run,
 // possibly after this request was accepted.
-func (m *Machine) failRefusedBefore(c state.Claim) []Effect {
-	out := append(m.releaseSlot(SlotNotSent), Effect{Kind: Remember, Claim: c})
-	return append(out, m.fail(Failure{Code: RefusedBefore, Ran: NotRun})...)
+func (m *Machine) failAlreadyRefused(c state.Claim) []Effect {
+	out := append(m.releaseSlot(SlotNotSent), Effect{Kind: RecordNotRun, Claim: c})
+	return append(out, m.fail(Failure{Code: AlreadyRefused, Ran: NotRun})...)
 }
 
 func (m *Machine) enqueue() []Effect {
-	if m.request.Join {
-		return m.fail(Failure{Code: NoClaim, Ran: MayHaveRun})
+	if m.request.JoinOnly {
+		return m.fail(Failure{Code: ClaimNotFound, Ran: MayHaveRun})
 	}
 	m.state = Queued
 	return []Effect{{Kind: Acquire}}
@@ -192,7 +193,7 @@
 		return append([]Effect{begun}, m.fail(Failure{Code: OutcomeUnknown, Ran: MayHaveRun})...)
 	case c.Done && int64(len(c.Body)) == c.Length:
 		m.state = Ended
-		return []Effect{begun, {Kind: Recorded, Claim: c}}
+		return []Effect{begun, {Kind: ServeRecorded, Claim: c}}
 	case c.Entry == m.request.Entry:
 		return append([]Effect{begun}, m.adoptOrphaned()...)
 	}
@@ -202,18 +203,18 @@
 
 func (m *Machine) handleQueued(e Event) []Effect {
 	switch e.Kind {
-	case GrantGiven:
+	case GrantReceived:
 		m.state = Granted
 		m.upstream = e.Upstream
 		m.address = e.Address
 		m.holdsSlot = true
 		return []Effect{{Kind: Dial, Address: e.Address}}
 	case Refused, Failed:
-		return m.refuse(Failure{Code: Refusal, Ran: NotRun})
+		return m.refuse(Failure{Code: SchedulerRefused, Ran: NotRun})
 	case Canceled:
-		return m.refuse(Failure{Code: CallerGone, Ran: NotRun})
+		return m.refuse(Failure{Code: CallerDisconnected, Ran: NotRun})
 	case Expired:
-		return m.refuse(Failure{Code: TooLate, Ran: NotRun})
+		return m.refuse(Failure{Code: DeadlineExceeded, Ran: NotRun})
 	}
 	return nil
 }
@@ -231,21 +232,21 @@
 	mark := m.claimProposal()
 	mark.Done = true
 	mark.NotRun = true
-	return append(out, Effect{Kind: Propose, Claim: mark, Last: true})
+	return append(out, Effect{Kind: Propose, Claim: mark, Urgent: true})
 }
 
 func (m *Machine) handleRefusing(e Event) []Effect {
 	switch e.Kind {
-	case ClaimMade:
-		return append([]Effect{{Kind: Remember, Claim: m.claimProposal()}}, m.fail(m.pendingFailure)...)
+	case ClaimCommitted:
+		return append([]Effect{{Kind: RecordNotRun, Claim: m.claimProposal()}}, m.fail(m.pendingFailure)...)
 	case ClaimExists:
 		if e.Claim.NotRun {
-			return m.failRefusedBefore(e.Claim)
+			return m.failAlreadyRefused(e.Claim)
 		}
 		return m.follow(e.Claim)
 	case ClaimConflict:
 		return m.fail(Failure{Code: KeyConflict, Ran: NotRun})
-	case ClaimLost, Failed, Canceled, Expired:
+	case ClaimUnconfirmed, Failed, Canceled, Expired:
 		f := m.pendingFailure
 		f.Ran = MayHaveRun
 		return m.fail(f)
@@ -264,11 +265,11 @@
 		return []Effect{{Kind: Propose, Claim: m.claimProposal()}}
 	case Unreachable:
 		m.state = Queued
-		return append(m.releaseSlot(SlotNotSent), Effect{Kind: Acquire, Pause: true})
+		return append(m.releaseSlot(SlotNotSent), Effect{Kind: Acquire, Delayed: true})
 	case Canceled:
-		return m.refuse(Failure{Code: CallerGone, Ran: NotRun})
+		return m.refuse(Failure{Code: CallerDisconnected, Ran: NotRun})
 	case Expired:
-		return m.refuse(Failure{Code: TooLate, Ran: NotRun})
+		return m.refuse(Failure{Code: DeadlineExceeded, Ran: NotRun})
 	}
 	return nil
 }
@@ -288,25 +289,25 @@
 
 func (m *Machine) handleClaiming(e Event) []Effect {
 	switch e.Kind {
-	case ClaimMade:
+	case ClaimCommitted:
 		m.ownsClaim = true
 		return m.dispatch()
 	case ClaimExists:
 		if e.Claim.NotRun {
-			return m.failRefusedBefore(e.Claim)
+			return m.failAlreadyRefused(e.Claim)
 		}
 		return append(m.releaseSlot(SlotNotSent), m.follow(e.Claim)...)
 	case ClaimConflict:
 		return append(m.releaseSlot(SlotNotSent), m.fail(Failure{Code: KeyConflict, Ran: NotRun})...)
-	case ClaimLost:
-		// A proposal of the same stream is idempotent: the log returns the result
-		// of the first one.
-		return []Effect{{Kind: Propose, Claim: m.claimProposal(), Pause: true}}
+	case ClaimUnconfirmed:
+		// A proposal of the same stream is idempotent: the log returns the
+		// result of the first one.
+		return []Effect{{Kind: Propose, Claim: m.claimProposal(), Delayed: true}}
 	case Failed, Canceled, Expired:
 		// Whether the claim was committed is not known. Nothing was sent under
 		// it, so it is marked as not run in the background.
-		out := append(m.releaseSlot(SlotNotSent), Effect{Kind: Settle, Claim: m.claimProposal()})
-		return append(out, m.fail(Failure{Code: NoLog, Ran: MayHaveRun})...)
+		out := append(m.releaseSlot(SlotNotSent), Effect{Kind: ResolveClaim, Claim: m.claimProposal()})
+		return append(out, m.fail(Failure{Code: LogUnavailable, Ran: MayHaveRun})...)
 	}
 	return nil
 }
@@ -321,23 +322,23 @@
 		return m.complete()
 	case NothingSent:
 		out := append(m.releaseSlot(SlotNotSent), m.finishClaim(state.Finish{NotRun: true})...)
-		out = append(out, Effect{Kind: Remember, Claim: m.claimProposal()})
+		out = append(out, Effect{Kind: RecordNotRun, Claim: m.claimProposal()})
 		return append(out, m.fail(Failure{Code: NotSent, Ran: NotRun})...)
 	case Rejected:
-		// The request was sent, so its key can't be used again. Only the upstream
-		// states that it did not run, which is no proof.
+		// The request was sent, so its key can't be used again. Only the
+		// upstream states that it did not run, which is no proof.
 		out := append(m.releaseSlot(SlotNotSent), m.finishClaim(state.Finish{Unknown: true})...)
 		return append(out, m.fail(Failure{Code: UpstreamRefused, Ran: MayHaveRun})...)
-	case SendBroken:
-		if m.request.Plain {
+	case SendInterrupted:
+		if m.request.PlainService {
 			return m.failUnknown()
 		}
 		m.state = Resuming
 		return []Effect{{Kind: Resume, Address: m.address, Stream: m.stream}}
 	case Canceled:
-		return m.abort(Failure{Code: CallerGone, Ran: MayHaveRun})
+		return m.abort(Failure{Code: CallerDisconnected, Ran: MayHaveRun})
 	case Expired:
-		return m.abort(Failure{Code: TooLate, Ran: MayHaveRun})
+		return m.abort(Failure{Code: DeadlineExceeded, Ran: MayHaveRun})
 	}
 	return nil
 }
@@ -346,7 +347,7 @@
 	switch e.Kind {
 	case FrameRead:
 		return m.handleFrame(e.Frame)
-	case Broken:
+	case ConnectionLost:
 		return m.retry()
 	case Moved:
 		// Frames that the old engine still sends are read until its connection
@@ -356,9 +357,9 @@
 	case MoveFailed:
 		return []Effect{{Kind: Receive}}
 	case Canceled:
-		return m.abort(Failure{Code: CallerGone, Ran: DidRun})
+		return m.abort(Failure{Code: CallerDisconnected, Ran: DidRun})
 	case Expired:
-		return m.abort(Failure{Code: TooLate, Ran: DidRun})
+		return m.abort(Failure{Code: DeadlineExceeded, Ran: DidRun})
 	}
 	return nil
 }
@@ -388,34 +389,34 @@
 }
 
 func (m *Machine) failUpstream(f Frame) []Effect {
-	out := append(m.releaseSlot(SlotBroken), m.finishClaim(state.Finish{Unknown: true})...)
+	out := append(m.releaseSlot(SlotConnectionLost), m.finishClaim(state.Finish{Unknown: true})...)
 	return append(out, m.fail(Failure{Code: UpstreamFailed, Ran: DidRun, Detail: f.Error})...)
 }
 
-// complete ends the request with its complete answer. A plain service's reply is
-// recorded before it is delivered to the caller, because it can't be fetched
+// complete ends the request with its complete answer. A plain service's reply
+// is recorded before it is delivered to the caller, because it can't be fetched
 // again.
 func (m *Machine) complete() []Effect {
-	out := m.releaseSlot(SlotDone)
+	out := m.releaseSlot(SlotCompleted)
 	record := m.finishClaim(state.Finish{Length: m.received})
 	end := Effect{Kind: End}
 	m.state = Ended
-	if m.request.Plain {
+	if m.request.PlainService {
 		return append(append(out, record...), end)
 	}
 	return append(append(out, end), record...)
 }
 
 // retry closes the connection and resumes the stream over a new one. After
-// ResumeTries attempts without progress the outcome is unknown.
+// MaxResumeAttempts attempts without progress the outcome is unknown.
 func (m *Machine) retry() []Effect {
 	m.failedAttempts++
-	retire := Effect{Kind: Retire}
-	if m.failedAttempts > ResumeTries {
+	retire := Effect{Kind: CloseConnection}
+	if m.failedAttempts > MaxResumeAttempts {
 		return append([]Effect{retire}, m.failUnknown()...)
 	}
 	m.state = Resuming
-	return []Effect{retire, {Kind: Resume, Address: m.address, Stream: m.stream, Offset: m.received, Pause: m.failedAttempts > 1}}
+	return []Effect{retire, {Kind: Resume, Address: m.address, Stream: m.stream, Offset: m.received, Delayed: m.failedAttempts > 1}}
 }
 
 func (m *Machine) handleResuming(e Event) []Effect {
@@ -423,12 +424,12 @@
 	case Started:
 		m.state = Streaming
 		return []Effect{{Kind: Receive}}
-	case Broken, Unreachable, Rejected, SendBroken, NothingSent:
+	case ConnectionLost, Unreachable, Rejected, SendInterrupted, NothingSent:
 		return m.retry()
 	case Canceled:
-		return m.abort(Failure{Code: CallerGone, Ran: MayHaveRun})
+		return m.abort(Failure{Code: CallerDisconnected, Ran: MayHaveRun})
 	case Expired:
-		return m.abort(Failure{Code: TooLate, Ran: MayHaveRun})
+		return m.abort(Failure{Code: DeadlineExceeded, Ran: MayHaveRun})
 	}
 	return nil
 }
@@ -439,39 +440,39 @@
 		m.state = Ended
 		return []Effect{{Kind: End}}
 	case FetchFailed:
-		return m.fail(Failure{Code: OwnersFailure})
-	case FetchBroken:
+		return m.fail(Failure{Code: OwnerFailure})
+	case FetchInterrupted:
 		m.failedAttempts++
 		if e.Length > m.received {
 			m.failedAttempts = 0
 		}
 		m.received = max(m.received, e.Length)
-		if m.failedAttempts < FetchTries {
-			return []Effect{{Kind: Fetch, Address: m.owner, Stream: m.stream, Offset: m.received, Pause: true}}
+		if m.failedAttempts < MaxFetchAttempts {
+			return []Effect{{Kind: Fetch, Address: m.owner, Stream: m.stream, Offset: m.received, Delayed: true}}
 		}
 		return m.adoptOrphaned()
-	case FetchUnheld, OwnerDead:
+	case AnswerNotHeld, OwnerDead:
 		m.received = max(m.received, e.Length)
 		return m.adoptOrphaned()
 	case Canceled:
-		return m.fail(Failure{Code: CallerGone, Ran: MayHaveRun})
+		return m.fail(Failure{Code: CallerDisconnected, Ran: MayHaveRun})
 	case Expired:
-		return m.fail(Failure{Code: TooLate, Ran: MayHaveRun})
+		return m.fail(Failure{Code: DeadlineExceeded, Ran: MayHaveRun})
 	}
 	return nil
 }
 
-// adoptOrphaned continues a request whose dispatching entry is gone: an engine's
-// stream is resumed, the outcome of a plain service's call is unknown.
+// adoptOrphaned continues a request whose dispatching entry is gone: an
+// engine's stream is resumed, the outcome of a plain service's call is unknown.
 func (m *Machine) adoptOrphaned() []Effect {
 	m.failedAttempts = 0
-	if !m.request.Plain {
+	if !m.request.PlainService {
 		m.ownsClaim = !m.claim.Done
 		m.state = Resuming
 		return []Effect{{Kind: Resume, Address: m.address, Stream: m.stream, Offset: m.received}}
 	}
 	if m.claim.Done {
-		return m.fail(Failure{Code: AnswerLost, Ran: DidRun})
+		return m.fail(Failure{Code: AnswerUnavailable, Ran: DidRun})
 	}
 	m.ownsClaim = true
 	return m.failUnknown()
@@ -479,17 +480,18 @@
 
 // failUnknown ends a request whose outcome can't be determined.
 func (m *Machine) failUnknown() []Effect {
-	out := append(m.releaseSlot(SlotBroken), m.finishClaim(state.Finish{Unknown: true})...)
+	out := append(m.releaseSlot(SlotConnectionLost), m.finishClaim(state.Finish{Unknown: true})...)
 	return append(out, m.fail(Failure{Code: OutcomeUnknown, Ran: MayHaveRun})...)
 }
 
 func (m *Machine) abort(f Failure) []Effect {
-	out := []Effect{{Kind: Retire}}
+	out := []Effect{{Kind: CloseConnection}}
 	if m.stream != m.request.Stream {
-		// The dispatch belongs to another entry and continues without this reader.
+		// The dispatch belongs to another entry and continues without this
+		// reader.
 		return append(out, m.fail(f)...)
 	}
-	if !m.request.Plain {
+	if !m.request.PlainService {
 		out = append(out, Effect{Kind: Cancel, Address: m.address, Stream: m.stream})
 	}
 	out = append(out, m.releaseSlot(SlotCanceled)...)
--- a/core/claims/claims_test.go
+++ b/core/claims/claims_test.go
@@ -11,9 +11,9 @@
 
 // allEvents lists every event kind.
 var allEvents = []EventKind{
-	Begin, Found, NotFound, GrantGiven, Refused, Connected, Unreachable, ClaimMade, ClaimExists, ClaimConflict,
-	ClaimLost, Started, Replied, NothingSent, Rejected, SendBroken, FrameRead, Broken, Moved, MoveFailed, Fetched, FetchFailed,
-	FetchBroken, FetchUnheld, OwnerDead, Canceled, Expired, Failed,
+	Begin, Found, NotFound, GrantReceived, Refused, Connected, Unreachable, ClaimCommitted, ClaimExists, ClaimConflict,
+	ClaimUnconfirmed, Started, Replied, NothingSent, Rejected, SendInterrupted, FrameRead, ConnectionLost, Moved, MoveFailed, Fetched, FetchFailed,
+	FetchInterrupted, AnswerNotHeld, OwnerDead, Canceled, Expired, Failed,
 }
 
 // invariantChecker counts events and effects of one request and checks the
@@ -26,11 +26,11 @@
 
 func (c *invariantChecker) observeEvent(e Event) {
 	switch e.Kind {
-	case GrantGiven:
+	case GrantReceived:
 		c.grants++
-	case ClaimMade:
+	case ClaimCommitted:
 		c.hasClaim = true
-	case Started, Replied, SendBroken, Rejected:
+	case Started, Replied, SendInterrupted, Rejected:
 		c.reachedUpstream = true
 	}
 }
@@ -46,7 +46,7 @@
 			require.True(t, !keyed || c.hasClaim, "a keyed request is sent only after its claim")
 		case Release:
 			c.releases++
-		case End, Recorded:
+		case End, ServeRecorded:
 			c.ends++
 			c.completed = true
 		case Fail:
@@ -78,7 +78,7 @@
 // machine and checks its invariants after each step.
 func TestEveryFaultAtEveryStep(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		r := Request{Workspace: "w", Key: "k", Digest: "d", Stream: "own", Entry: "self", Keyed: rapid.Bool().Draw(t, "keyed"), Join: rapid.Bool().Draw(t, "join"), Plain: rapid.Bool().Draw(t, "plain")}
+		r := Request{Workspace: "w", Key: "k", Digest: "d", Stream: "own", Entry: "self", Keyed: rapid.Bool().Draw(t, "keyed"), JoinOnly: rapid.Bool().Draw(t, "join"), PlainService: rapid.Bool().Draw(t, "plain")}
 		m := NewMachine(r)
 		seen := invariantChecker{}
 		require.Equal(t, 1, seen.observeEffects(t, r.Keyed, m.Step(Event{Kind: Begin})))
@@ -110,8 +110,8 @@
 	})
 }
 
-// runEvents starts the machine, passes it the events and returns the effects of the
-// last one.
+// runEvents starts the machine, passes it the events and returns the effects of
+// the last one.
 func runEvents(m *Machine, events ...Event) []Effect {
 	out := m.Step(Event{Kind: Begin})
 	for _, e := range events {
@@ -129,11 +129,11 @@
 }
 
 func newKeyedMachine(plain bool) *Machine {
-	return NewMachine(Request{Workspace: "w", Key: "k", Digest: "d", Stream: "own", Entry: "self", Keyed: true, Plain: plain})
+	return NewMachine(Request{Workspace: "w", Key: "k", Digest: "d", Stream: "own", Entry: "self", Keyed: true, PlainService: plain})
 }
 
 var (
-	grantReceived = Event{Kind: GrantGiven, Upstream: "u", Address: "a"}
+	grantReceived = Event{Kind: GrantReceived, Upstream: "u", Address: "a"}
 	connected     = Event{Kind: Connected}
 )
 
@@ -149,26 +149,26 @@
 		code Code
 		ran  Ran
 	}{
-		{"whole stream", false, []Event{missing, grantReceived, connected, {Kind: ClaimMade}, {Kind: Started}, {Kind: FrameRead, Frame: Frame{Stream: "own", Length: 2, End: true}}}, []EffectKind{Deliver, Release, End, Finish}, "", ""},
-		{"end at a wrong offset", false, []Event{missing, grantReceived, connected, {Kind: ClaimMade}, {Kind: Started}, {Kind: FrameRead, Frame: Frame{Stream: "own", Offset: 5, End: true}}}, []EffectKind{Retire, Resume}, "", ""},
-		{"engine shuts down", false, []Event{missing, grantReceived, connected, {Kind: ClaimMade}, {Kind: Started}, {Kind: FrameRead, Frame: Frame{Stream: "own", Leaving: true}}}, []EffectKind{Deliver, Move}, "", ""},
-		{"moved", false, []Event{missing, grantReceived, connected, {Kind: ClaimMade}, {Kind: Started}, {Kind: FrameRead, Frame: Frame{Stream: "own", Leaving: true}}, {Kind: Moved, Address: "b"}, {Kind: Broken}}, []EffectKind{Retire, Resume}, "", ""},
-		{"moved only once", false, []Event{missing, grantReceived, connected, {Kind: ClaimMade}, {Kind: Started}, {Kind: FrameRead, Frame: Frame{Stream: "own", Leaving: true}}, {Kind: MoveFailed}, {Kind: FrameRead, Frame: Frame{Stream: "own", Leaving: true}}}, []EffectKind{Deliver, Receive}, "", ""},
-		{"frame of another stream", false, []Event{missing, grantReceived, connected, {Kind: ClaimMade}, {Kind: Started}, {Kind: FrameRead, Frame: Frame{Stream: "x", Length: 2}}}, []EffectKind{Retire, Resume}, "", ""},
-		{"unconfirmed claim is proposed again", false, []Event{missing, grantReceived, connected, {Kind: ClaimLost}}, []EffectKind{Propose}, "", ""},
-		{"unconfirmed claim until the deadline", false, []Event{missing, grantReceived, connected, {Kind: ClaimLost}, {Kind: Expired}}, []EffectKind{Release, Settle, Fail}, NoLog, MayHaveRun},
-		{"nothing sent after the claim", true, []Event{missing, grantReceived, connected, {Kind: ClaimMade}, {Kind: NothingSent}}, []EffectKind{Release, Finish, Remember, Fail}, NotSent, NotRun},
-		{"engine refuses to start", false, []Event{missing, grantReceived, connected, {Kind: ClaimMade}, {Kind: Rejected}}, []EffectKind{Release, Finish, Fail}, UpstreamRefused, MayHaveRun},
-		{"connection to a plain service fails", true, []Event{missing, grantReceived, connected, {Kind: ClaimMade}, {Kind: SendBroken}}, []EffectKind{Release, Finish, Fail}, OutcomeUnknown, MayHaveRun},
+		{"whole stream", false, []Event{missing, grantReceived, connected, {Kind: ClaimCommitted}, {Kind: Started}, {Kind: FrameRead, Frame: Frame{Stream: "own", Length: 2, End: true}}}, []EffectKind{Deliver, Release, End, Finish}, "", ""},
+		{"end at a wrong offset", false, []Event{missing, grantReceived, connected, {Kind: ClaimCommitted}, {Kind: Started}, {Kind: FrameRead, Frame: Frame{Stream: "own", Offset: 5, End: true}}}, []EffectKind{CloseConnection, Resume}, "", ""},
+		{"engine shuts down", false, []Event{missing, grantReceived, connected, {Kind: ClaimCommitted}, {Kind: Started}, {Kind: FrameRead, Frame: Frame{Stream: "own", Leaving: true}}}, []EffectKind{Deliver, Move}, "", ""},
+		{"moved", false, []Event{missing, grantReceived, connected, {Kind: ClaimCommitted}, {Kind: Started}, {Kind: FrameRead, Frame: Frame{Stream: "own", Leaving: true}}, {Kind: Moved, Address: "b"}, {Kind: ConnectionLost}}, []EffectKind{CloseConnection, Resume}, "", ""},
+		{"moved only once", false, []Event{missing, grantReceived, connected, {Kind: ClaimCommitted}, {Kind: Started}, {Kind: FrameRead, Frame: Frame{Stream: "own", Leaving: true}}, {Kind: MoveFailed}, {Kind: FrameRead, Frame: Frame{Stream: "own", Leaving: true}}}, []EffectKind{Deliver, Receive}, "", ""},
+		{"frame of another stream", false, []Event{missing, grantReceived, connected, {Kind: ClaimCommitted}, {Kind: Started}, {Kind: FrameRead, Frame: Frame{Stream: "x", Length: 2}}}, []EffectKind{CloseConnection, Resume}, "", ""},
+		{"unconfirmed claim is proposed again", false, []Event{missing, grantReceived, connected, {Kind: ClaimUnconfirmed}}, []EffectKind{Propose}, "", ""},
+		{"unconfirmed claim until the deadline", false, []Event{missing, grantReceived, connected, {Kind: ClaimUnconfirmed}, {Kind: Expired}}, []EffectKind{Release, ResolveClaim, Fail}, LogUnavailable, MayHaveRun},
+		{"nothing sent after the claim", true, []Event{missing, grantReceived, connected, {Kind: ClaimCommitted}, {Kind: NothingSent}}, []EffectKind{Release, Finish, RecordNotRun, Fail}, NotSent, NotRun},
+		{"engine refuses to start", false, []Event{missing, grantReceived, connected, {Kind: ClaimCommitted}, {Kind: Rejected}}, []EffectKind{Release, Finish, Fail}, UpstreamRefused, MayHaveRun},
+		{"connection to a plain service fails", true, []Event{missing, grantReceived, connected, {Kind: ClaimCommitted}, {Kind: SendInterrupted}}, []EffectKind{Release, Finish, Fail}, OutcomeUnknown, MayHaveRun},
 		{"answer is fetched from the owner", true, []Event{{Kind: Found, Claim: peers}}, []EffectKind{Dispatched, Fetch}, "", ""},
-		{"owner gone, plain service", true, []Event{{Kind: Found, Claim: peers}, {Kind: FetchUnheld}}, []EffectKind{Finish, Fail}, OutcomeUnknown, MayHaveRun},
-		{"owner gone, engine", false, []Event{{Kind: Found, Claim: peers}, {Kind: FetchUnheld, Length: 7}}, []EffectKind{Resume}, "", ""},
+		{"owner gone, plain service", true, []Event{{Kind: Found, Claim: peers}, {Kind: AnswerNotHeld}}, []EffectKind{Finish, Fail}, OutcomeUnknown, MayHaveRun},
+		{"owner gone, engine", false, []Event{{Kind: Found, Claim: peers}, {Kind: AnswerNotHeld, Length: 7}}, []EffectKind{Resume}, "", ""},
 		{"refusal marks the key", false, []Event{missing, {Kind: Refused}}, []EffectKind{Propose}, "", ""},
 		{"refusal while another runs it", false, []Event{missing, {Kind: Refused}, {Kind: ClaimExists, Claim: peers}}, []EffectKind{Dispatched, Fetch}, "", ""},
-		{"refusal that could not be marked", false, []Event{missing, {Kind: Refused}, {Kind: ClaimLost}}, []EffectKind{Fail}, Refusal, MayHaveRun},
-		{"lookup fails", false, []Event{{Kind: Failed}}, []EffectKind{Fail}, NoLog, MayHaveRun},
+		{"refusal that could not be marked", false, []Event{missing, {Kind: Refused}, {Kind: ClaimUnconfirmed}}, []EffectKind{Fail}, SchedulerRefused, MayHaveRun},
+		{"lookup fails", false, []Event{{Kind: Failed}}, []EffectKind{Fail}, LogUnavailable, MayHaveRun},
 		{"key claimed for different content", false, []Event{{Kind: Found, Claim: state.Claim{Digest: "e"}}}, []EffectKind{Fail}, KeyConflict, NotRun},
-		{"refused elsewhere", false, []Event{{Kind: Found, Claim: state.Claim{Digest: "d", NotRun: true, Done: true}}}, []EffectKind{Remember, Fail}, RefusedBefore, NotRun},
+		{"refused elsewhere", false, []Event{{Kind: Found, Claim: state.Claim{Digest: "d", NotRun: true, Done: true}}}, []EffectKind{RecordNotRun, Fail}, AlreadyRefused, NotRun},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -194,20 +194,20 @@
 	claim := a.Step(connected)[0].Claim
 	result := log.Apply(state.Command{Claim: &claim})
 	require.Equal(t, state.Exists, result.Status)
-	require.Equal(t, []EffectKind{Release, Remember, Fail}, kinds(a.Step(Event{Kind: ClaimExists, Claim: *result.Claim})))
+	require.Equal(t, []EffectKind{Release, RecordNotRun, Fail}, kinds(a.Step(Event{Kind: ClaimExists, Claim: *result.Claim})))
 
 	c := newKeyedMachine(false)
 	c.request.Stream = "c"
-	c.request.Known = 1
+	c.request.KnownNotRunAttempt = 1
 	again := runEvents(c, Event{Kind: Found, Claim: *result.Claim}, grantReceived, connected)[0].Claim
 	require.Equal(t, state.OK, log.Apply(state.Command{Claim: &again}).Status)
 }
 
 func TestResumeIsBounded(t *testing.T) {
 	m := newKeyedMachine(false)
-	runEvents(m, Event{Kind: NotFound}, grantReceived, connected, Event{Kind: ClaimMade}, Event{Kind: Started})
-	for range ResumeTries {
-		require.Equal(t, []EffectKind{Retire, Resume}, kinds(m.Step(Event{Kind: Broken})))
+	runEvents(m, Event{Kind: NotFound}, grantReceived, connected, Event{Kind: ClaimCommitted}, Event{Kind: Started})
+	for range MaxResumeAttempts {
+		require.Equal(t, []EffectKind{CloseConnection, Resume}, kinds(m.Step(Event{Kind: ConnectionLost})))
 	}
-	require.Equal(t, []EffectKind{Retire, Release, Finish, Fail}, kinds(m.Step(Event{Kind: Unreachable})))
+	require.Equal(t, []EffectKind{CloseConnection, Release, Finish, Fail}, kinds(m.Step(Event{Kind: Unreachable})))
 }
--- a/core/claims/event.go
+++ b/core/claims/event.go
@@ -12,18 +12,19 @@
 	// Found and NotFound answer a Lookup.
 	Found    EventKind = "found"
 	NotFound EventKind = "not_found"
-	// GrantGiven and Refused answer an Acquire.
-	GrantGiven EventKind = "granted"
-	Refused    EventKind = "refused"
+	// GrantReceived and Refused answer an Acquire.
+	GrantReceived EventKind = "granted"
+	Refused       EventKind = "refused"
 	// Connected and Unreachable answer a Dial.
 	Connected   EventKind = "connected"
 	Unreachable EventKind = "unreachable"
-	// ClaimMade, ClaimExists, ClaimConflict and ClaimLost answer a Propose.
-	// After ClaimLost the claim may or may not have been committed.
-	ClaimMade     EventKind = "claim_made"
-	ClaimExists   EventKind = "claim_exists"
-	ClaimConflict EventKind = "claim_conflict"
-	ClaimLost     EventKind = "claim_lost"
+	// ClaimCommitted, ClaimExists, ClaimConflict and ClaimUnconfirmed answer a
+	// Propose. After ClaimUnconfirmed the claim may or may not have been
+	// committed.
+	ClaimCommitted   EventKind = "claim_made"
+	ClaimExists      EventKind = "claim_exists"
+	ClaimConflict    EventKind = "claim_conflict"
+	ClaimUnconfirmed EventKind = "claim_lost"
 	// Started answers a Send or Resume: frames follow.
 	Started EventKind = "started"
 	// Replied answers a Send to a plain service with its whole reply.
@@ -32,23 +33,23 @@
 	NothingSent EventKind = "nothing_sent"
 	// Rejected reports that the upstream refused to run the request.
 	Rejected EventKind = "rejected"
-	// SendBroken reports that the connection failed during the send; the upstream
-	// may have received the request.
-	SendBroken EventKind = "send_broken"
-	// FrameRead and Broken answer a Receive: the next frame, or a connection that
-	// failed or was silent for too long.
-	FrameRead EventKind = "frame"
-	Broken    EventKind = "broken"
+	// SendInterrupted reports that the connection failed during the send; the
+	// upstream may have received the request.
+	SendInterrupted EventKind = "send_broken"
+	// FrameRead and ConnectionLost answer a Receive: the next frame, or a
+	// connection that failed or was silent for too long.
+	FrameRead      EventKind = "frame"
+	ConnectionLost EventKind = "broken"
 	// Moved and MoveFailed answer a Move.
 	Moved      EventKind = "moved"
 	MoveFailed EventKind = "move_failed"
-	// Fetched, FetchFailed, FetchBroken and FetchUnheld answer a Fetch: the end
-	// of the answer, the failure that it ended in, a lost connection, and an
-	// owner that does not hold the answer.
-	Fetched     EventKind = "fetched"
-	FetchFailed EventKind = "fetch_failed"
-	FetchBroken EventKind = "fetch_broken"
-	FetchUnheld EventKind = "fetch_unheld"
+	// Fetched, FetchFailed, FetchInterrupted and AnswerNotHeld answer a Fetch:
+	// the end of the answer, the failure that it ended in, a lost connection,
+	// and an owner that does not hold the answer.
+	Fetched          EventKind = "fetched"
+	FetchFailed      EventKind = "fetch_failed"
+	FetchInterrupted EventKind = "fetch_broken"
+	AnswerNotHeld    EventKind = "fetch_unheld"
 	// OwnerDead answers a Fetch whose connection failed while the membership
 	// protocol reports the owner as dead.
 	OwnerDead EventKind = "owner_dead"
@@ -73,7 +74,8 @@
 // Frame describes one frame of a stream, without its content.
 type Frame struct {
 	Stream string
-	// Offset is the frame's position in the answer and Length its size, in bytes.
+	// Offset is the frame's position in the answer and Length its size, in
+	// bytes.
 	Offset int64
 	Length int64
 	// End is set on the last frame of the stream.
@@ -88,7 +90,8 @@
 // EffectKind is the type of an effect.
 type EffectKind string
 
-// Kinds of effects. Those of the first group are awaited: an event answers each.
+// Kinds of effects. Those of the first group are awaited: an event answers
+// each.
 const (
 	// Lookup reads the claim on the request's key.
 	Lookup EffectKind = "lookup"
@@ -96,8 +99,8 @@
 	Acquire EffectKind = "acquire"
 	// Dial connects to the granted upstream without sending anything.
 	Dial EffectKind = "dial"
-	// Propose commits a claim. If Last is set, it must be answered promptly, even
-	// if the caller disconnected or the deadline passed.
+	// Propose commits a claim. If Urgent is set, it must be answered promptly,
+	// even if the caller disconnected or the deadline passed.
 	Propose EffectKind = "propose"
 	// Send dispatches the request; it occurs at most once.
 	Send EffectKind = "send"
@@ -114,23 +117,24 @@
 	Dispatched EffectKind = "dispatched"
 	// Deliver appends the frame of the last FrameRead to the answer.
 	Deliver EffectKind = "deliver"
-	// Retire closes the connection and discards any data still arriving on it.
-	Retire EffectKind = "retire"
+	// CloseConnection also discards any data that still arrives on the
+	// connection.
+	CloseConnection EffectKind = "retire"
 	// Cancel tells the engine to abort the stream.
 	Cancel EffectKind = "cancel"
 	// Release returns the granted slot to the scheduler.
 	Release EffectKind = "release"
 	// Finish records how the claimed request ended.
 	Finish EffectKind = "finish"
-	// Settle resolves a claim of which it is not known whether it was committed:
-	// it proposes the claim again until the log answers, and marks it as not run
-	// if it is this machine's.
-	Settle EffectKind = "settle"
-	// Remember stores at this entry that the claim's attempt is marked as not
-	// run; see Request.Known.
-	Remember EffectKind = "remember"
-	// Recorded completes the answer with the one recorded in the claim.
-	Recorded EffectKind = "recorded"
+	// ResolveClaim resolves a claim of which it is not known whether it was
+	// committed: it proposes the claim again until the log answers, and marks
+	// it as not run if it is this machine's.
+	ResolveClaim EffectKind = "settle"
+	// RecordNotRun stores at this entry that the claim's attempt is marked as
+	// not run; see Request.KnownNotRunAttempt.
+	RecordNotRun EffectKind = "remember"
+	// ServeRecorded completes the answer with the one recorded in the claim.
+	ServeRecorded EffectKind = "recorded"
 	// End completes the answer.
 	End EffectKind = "end"
 	// Fail ends the answer with a failure.
@@ -144,10 +148,10 @@
 	Address string
 	Stream  string
 	Offset  int64
-	// Pause asks for a short delay before the effect.
-	Pause bool
-	// Last is set on the proposal that a refusal waits for; see Propose.
-	Last    bool
+	// Delayed asks for a short delay before the effect.
+	Delayed bool
+	// Urgent is set on the proposal that a refusal waits for; see Propose.
+	Urgent  bool
 	Claim   state.Claim
 	Finish  state.Finish
 	Slot    Slot
@@ -168,10 +172,10 @@
 
 // Outcomes of a slot.
 const (
-	SlotDone     Slot = "done"
-	SlotNotSent  Slot = "not_sent"
-	SlotCanceled Slot = "canceled"
-	SlotBroken   Slot = "broken"
+	SlotCompleted      Slot = "done"
+	SlotNotSent        Slot = "not_sent"
+	SlotCanceled       Slot = "canceled"
+	SlotConnectionLost Slot = "broken"
 )
 
 // Ran states whether the request ran on an upstream.
@@ -182,7 +186,8 @@
 	// NotRun guarantees that nothing ran under the key and nothing will, unless
 	// the caller sends the key again.
 	NotRun Ran = "not_run"
-	// MayHaveRun makes no statement: the request may have run, or may still run.
+	// MayHaveRun makes no statement: the request may have run, or may still
+	// run.
 	MayHaveRun Ran = "unknown"
 	// DidRun states that an upstream executed the request, at least in part.
 	DidRun Ran = "ran"
@@ -193,18 +198,18 @@
 
 // Failure codes.
 const (
-	// NoLog means that the claim could not be read or committed.
-	NoLog Code = "no_log"
+	// LogUnavailable means that the claim could not be read or committed.
+	LogUnavailable Code = "no_log"
 	// KeyConflict means that the key is claimed for different content.
 	KeyConflict Code = "key_conflict"
-	// Refusal means that the scheduler refused the request.
-	Refusal Code = "refusal"
-	// RefusedBefore means that the key is marked as not run.
-	RefusedBefore Code = "refused_before"
-	// CallerGone means that the caller disconnected.
-	CallerGone Code = "caller_gone"
-	// TooLate means that the request's deadline passed.
-	TooLate Code = "too_late"
+	// SchedulerRefused means that the scheduler refused the request.
+	SchedulerRefused Code = "refusal"
+	// AlreadyRefused means that the key is marked as not run.
+	AlreadyRefused Code = "refused_before"
+	// CallerDisconnected means that the caller closed its connection.
+	CallerDisconnected Code = "caller_gone"
+	// DeadlineExceeded means that the request's deadline passed.
+	DeadlineExceeded Code = "too_late"
 	// NotSent means that the connection failed before the first byte was sent.
 	NotSent Code = "not_sent"
 	// UpstreamRefused means that the upstream refused to run the request.
@@ -213,13 +218,14 @@
 	UpstreamFailed Code = "upstream_failed"
 	// OutcomeUnknown means that it can't be determined how the request ended.
 	OutcomeUnknown Code = "outcome_unknown"
-	// OwnersFailure means that the owner's answer ended in a failure, which is
+	// OwnerFailure means that the owner's answer ended in a failure, which is
 	// passed on.
-	OwnersFailure Code = "owners_failure"
-	// NoClaim means that the key to be joined has no claim.
-	NoClaim Code = "no_claim"
-	// AnswerLost means that the request ran but its answer is no longer available.
-	AnswerLost Code = "answer_lost"
+	OwnerFailure Code = "owners_failure"
+	// ClaimNotFound means that the key to be joined has no claim.
+	ClaimNotFound Code = "no_claim"
+	// AnswerUnavailable means that the request ran but its answer is no longer
+	// available.
+	AnswerUnavailable Code = "answer_lost"
 )
 
 // Failure describes how a request failed.
--- a/core/claims/race_test.go
+++ b/core/claims/race_test.go
@@ -54,8 +54,8 @@
 	id := len(w.actors)
 	entry := id % entryCount
 	a := &actor{id: id, entry: entry, startedAt: w.clock, machine: NewMachine(Request{
-		Workspace: "w", Key: "k", Digest: "d", Keyed: true, Plain: plain,
-		Stream: fmt.Sprintf("s%d", id), Entry: fmt.Sprintf("e%d", entry), Known: w.knownMarks[entry],
+		Workspace: "w", Key: "k", Digest: "d", Keyed: true, PlainService: plain,
+		Stream: fmt.Sprintf("s%d", id), Entry: fmt.Sprintf("e%d", entry), KnownNotRunAttempt: w.knownMarks[entry],
 	})}
 	w.actors = append(w.actors, a)
 	w.step(a, Event{Kind: Begin})
@@ -68,13 +68,13 @@
 		case Finish:
 			w.log.Apply(state.Command{Finish: &effect.Finish})
 			w.recordMark()
-		case Settle:
+		case ResolveClaim:
 			w.unresolved = append(w.unresolved, effect.Claim)
 		case Fail:
 			if effect.Failure.Ran == NotRun {
 				w.refusedAttempts = append(w.refusedAttempts, w.knownMarks[a.entry])
 			}
-		case Remember:
+		case RecordNotRun:
 			w.knownMarks[a.entry] = max(w.knownMarks[a.entry], max(effect.Claim.Attempt, 1))
 		}
 		if effect.Awaited() {
@@ -113,7 +113,7 @@
 	case Lookup:
 		w.lookup(a, bad == 1)
 	case Acquire:
-		w.step(a, Event{Kind: pick(bad <= 3, Refused, GrantGiven), Upstream: "u", Address: "up"})
+		w.step(a, Event{Kind: pick(bad <= 3, Refused, GrantReceived), Upstream: "u", Address: "up"})
 	case Dial:
 		w.step(a, Event{Kind: pick(bad == 1, Unreachable, Connected)})
 	case Propose:
@@ -125,7 +125,7 @@
 	case Resume:
 		w.resume(a)
 	case Fetch:
-		w.step(a, Event{Kind: pick(bad < 5, FetchUnheld, FetchBroken)})
+		w.step(a, Event{Kind: pick(bad < 5, AnswerNotHeld, FetchInterrupted)})
 	}
 }
 
@@ -151,7 +151,7 @@
 // propose applies the command, drops it, or drops its result.
 func (w *simulation) propose(a *actor, bad int) {
 	if bad == 1 {
-		w.step(a, Event{Kind: ClaimLost})
+		w.step(a, Event{Kind: ClaimUnconfirmed})
 		return
 	}
 	c := a.awaited.Claim
@@ -159,9 +159,9 @@
 	w.recordMark()
 	switch {
 	case bad == 2:
-		w.step(a, Event{Kind: ClaimLost})
+		w.step(a, Event{Kind: ClaimUnconfirmed})
 	case r.Status == state.OK:
-		w.step(a, Event{Kind: ClaimMade})
+		w.step(a, Event{Kind: ClaimCommitted})
 	case r.Status == state.Exists:
 		w.step(a, Event{Kind: ClaimExists, Claim: *r.Claim})
 	default:
@@ -180,8 +180,8 @@
 	case bad == 2:
 		w.step(a, Event{Kind: Rejected})
 	case bad == 3:
-		w.step(a, Event{Kind: SendBroken})
-	case a.machine.request.Plain:
+		w.step(a, Event{Kind: SendInterrupted})
+	case a.machine.request.PlainService:
 		w.step(a, Event{Kind: Replied, Length: 3})
 	default:
 		w.step(a, Event{Kind: Started})
@@ -196,7 +196,7 @@
 			return
 		}
 	}
-	w.step(a, Event{Kind: Broken})
+	w.step(a, Event{Kind: ConnectionLost})
 }
 
 // checkInvariants compares what was sent with what callers were told. A refusal
--- a/core/claims/table_test.go
+++ b/core/claims/table_test.go
@@ -22,7 +22,7 @@
 
 func stages() []stage {
 	peerClaim := state.Claim{Digest: "d", Stream: "theirs", Entry: "peer", Address: "b"}
-	missing, made, started := Event{Kind: NotFound}, Event{Kind: ClaimMade}, Event{Kind: Started}
+	missing, made, started := Event{Kind: NotFound}, Event{Kind: ClaimCommitted}, Event{Kind: Started}
 	frame := Event{Kind: FrameRead, Frame: Frame{Stream: "own", Length: 2}}
 	return []stage{
 		{"looked up", false, true, nil},
@@ -30,11 +30,11 @@
 		{"queued without key", false, false, nil},
 		{"connecting", false, true, []Event{missing, grantReceived}},
 		{"claiming", false, true, []Event{missing, grantReceived, connected}},
-		{"claiming again", false, true, []Event{missing, grantReceived, connected, {Kind: ClaimLost}}},
+		{"claiming again", false, true, []Event{missing, grantReceived, connected, {Kind: ClaimUnconfirmed}}},
 		{"sending to an engine", false, true, []Event{missing, grantReceived, connected, made}},
 		{"sending to a service", true, true, []Event{missing, grantReceived, connected, made}},
 		{"streaming", false, true, []Event{missing, grantReceived, connected, made, started, frame}},
-		{"resuming", false, true, []Event{missing, grantReceived, connected, made, started, frame, {Kind: Broken}}},
+		{"resuming", false, true, []Event{missing, grantReceived, connected, made, started, frame, {Kind: ConnectionLost}}},
 		{"fetching from the owner, engine", false, true, []Event{{Kind: Found, Claim: peerClaim}}},
 		{"fetching from the owner, service", true, true, []Event{{Kind: Found, Claim: peerClaim}}},
 		{"marking a refusal", false, true, []Event{missing, {Kind: Refused}}},
@@ -50,7 +50,7 @@
 	return map[string]Event{
 		"the caller goes away":            {Kind: Canceled},
 		"the deadline passes":             {Kind: Expired},
-		"the log does not answer":         {Kind: ClaimLost},
+		"the log does not answer":         {Kind: ClaimUnconfirmed},
 		"the lookup fails":                {Kind: Failed},
 		"another entry has claimed":       {Kind: ClaimExists, Claim: peerClaim},
 		"another entry has refused":       {Kind: ClaimExists, Claim: state.Claim{Digest: "d", Done: true, NotRun: true}},
@@ -61,16 +61,16 @@
 		"the upstream can't be reached":   {Kind: Unreachable},
 		"the upstream refuses":            {Kind: Rejected},
 		"the connection breaks unsent":    {Kind: NothingSent},
-		"the connection breaks once sent": {Kind: SendBroken},
-		"the stream breaks or is silent":  {Kind: Broken},
+		"the connection breaks once sent": {Kind: SendInterrupted},
+		"the stream breaks or is silent":  {Kind: ConnectionLost},
 		"a frame of another stream":       {Kind: FrameRead, Frame: Frame{Stream: "x", Offset: 2, Length: 1}},
 		"a doubled frame":                 {Kind: FrameRead, Frame: Frame{Stream: "own", Length: 2}},
 		"a late frame":                    {Kind: FrameRead, Frame: Frame{Stream: "own", Offset: 9, Length: 1}},
 		"an end too early":                {Kind: FrameRead, Frame: Frame{Stream: "own", Offset: 9, End: true}},
 		"the engine fails":                {Kind: FrameRead, Frame: Frame{Stream: "own", Offset: 2, Error: "out of memory"}},
-		"the owner's link breaks":         {Kind: FetchBroken},
+		"the owner's link breaks":         {Kind: FetchInterrupted},
 		"the owner is dead":               {Kind: OwnerDead},
-		"the owner holds nothing":         {Kind: FetchUnheld},
+		"the owner holds nothing":         {Kind: AnswerNotHeld},
 		"the owner's answer failed":       {Kind: FetchFailed},
 	}
 }
@@ -108,7 +108,7 @@
 		fmt.Fprintf(&out, "## %s\n\n", s.name)
 		ignored := 0
 		for _, name := range names {
-			m := NewMachine(Request{Workspace: "w", Key: "k", Digest: "d", Stream: "own", Entry: "self", Keyed: s.keyed, Plain: s.plain})
+			m := NewMachine(Request{Workspace: "w", Key: "k", Digest: "d", Stream: "own", Entry: "self", Keyed: s.keyed, PlainService: s.plain})
 			runEvents(m, s.events...)
 			before := m.State()
 			require.NotEqual(t, Ended, before, s.name)
--- a/core/config/check.go
+++ b/core/config/check.go
@@ -8,9 +8,10 @@
 	"strings"
 )
 
-// CheckFiles merges the readable parts of the files and returns every fault that
-// Check finds, each with the file and the JSON path where it occurs. Files that
-// violate the schema are not reported; that is the schema validator's task.
+// CheckFiles merges the readable parts of the files and returns every fault
+// that Check finds, each with the file and the JSON path where it occurs. Files
+// that violate the schema are not reported; that is the schema validator's
+// task.
 func CheckFiles(files Files) Faults {
 	merged := &Config{}
 	elementOrigins := origins{}
@@ -18,8 +19,8 @@
 	timeoutsFile := ""
 	for _, p := range files.Paths() {
 		part := Config{}
-		// A value of the wrong type leaves its field empty; the other fields are
-		// still decoded.
+		// A value of the wrong type leaves its field empty; the other fields
+		// are still decoded.
 		_ = json.Unmarshal(files[p], &part)
 		if part.Timeouts != nil && timeoutsFile != "" {
 			faults = append(faults, Fault{File: p, Path: "$.timeouts", Message: fmt.Sprintf("timeouts are declared in %s too", timeoutsFile), Remedy: "keep them in one file"})
@@ -68,8 +69,8 @@
 	}
 }
 
-// locate replaces a path in the merged configuration by the file and the path in
-// that file. Faults that concern no list element are returned unchanged.
+// locate replaces a path in the merged configuration by the file and the path
+// in that file. Faults that concern no list element are returned unchanged.
 func (o origins) locate(f Fault) Fault {
 	section, rest, ok := strings.Cut(strings.TrimPrefix(f.Path, "$."), "[")
 	number, rest, closed := strings.Cut(rest, "]")
@@ -84,8 +85,8 @@
 }
 
 // Check validates what the schema of a single file can't: unique names,
-// references between sections and value ranges. It returns all faults as Faults,
-// or nil.
+// references between sections and value ranges. It returns all faults as
+// Faults, or nil.
 func Check(c *Config) error {
 	k := &checker{}
 	k.checkTiers(c)
--- a/core/config/compare.go
+++ b/core/config/compare.go
@@ -17,8 +17,8 @@
 	Theirs json.RawMessage `json:"theirs,omitempty"`
 }
 
-// Compare returns the differences between two sets of files, each at the deepest
-// differing path, sorted by file and path, and at most limit of them.
+// Compare returns the differences between two sets of files, each at the
+// deepest differing path, sorted by file and path, and at most limit of them.
 func Compare(yours, theirs Files, limit int) []Difference {
 	paths := append(yours.Paths(), theirs.Paths()...)
 	slices.Sort(paths)
--- a/core/config/config.go
+++ b/core/config/config.go
@@ -34,7 +34,8 @@
 // Limits bounds the use of one workspace over all entries together. Zero means
 // no limit.
 type Limits struct {
-	// RequestsPerMinute is an average rate; bursts of a tenth of it are allowed.
+	// RequestsPerMinute is an average rate; bursts of a tenth of it are
+	// allowed.
 	RequestsPerMinute int64 `json:"requests_per_minute,omitempty"`
 	// Concurrency counts requests queued or in service.
 	Concurrency int64 `json:"concurrency,omitempty"`
@@ -120,8 +121,8 @@
 	DefaultRetentionMS = 30 * 60 * 1000
 )
 
-// Times returns the timeouts with defaults filled in.
-func (c *Config) Times() Timeouts {
+// EffectiveTimeouts returns the timeouts with defaults filled in.
+func (c *Config) EffectiveTimeouts() Timeouts {
 	t := Timeouts{}
 	if c.Timeouts != nil {
 		t = *c.Timeouts
@@ -169,9 +170,9 @@
 	return Service{}, false
 }
 
-// LimitsOf returns the limits in force for a workspace: its own if declared,
-// otherwise its tier's, otherwise none.
-func (c *Config) LimitsOf(w Workspace) Limits {
+// EffectiveLimits returns the limits in force for a workspace: its own if
+// declared, otherwise its tier's, otherwise none.
+func (c *Config) EffectiveLimits(w Workspace) Limits {
 	if w.Limits != nil {
 		return *w.Limits
 	}
--- a/core/config/files.go
+++ b/core/config/files.go
@@ -86,9 +86,9 @@
 	return strings.Join(lines, "\n")
 }
 
-// Merge combines the files into one configuration. Sections of the same name are
-// concatenated in the order of the files' paths. It returns Faults for unknown
-// fields, values of the wrong type and timeouts declared twice.
+// Merge combines the files into one configuration. Sections of the same name
+// are concatenated in the order of the files' paths. It returns Faults for
+// unknown fields, values of the wrong type and timeouts declared twice.
 func Merge(files Files) (*Config, error) {
 	merged := &Config{}
 	faults := Faults{}
@@ -126,8 +126,8 @@
 
 // Delta is the change from one version of the files to a later one.
 type Delta struct {
-	// From and FromDigest identify the version that the delta applies to. A From
-	// of zero with an empty digest makes the delta a snapshot.
+	// From and FromDigest identify the version that the delta applies to. A
+	// From of zero with an empty digest makes the delta a snapshot.
 	From       uint64 `json:"from"`
 	FromDigest string `json:"from_digest"`
 	Version    uint64 `json:"version"`
@@ -138,8 +138,8 @@
 	Removed []string `json:"removed,omitempty"`
 }
 
-// Diff returns the delta between two sets of files. The caller fills in From and
-// Version.
+// Diff returns the delta between two sets of files. The caller fills in From
+// and Version.
 func Diff(from, to Files) Delta {
 	d := Delta{FromDigest: from.Digest(), Digest: to.Digest(), Set: Files{}}
 	for _, p := range to.Paths() {
--- a/core/config/index.go
+++ b/core/config/index.go
@@ -1,14 +1,14 @@
 package config
 
-// workspaceIndex maps names and key hashes to positions in Config.Workspaces. Merge
-// builds it once and it never changes.
+// workspaceIndex maps names and key hashes to positions in Config.Workspaces.
+// Merge builds it once and it never changes.
 type workspaceIndex struct {
 	byName map[string]int
 	byKey  map[string]int
 }
 
-// newWorkspaceIndex builds the index. If two workspaces share a name or key, which
-// Check rejects, the first one is found.
+// newWorkspaceIndex builds the index. If two workspaces share a name or key,
+// which Check rejects, the first one is found.
 func newWorkspaceIndex(c *Config) *workspaceIndex {
 	x := &workspaceIndex{byName: make(map[string]int, len(c.Workspaces)), byKey: map[string]int{}}
 	for i := len(c.Workspaces) - 1; i >= 0; i-- {
--- a/core/promise/check.go
+++ b/core/promise/check.go
@@ -36,27 +36,27 @@
 }
 
 const (
-	// drainTimeout is the time within which an upstream that announced its leave
-	// must stop receiving new requests.
+	// drainTimeout is the time within which an upstream that announced its
+	// leave must stop receiving new requests.
 	drainTimeout = 3 * time.Second
-	// activationTimeout is the time within which an accepted configuration must be
-	// in force on every daemon that can reach the quorum.
+	// activationTimeout is the time within which an accepted configuration must
+	// be in force on every daemon that can reach the quorum.
 	activationTimeout = 5 * time.Second
 )
 
 // Violation is one broken promise.
 type Violation struct {
 	Promise Promise `json:"promise"`
-	// Event is the event that broke the promise. For a violation found at the end
-	// of the run only its At is set.
-	Event Event  `json:"event"`
-	Why   string `json:"why"`
+	// Event is the event that broke the promise. For a violation found at the
+	// end of the run only its At is set.
+	Event  Event  `json:"event"`
+	Reason string `json:"why"`
 }
 
 // String returns the violation on one line.
 func (v Violation) String() string {
 	e := v.Event
-	return fmt.Sprintf("%s broken at %v by %s of %q (daemon %q, upstream %q): %s", v.Promise, e.At, e.Kind, e.Workspace+"/"+e.Key, e.Daemon, e.Upstream, v.Why)
+	return fmt.Sprintf("%s broken at %v by %s of %q (daemon %q, upstream %q): %s", v.Promise, e.At, e.Kind, e.Workspace+"/"+e.Key, e.Daemon, e.Upstream, v.Reason)
 }
 
 // Options describes the run that a trace was recorded from.
@@ -64,9 +64,9 @@
 	// Daemons lists the daemons that are up when the run begins; others appear
 	// with a Started event.
 	Daemons []string
-	// Reach reports whether the dispatchers of two regions can reach each other
-	// at a time. Nil means that they always can.
-	Reach func(at time.Duration, from, to string) bool
+	// CanReach reports whether the dispatchers of two regions can reach each
+	// other at a time. Nil means that they always can.
+	CanReach func(at time.Duration, from, to string) bool
 	// RegionDelay is the age from which a dispatcher is expected to know of a
 	// Queue or Grant event in another region.
 	RegionDelay time.Duration
@@ -75,8 +75,9 @@
 	// Partial is set if the trace lacks its beginning, so that an answer may
 	// belong to a dispatch that was not recorded.
 	Partial bool
-	// Open is set if requests were still in flight when the trace ended.
-	Open bool
+	// InFlightAtEnd is set if requests were still in flight when the trace
+	// ended.
+	InFlightAtEnd bool
 }
 
 // rule checks one promise.
@@ -93,8 +94,8 @@
 //
 // Events must be ordered by one clock, that of the recorder. The daemons' own
 // clocks differ, so the recorder timestamps events on arrival or corrects them
-// by each daemon's clock offset. Events with equal times keep the order in which
-// they were recorded.
+// by each daemon's clock offset. Events with equal times keep the order in
+// which they were recorded.
 type Checker struct {
 	options   Options
 	lastEvent time.Duration
@@ -116,13 +117,13 @@
 	}}
 }
 
-// Feed checks the next event and returns the violations that it reveals.
-func (c *Checker) Feed(e Event) []Violation {
+// Observe checks the next event and returns the violations that it reveals.
+func (c *Checker) Observe(e Event) []Violation {
 	c.lastEvent = max(c.lastEvent, e.At)
 	out := []Violation{}
 	for _, r := range c.rules {
 		for _, why := range r.observe(e) {
-			out = append(out, Violation{Promise: r.promise(), Event: e, Why: why})
+			out = append(out, Violation{Promise: r.promise(), Event: e, Reason: why})
 		}
 	}
 	return out
@@ -135,7 +136,7 @@
 	out := []Violation{}
 	for _, r := range c.rules {
 		for _, why := range r.finish(end) {
-			out = append(out, Violation{Promise: r.promise(), Event: Event{At: end}, Why: why})
+			out = append(out, Violation{Promise: r.promise(), Event: Event{At: end}, Reason: why})
 		}
 	}
 	return out
@@ -146,7 +147,7 @@
 	c := NewChecker(options)
 	out := []Violation{}
 	for _, e := range events {
-		out = append(out, c.Feed(e)...)
+		out = append(out, c.Observe(e)...)
 	}
 	return append(out, c.Finish()...)
 }
--- a/core/promise/check_test.go
+++ b/core/promise/check_test.go
@@ -11,19 +11,19 @@
 // execution.
 func dispatchedTrace() []Event {
 	return []Event{
-		{Kind: Accept, Daemon: "d1", Workspace: "w", Key: "k", Once: true},
+		{Kind: Accept, Daemon: "d1", Workspace: "w", Key: "k", NonIdempotent: true},
 		{Kind: Queue, Offer: "d1/1", Pool: "p", Region: "r", Tier: 1},
 		{Kind: Grant, Offer: "d1/1", Pool: "p", Region: "r", Tier: 1, Upstream: "u"},
 		{Kind: Claim, Workspace: "w", Key: "k", Stream: "s"},
 		{Kind: Dispatch, Daemon: "d1", Workspace: "w", Key: "k", Stream: "s", Upstream: "u"},
-		{Kind: Execute, Upstream: "u", Stream: "s", Sent: "x"},
+		{Kind: Execute, Upstream: "u", Stream: "s", SentHash: "x"},
 	}
 }
 
 func answeredTrace() []Event {
 	return append(dispatchedTrace(),
 		Event{Kind: Release, Offer: "d1/1"},
-		Event{Kind: Answer, Daemon: "d1", Workspace: "w", Key: "k", Stream: "s", Whole: true, Sent: "x", Got: "x"},
+		Event{Kind: Answer, Daemon: "d1", Workspace: "w", Key: "k", Stream: "s", Complete: true, SentHash: "x", ReceivedHash: "x"},
 	)
 }
 
@@ -51,10 +51,10 @@
 		{"shed while a lower tier is in service in another region", TierOrder, d1, appendEvents(dispatchedTrace(), Event{Kind: Shed, Offer: "d2/1", Pool: "p", Region: "far"})},
 		{"refused by the entry while a lower tier is in service", TierOrder, d1, appendEvents(dispatchedTrace(), Event{Kind: Refuse, Pool: "p", Region: "r", Workspace: "w", Key: "k3", Code: "overloaded", Ran: "not_run"})},
 		{"answer without its end", OwnAnswer, d1, appendEvents(dispatchedTrace(), Event{Kind: Answer, Workspace: "w", Key: "k", Stream: "s"})},
-		{"other bytes than the upstream's", OwnAnswer, d1, appendEvents(dispatchedTrace(), Event{Kind: Answer, Workspace: "w", Key: "k", Stream: "s", Whole: true, Got: "y"})},
-		{"other bytes than the entry's", OwnAnswer, d1, appendEvents(dispatchedTrace(), Event{Kind: Answer, Workspace: "w", Key: "k", Whole: true, Sent: "x", Got: "y"})},
-		{"answer of another request", OwnAnswer, d1, appendEvents(answeredTrace(), Event{Kind: Dispatch, Workspace: "w", Key: "k2", Stream: "s2"}, Event{Kind: Answer, Workspace: "w", Key: "k2", Stream: "s", Whole: true, Got: "x"})},
-		{"answer without a dispatch", OwnAnswer, d1, []Event{{Kind: Answer, Workspace: "w", Key: "k", Whole: true}}},
+		{"other bytes than the upstream's", OwnAnswer, d1, appendEvents(dispatchedTrace(), Event{Kind: Answer, Workspace: "w", Key: "k", Stream: "s", Complete: true, ReceivedHash: "y"})},
+		{"other bytes than the entry's", OwnAnswer, d1, appendEvents(dispatchedTrace(), Event{Kind: Answer, Workspace: "w", Key: "k", Complete: true, SentHash: "x", ReceivedHash: "y"})},
+		{"answer of another request", OwnAnswer, d1, appendEvents(answeredTrace(), Event{Kind: Dispatch, Workspace: "w", Key: "k2", Stream: "s2"}, Event{Kind: Answer, Workspace: "w", Key: "k2", Stream: "s", Complete: true, ReceivedHash: "x"})},
+		{"answer without a dispatch", OwnAnswer, d1, []Event{{Kind: Answer, Workspace: "w", Key: "k", Complete: true}}},
 		{"no key", OwnAnswer, d1, []Event{{Kind: Accept, Daemon: "d1"}}},
 		{"no answer", OwnAnswer, d1, dispatchedTrace()},
 		{"refused after it ran", NotRun, d1, appendEvents(dispatchedTrace(), Event{Kind: Refuse, Daemon: "d1", Workspace: "w", Key: "k", Ran: "not_run"})},
@@ -71,7 +71,7 @@
 		{"never accepted", Configuration, d1, []Event{inForce1}},
 		{"other content in force", Configuration, d1, []Event{accepted1, {Kind: InForce, Daemon: "d1", Version: 1, Digest: "b"}}},
 		{"late", Configuration, Options{Daemons: []string{"d1"}, End: 5*time.Second + 1}, []Event{accepted1}},
-		{"late after a partition healed", Configuration, Options{End: 20 * time.Second}, []Event{{Kind: Cut, Daemon: "d1"}, accepted1, {At: 10 * time.Second, Kind: Healed, Daemon: "d1"}}},
+		{"late after a partition healed", Configuration, Options{End: 20 * time.Second}, []Event{{Kind: Partitioned, Daemon: "d1"}, accepted1, {At: 10 * time.Second, Kind: Healed, Daemon: "d1"}}},
 	}
 	seen := map[Promise]bool{}
 	for _, c := range cases {
@@ -86,7 +86,7 @@
 				}
 				return false
 			}, "found only %v", found)
-			require.NotEmpty(t, found[0].Why)
+			require.NotEmpty(t, found[0].Reason)
 			seen[c.promise] = true
 		})
 	}
@@ -96,15 +96,15 @@
 }
 
 func TestCheckAcceptsValidTraces(t *testing.T) {
-	partitioned := Options{Reach: func(time.Duration, string, string) bool { return false }}
+	partitioned := Options{CanReach: func(time.Duration, string, string) bool { return false }}
 	cases := []struct {
 		name   string
 		opt    Options
 		events []Event
 	}{
 		{"served", d1, answeredTrace()},
-		{"still in flight", Options{Open: true}, dispatchedTrace()},
-		{"a resend joins", d1, appendEvents(answeredTrace(), Event{Kind: Accept, Daemon: "d2", Workspace: "w", Key: "k"}, Event{Kind: Answer, Daemon: "d2", Workspace: "w", Key: "k", Stream: "s", Whole: true, Got: "x"})},
+		{"still in flight", Options{InFlightAtEnd: true}, dispatchedTrace()},
+		{"a resend joins", d1, appendEvents(answeredTrace(), Event{Kind: Accept, Daemon: "d2", Workspace: "w", Key: "k"}, Event{Kind: Answer, Daemon: "d2", Workspace: "w", Key: "k", Stream: "s", Complete: true, ReceivedHash: "x"})},
 		{"conflicting content did not run", d1, appendEvents(answeredTrace(), Event{Kind: Accept, Daemon: "d2", Workspace: "w", Key: "k", Digest: "y"}, Event{Kind: Refuse, Daemon: "d2", Workspace: "w", Key: "k", Digest: "y", Code: "conflict", Ran: "not_run"})},
 		{"refused, sent again and served", d1, appendEvents([]Event{{Kind: Accept, Daemon: "d2", Workspace: "w", Key: "k"}, {Kind: Refuse, Daemon: "d2", Workspace: "w", Key: "k", Ran: "not_run"}}, answeredTrace()...)},
 		{"shed without a lower tier", d1, appendEvents(answeredTrace(), shedTop)},
@@ -114,9 +114,9 @@
 		{"too recent to be known in the other region", Options{RegionDelay: time.Second}, []Event{{Kind: Queue, Offer: "d2/2", Pool: "p", Region: "far", Tier: 2}, shedTop}},
 		{"left and came back", d1, []Event{{Kind: Leave, Upstream: "u"}, {At: time.Second, Kind: Grant, Upstream: "u"}, {At: 4 * time.Second, Kind: Join, Upstream: "u"}, {At: 5 * time.Second, Kind: Grant, Upstream: "u"}}},
 		{"a shutdown waits for requests", d1, appendEvents(appendEvents(dispatchedTrace(), Event{Kind: Drain, Daemon: "d1"}), appendEvents(answeredTrace()[6:], Event{Kind: Stopped, Daemon: "d1"})...)},
-		{"a crash is not a shutdown", Options{Open: true}, appendEvents(dispatchedTrace(), Event{Kind: Crashed, Daemon: "d1"})},
+		{"a crash is not a shutdown", Options{InFlightAtEnd: true}, appendEvents(dispatchedTrace(), Event{Kind: Crashed, Daemon: "d1"})},
 		{"in force in time", Options{Daemons: []string{"d1"}, End: time.Minute}, []Event{accepted1, accepted1, {At: 5 * time.Second, Kind: InForce, Daemon: "d1", Version: 1, Digest: "a"}}},
-		{"partitioned and caught up", Options{Daemons: []string{"d1"}, End: time.Hour}, []Event{{Kind: Cut, Daemon: "d1"}, accepted1, {At: time.Minute, Kind: Healed, Daemon: "d1"}, {At: 64 * time.Second, Kind: InForce, Daemon: "d1", Version: 1, Digest: "a"}}},
+		{"partitioned and caught up", Options{Daemons: []string{"d1"}, End: time.Hour}, []Event{{Kind: Partitioned, Daemon: "d1"}, accepted1, {At: time.Minute, Kind: Healed, Daemon: "d1"}, {At: 64 * time.Second, Kind: InForce, Daemon: "d1", Version: 1, Digest: "a"}}},
 		{"down for good", Options{Daemons: []string{"d1"}, End: time.Hour}, []Event{{Kind: Crashed, Daemon: "d1"}, accepted1}},
 	}
 	for _, c := range cases {
--- a/core/promise/config.go
+++ b/core/promise/config.go
@@ -13,8 +13,8 @@
 	at      time.Duration
 }
 
-// daemonState is the configuration in force on a daemon and its connection to the
-// quorum.
+// daemonState is the configuration in force on a daemon and its connection to
+// the quorum.
 type daemonState struct {
 	version uint64
 	// up is set while the daemon runs and can reach the quorum; upSince is the
@@ -52,7 +52,7 @@
 	case Started, Healed:
 		d := c.daemon(e.Daemon)
 		d.up, d.upSince = true, e.At
-	case Crashed, Stopped, Cut:
+	case Crashed, Stopped, Partitioned:
 		c.daemon(e.Daemon).up = false
 	}
 	return out
--- a/core/promise/event.go
+++ b/core/promise/event.go
@@ -45,8 +45,8 @@
 	// Crashed: a daemon stopped without a graceful shutdown. The test that
 	// killed it records the event in the daemon's name.
 	Crashed Kind = "crashed"
-	// Cut: a daemon lost its connection to the quorum.
-	Cut Kind = "cut"
+	// Partitioned: a daemon lost its connection to the quorum.
+	Partitioned Kind = "cut"
 	// Healed: a daemon can reach the quorum again.
 	Healed Kind = "healed"
 	// Join: an upstream announced itself, for the first time or after a Leave.
@@ -73,16 +73,18 @@
 	Upstream string `json:"upstream,omitempty"`
 	// Tier is the position in the declared order; 0 is the highest.
 	Tier int `json:"tier,omitempty"`
-	// Once is set if the request is not idempotent and must not execute twice.
-	Once bool `json:"once,omitempty"`
+	// NonIdempotent is set if the request is not idempotent and must not
+	// execute twice.
+	NonIdempotent bool `json:"once,omitempty"`
 	// Code is the code of a refusal, Ran its statement whether the request ran.
 	Code string `json:"code,omitempty"`
 	Ran  string `json:"ran,omitempty"`
-	// Whole is set if an answer had its explicit end; Sent and Got are hashes of
-	// the answer as the upstream sent it and as the caller received it.
-	Whole bool   `json:"whole,omitempty"`
-	Sent  string `json:"sent,omitempty"`
-	Got   string `json:"got,omitempty"`
+	// Complete is set if an answer had its explicit end; SentHash and
+	// ReceivedHash are hashes of the answer as the upstream sent it and as the
+	// caller received it.
+	Complete     bool   `json:"whole,omitempty"`
+	SentHash     string `json:"sent,omitempty"`
+	ReceivedHash string `json:"got,omitempty"`
 	// Version is a configuration version.
 	Version uint64 `json:"version,omitempty"`
 	// Digest identifies the content of a configuration, or that of the request
--- a/core/promise/requests.go
+++ b/core/promise/requests.go
@@ -28,8 +28,8 @@
 	return &dispatchRule{streams: map[string]request{}, dispatched: map[request]string{}, nonIdempotent: map[request]bool{}}
 }
 
-// requestOf returns an event's request by its key, or else by its stream, and false
-// if neither is known.
+// requestOf returns an event's request by its key, or else by its stream, and
+// false if neither is known.
 func (x *dispatchRule) requestOf(e Event) (request, bool) {
 	if e.Key != "" {
 		return request{workspace: e.Workspace, key: e.Key}, true
@@ -42,7 +42,7 @@
 
 func (x *dispatchRule) observe(e Event) []string {
 	r, known := x.requestOf(e)
-	if known && e.Once {
+	if known && e.NonIdempotent {
 		x.nonIdempotent[r] = true
 	}
 	if e.Kind != Dispatch {
@@ -95,8 +95,8 @@
 		delete(a.unanswered, r)
 		return a.checkAnswer(e, r, known)
 	}
-	if e.Stream != "" && e.Sent != "" {
-		a.sentHashes[e.Stream] = e.Sent
+	if e.Stream != "" && e.SentHash != "" {
+		a.sentHashes[e.Stream] = e.SentHash
 	}
 	return nil
 }
@@ -105,7 +105,7 @@
 	if !known {
 		return []string{"the answer belongs to no known request"}
 	}
-	if !e.Whole {
+	if !e.Complete {
 		return []string{"the answer ended without its explicit end"}
 	}
 	out := []string{}
@@ -116,17 +116,17 @@
 	if owner, ok := a.dispatches.streams[e.Stream]; ok && owner != r {
 		out = append(out, fmt.Sprintf("stream %s belongs to %s", e.Stream, owner))
 	}
-	if e.Sent != "" && e.Got != e.Sent {
+	if e.SentHash != "" && e.ReceivedHash != e.SentHash {
 		out = append(out, "the caller received other bytes than the entry received")
 	}
-	if sent, ok := a.sentHashes[e.Stream]; ok && e.Got != sent {
+	if sent, ok := a.sentHashes[e.Stream]; ok && e.ReceivedHash != sent {
 		out = append(out, "the caller received other bytes than the upstream sent")
 	}
 	return out
 }
 
 func (a *answerRule) finish(time.Duration) []string {
-	if a.options.Open {
+	if a.options.InFlightAtEnd {
 		return nil
 	}
 	out := []string{}
@@ -215,8 +215,8 @@
 	return nil
 }
 
-// checkRefusal checks a refusal with "not_run". A refusal for a conflict concerns
-// other content than what runs under the key, so it breaks nothing.
+// checkRefusal checks a refusal with "not_run". A refusal for a conflict
+// concerns other content than what runs under the key, so it breaks nothing.
 func (n *notRunRule) checkRefusal(e Event, r request) []string {
 	if e.Ran != "not_run" {
 		return nil
--- a/core/promise/tiers.go
+++ b/core/promise/tiers.go
@@ -16,8 +16,8 @@
 	since  time.Duration
 }
 
-// tierRule checks TierOrder. A refusal for overload by the entry itself, without
-// an earlier Shed by a dispatcher, counts as a Shed; it names a pool.
+// tierRule checks TierOrder. A refusal for overload by the entry itself,
+// without an earlier Shed by a dispatcher, counts as a Shed; it names a pool.
 type tierRule struct {
 	options Options
 	offers  map[string]offer
@@ -44,8 +44,8 @@
 	return nil
 }
 
-// recordOffer adds an offer. A grant or a repeated offer in the same region keeps its
-// age.
+// recordOffer adds an offer. A grant or a repeated offer in the same region
+// keeps its age.
 func (t *tierRule) recordOffer(e Event) {
 	o, ok := t.offers[e.Offer]
 	if !ok || o.region != e.Region {
@@ -70,12 +70,13 @@
 	return []string{fmt.Sprintf("a request of tier %d was shed while offer %s of tier %d was queued or in service in region %s", e.Tier, id, lowest.tier, lowest.region)}
 }
 
-// isKnownTo reports whether the dispatcher of a shed request could know of an offer.
+// isKnownTo reports whether the dispatcher of a shed request could know of an
+// offer.
 func (t *tierRule) isKnownTo(e Event, o offer) bool {
 	if o.region == e.Region {
 		return true
 	}
-	if t.options.Reach != nil && !t.options.Reach(e.At, e.Region, o.region) {
+	if t.options.CanReach != nil && !t.options.CanReach(e.At, e.Region, o.region) {
 		return false
 	}
 	return e.At-o.since >= t.options.RegionDelay
--- a/core/state/apply.go
+++ b/core/state/apply.go
@@ -9,8 +9,8 @@
 	digest string
 }
 
-// appliedChange identifies an accepted configuration change, so that a resent one
-// gets the same result.
+// appliedChange identifies an accepted configuration change, so that a resent
+// one gets the same result.
 type appliedChange struct {
 	Number   uint64 `json:"number"`
 	Base     uint64 `json:"base"`
--- a/core/state/apply_test.go
+++ b/core/state/apply_test.go
@@ -73,7 +73,7 @@
 	}
 	require.Equal(t, int64(40), m.AnswerBytes())
 	m.Apply(Command{Trim: &Trim{BeforeMS: 1, AnswerBytes: 15}})
-	require.Equal(t, 3, m.Claims())
+	require.Equal(t, 3, m.ClaimCount())
 	require.Equal(t, int64(10), m.AnswerBytes())
 	dropped, ok := m.Claim("w", "1")
 	require.True(t, ok)
--- a/core/state/snapshot.go
+++ b/core/state/snapshot.go
@@ -7,8 +7,8 @@
 	"github.com/verbenastep/verbenastep/core/config"
 )
 
-// snapshot is the encoded form of the state. The first delta is a snapshot of the
-// oldest kept version; each of the others leads to the next version.
+// snapshot is the encoded form of the state. The first delta is a snapshot of
+// the oldest kept version; each of the others leads to the next version.
 type snapshot struct {
 	Versions []config.Delta  `json:"versions"`
 	Applied  []appliedChange `json:"applied"`
--- a/core/state/state.go
+++ b/core/state/state.go
@@ -35,8 +35,9 @@
 	// After a Publish, Version is that of the route table in force.
 	Version uint64 `json:"version,omitempty"`
 	Digest  string `json:"digest,omitempty"`
-	// Winner is the operator whose change a conflicting Apply lost to: the first
-	// accepted on the same base if that is still known, otherwise the latest.
+	// Winner is the operator whose change a conflicting Apply lost to: the
+	// first accepted on the same base if that is still known, otherwise the
+	// latest.
 	Winner string `json:"winner,omitempty"`
 	// Lease is the lease after an Acquire or Expire.
 	Lease *Lease `json:"lease,omitempty"`
@@ -55,7 +56,8 @@
 const (
 	// OK means that the command took effect, now or when it was first sent.
 	OK Status = "ok"
-	// Conflict means that an earlier command conflicts; the result describes it.
+	// Conflict means that an earlier command conflicts; the result describes
+	// it.
 	Conflict Status = "conflict"
 	// Exists means that the key is already claimed for the same content.
 	Exists Status = "exists"
@@ -134,7 +136,8 @@
 	// Unknown is set if it can't be determined whether the request completed.
 	Unknown bool `json:"unknown,omitempty"`
 	// Attempt numbers the claims on one key, from 1; zero counts as 1. A claim
-	// that ended as NotRun is replaced by the next attempt with the same content.
+	// that ended as NotRun is replaced by the next attempt with the same
+	// content.
 	Attempt uint64 `json:"attempt,omitempty"`
 	// NotRun is set if the attempt sent nothing and never will.
 	NotRun bool `json:"not_run,omitempty"`
@@ -154,8 +157,8 @@
 	NotRun      bool   `json:"not_run,omitempty"`
 }
 
-// Trim removes claims and suspects made before a time; claims in commit order, up
-// to the first newer one. Then it removes recorded answers of the remaining
+// Trim removes claims and suspects made before a time; claims in commit order,
+// up to the first newer one. Then it removes recorded answers of the remaining
 // claims, oldest first, until the rest fits in AnswerBytes.
 type Trim struct {
 	// BeforeMS is a time in Unix milliseconds.
@@ -196,12 +199,13 @@
 	// applied lists accepted changes, oldest first, to recognize resent ones.
 	applied []appliedChange
 	leases  map[string]Lease
-	// claims are replaced, never changed in place, because a Frozen shares them.
+	// claims are replaced, never changed in place, because a Frozen shares
+	// them.
 	claims map[claimKey]*Claim
 	// claimOrder lists claims by commit, for trimming.
 	claimOrder []claimKey
-	// claimBytes is the size of all claims without recorded answers, answerBytes
-	// that of the recorded answers.
+	// claimBytes is the size of all claims without recorded answers,
+	// answerBytes that of the recorded answers.
 	claimBytes  int64
 	answerBytes int64
 	suspects    map[suspectKey]Suspect
@@ -323,8 +327,8 @@
 	return Result{Status: OK, Claim: made}
 }
 
-// compareProposal returns OK for a retried proposal, Exists for a resend of the same
-// content and Conflict for different content.
+// compareProposal returns OK for a retried proposal, Exists for a resend of the
+// same content and Conflict for different content.
 func (c *Claim) compareProposal(other *Claim) Status {
 	if c.Stream == other.Stream {
 		return OK
@@ -406,8 +410,8 @@
 	return Result{Status: OK}
 }
 
-// trimAnswers removes recorded answers, oldest first. Their claims stay, so that
-// the keys can't run again.
+// trimAnswers removes recorded answers, oldest first. Their claims stay, so
+// that the keys can't run again.
 func (m *Machine) trimAnswers(maxBytes int64) {
 	for _, k := range m.claimOrder {
 		if maxBytes == 0 || m.answerBytes <= maxBytes {
@@ -424,9 +428,9 @@
 	}
 }
 
-// Oldest returns the time of the oldest claim in Unix milliseconds, and false if
-// there is none.
-func (m *Machine) Oldest() (int64, bool) {
+// OldestClaim returns the time of the oldest claim in Unix milliseconds, and
+// false if there is none.
+func (m *Machine) OldestClaim() (int64, bool) {
 	if len(m.claimOrder) == 0 {
 		return 0, false
 	}
@@ -455,7 +459,7 @@
 	return out
 }
 
-// Claims returns the number of claims.
-func (m *Machine) Claims() int {
+// ClaimCount returns the number of claims.
+func (m *Machine) ClaimCount() int {
 	return len(m.claims)
 }
--- a/internal/daemon/abort_test.go
+++ b/internal/daemon/abort_test.go
@@ -75,7 +75,7 @@
 				}
 			}
 			require.Equal(t, 1, dispatched)
-			require.Empty(t, promise.Check(s.events, promise.Options{Open: true}))
+			require.Empty(t, promise.Check(s.events, promise.Options{InFlightAtEnd: true}))
 		})
 	}
 }
--- a/internal/demo/callers.go
+++ b/internal/demo/callers.go
@@ -83,7 +83,7 @@
 		return o
 	}
 	o.whole = true
-	c.rec.record(promise.Event{Kind: promise.Answer, Workspace: o.workspace, Key: o.key, Whole: true, Got: hash(answer)})
+	c.rec.record(promise.Event{Kind: promise.Answer, Workspace: o.workspace, Key: o.key, Complete: true, ReceivedHash: hash(answer)})
 	return o
 }
 
--- a/internal/demo/demo_test.go
+++ b/internal/demo/demo_test.go
@@ -89,7 +89,7 @@
 		rec.record(promise.Event{Kind: promise.Accept, Workspace: "w", Key: key})
 		rec.record(promise.Event{Kind: promise.Dispatch, Workspace: "w", Key: key, Stream: "s" + key})
 		rec.execution(standin.Execution{Upstream: "a", Stream: "s" + key, Text: "answer to " + key})
-		rec.record(promise.Event{Kind: promise.Answer, Workspace: "w", Key: key, Whole: true, Got: hash("answer to k1")})
+		rec.record(promise.Event{Kind: promise.Answer, Workspace: "w", Key: key, Complete: true, ReceivedHash: hash("answer to k1")})
 	}
 	verdicts := judge(rec.all(), promise.Options{})
 	require.Equal(t, promise.OwnAnswer, verdicts[2].Promise)
--- a/internal/demo/recorder.go
+++ b/internal/demo/recorder.go
@@ -54,7 +54,7 @@
 // execution records what a stand-in does.
 func (r *recorder) execution(x standin.Execution) {
 	if x.Text != "" {
-		r.record(promise.Event{Kind: promise.Execute, Upstream: x.Upstream, Stream: x.Stream, Sent: hash(x.Text)})
+		r.record(promise.Event{Kind: promise.Execute, Upstream: x.Upstream, Stream: x.Stream, SentHash: hash(x.Text)})
 		return
 	}
 	r.mu.Lock()
--- a/internal/dispatch/codec.go
+++ b/internal/dispatch/codec.go
@@ -44,7 +44,7 @@
 		return len(c.Tiers), 1, limits.Limits{}
 	}
 	tier, _ = c.TierIndex(w.Tier)
-	l = limits.Limits(c.LimitsOf(w))
+	l = limits.Limits(c.EffectiveLimits(w))
 	if w.HomeRegion != region {
 		l = l.Away()
 	}
--- a/internal/e2e/rig_test.go
+++ b/internal/e2e/rig_test.go
@@ -140,7 +140,7 @@
 
 func (r *rig) execution(x standin.Execution) {
 	if x.Text != "" {
-		r.record(promise.Event{Kind: promise.Execute, Upstream: x.Upstream, Stream: x.Stream, Sent: hash(x.Text)})
+		r.record(promise.Event{Kind: promise.Execute, Upstream: x.Upstream, Stream: x.Stream, SentHash: hash(x.Text)})
 	}
 }
 
@@ -220,7 +220,7 @@
 		r.refused(key, err)
 		return "", err
 	}
-	r.record(promise.Event{Kind: promise.Answer, Workspace: workspace, Key: s.Key, Whole: true, Got: hash(s.Text)})
+	r.record(promise.Event{Kind: promise.Answer, Workspace: workspace, Key: s.Key, Complete: true, ReceivedHash: hash(s.Text)})
 	return s.Text, nil
 }
 
@@ -233,7 +233,7 @@
 		r.refused(key, err)
 		return "", err
 	}
-	r.record(promise.Event{Kind: promise.Answer, Workspace: workspace, Key: key, Whole: true, Got: hash(string(reply.Body))})
+	r.record(promise.Event{Kind: promise.Answer, Workspace: workspace, Key: key, Complete: true, ReceivedHash: hash(string(reply.Body))})
 	return string(reply.Body), nil
 }
 
--- a/internal/entry/effects.go
+++ b/internal/entry/effects.go
@@ -23,11 +23,11 @@
 	case claims.Dispatched:
 		x.answer.Begin(e.Stream)
 		x.service.observer.followed(x.request, e.Stream)
-	case claims.Remember:
+	case claims.RecordNotRun:
 		x.service.marks.note(x.request.workspace.Name, x.request.key, e.Claim.Attempt)
 	case claims.Deliver:
 		x.deliver()
-	case claims.Retire:
+	case claims.CloseConnection:
 		x.retire()
 	case claims.Cancel:
 		x.cancelAtEngine(e)
@@ -35,9 +35,9 @@
 		x.release(e.Slot)
 	case claims.Finish:
 		x.finish(e.Finish)
-	case claims.Settle:
+	case claims.ResolveClaim:
 		x.service.running.Go(func() { x.service.settle(e.Claim) })
-	case claims.Recorded:
+	case claims.ServeRecorded:
 		_ = x.answer.Append(0, e.Claim.Body)
 		x.answer.End(answer.Result{Status: e.Claim.Status, ContentType: e.Claim.ContentType, Finish: "stop"})
 	case claims.End:
@@ -62,10 +62,10 @@
 
 // outcomes translates the use of a slot for the scheduler.
 var outcomes = map[claims.Slot]sched.Outcome{
-	claims.SlotDone:     sched.Completed,
-	claims.SlotNotSent:  sched.NotSent,
-	claims.SlotCanceled: sched.Canceled,
-	claims.SlotBroken:   sched.ConnectionLost,
+	claims.SlotCompleted:      sched.Completed,
+	claims.SlotNotSent:        sched.NotSent,
+	claims.SlotCanceled:       sched.Canceled,
+	claims.SlotConnectionLost: sched.ConnectionLost,
 }
 
 func (x *execution) release(slot claims.Slot) {
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -198,7 +198,7 @@
 			return
 		case <-time.After(expireEvery):
 		}
-		retention := time.Duration(s.view.Snapshot().Config.Times().RetentionMS) * time.Millisecond
+		retention := time.Duration(s.view.Snapshot().Config.EffectiveTimeouts().RetentionMS) * time.Millisecond
 		s.answers.Expire(time.Now().Add(-retention))
 	}
 }
--- a/internal/entry/execution.go
+++ b/internal/entry/execution.go
@@ -90,8 +90,8 @@
 	}
 	x := &execution{service: s, request: r, answer: a, ctx: ctx}
 	x.machine = claims.NewMachine(claims.Request{
-		Workspace: r.workspace.Name, Key: r.key, Keyed: r.callerKey, Join: r.join, Plain: r.plain, Digest: r.digest,
-		Pool: r.pool, Stream: r.stream, Entry: s.self.Address, Known: r.known,
+		Workspace: r.workspace.Name, Key: r.key, Keyed: r.callerKey, JoinOnly: r.join, PlainService: r.plain, Digest: r.digest,
+		Pool: r.pool, Stream: r.stream, Entry: s.self.Address, KnownNotRunAttempt: r.known,
 	})
 	defer r.giveBack()
 	defer x.retire()
@@ -114,7 +114,7 @@
 			x.ensureEnd()
 			return
 		}
-		if awaited.Pause {
+		if awaited.Delayed {
 			wait.For(x.ctx, retryPause)
 		}
 		e = x.await(*awaited)
@@ -204,7 +204,7 @@
 	x.ticket = t
 	x.seen.watch = x.service.observer
 	x.service.observer.granted(x.request, t)
-	return claims.Event{Kind: claims.GrantGiven, Upstream: t.Upstream(), Address: t.Address()}
+	return claims.Event{Kind: claims.GrantReceived, Upstream: t.Upstream(), Address: t.Address()}
 }
 
 func (x *execution) dial(e claims.Effect) claims.Event {
@@ -219,7 +219,7 @@
 
 func (x *execution) propose(e claims.Effect) claims.Event {
 	ctx := x.ctx
-	if e.Last {
+	if e.Urgent {
 		last, cancel := context.WithTimeout(x.service.ctx, lastTimeout)
 		defer cancel()
 		ctx = last
@@ -228,14 +228,14 @@
 	result, err := x.service.logs.Propose(ctx, x.service.group(e.Claim.Workspace), state.Command{Claim: &e.Claim})
 	if err != nil {
 		x.service.log.Warn("claim was not answered", zap.String("key", x.request.key), zap.Error(err))
-		if e.Last {
-			return claims.Event{Kind: claims.ClaimLost}
+		if e.Urgent {
+			return claims.Event{Kind: claims.ClaimUnconfirmed}
 		}
-		return x.interrupted(claims.ClaimLost)
+		return x.interrupted(claims.ClaimUnconfirmed)
 	}
 	switch result.Status {
 	case state.OK:
-		return claims.Event{Kind: claims.ClaimMade}
+		return claims.Event{Kind: claims.ClaimCommitted}
 	case state.Exists:
 		return claims.Event{Kind: claims.ClaimExists, Claim: *result.Claim}
 	case state.Conflict:
@@ -246,7 +246,7 @@
 
 // silence is how long a stream may carry nothing.
 func (x *execution) silence() time.Duration {
-	return time.Duration(x.service.view.Snapshot().Config.Times().SilenceMS) * time.Millisecond
+	return time.Duration(x.service.view.Snapshot().Config.EffectiveTimeouts().SilenceMS) * time.Millisecond
 }
 
 func (x *execution) send(e claims.Effect) claims.Event {
@@ -281,7 +281,7 @@
 		x.rejection = refused
 		return claims.Event{Kind: claims.Rejected}
 	}
-	return x.interrupted(claims.SendBroken)
+	return x.interrupted(claims.SendInterrupted)
 }
 
 // notStarted holds for statuses by which a runner says that it did not start a
@@ -308,12 +308,12 @@
 func (x *execution) receive() claims.Event {
 	x.answer.WaitRoom(x.ctx)
 	if x.ctx.Err() != nil {
-		return x.interrupted(claims.Broken)
+		return x.interrupted(claims.ConnectionLost)
 	}
 	f, err := x.stream.Next(x.silence())
 	if err != nil {
 		x.service.log.Warn("stream broke off", zap.String("upstream_error", err.Error()))
-		return x.interrupted(claims.Broken)
+		return x.interrupted(claims.ConnectionLost)
 	}
 	x.frame = f
 	out := claims.Frame{Stream: f.Stream, Offset: f.Offset, Length: int64(len(f.Text)), End: f.End, Leaving: f.Leaving, Error: f.Error}
@@ -332,7 +332,7 @@
 	if err != nil {
 		conn.Close()
 		x.service.log.Warn("stream could not be resumed", zap.String("stream", e.Stream), zap.Error(err))
-		return x.interrupted(claims.Broken)
+		return x.interrupted(claims.ConnectionLost)
 	}
 	x.service.observer.resumed(x.request)
 	x.conn = conn
--- a/internal/entry/failure.go
+++ b/internal/entry/failure.go
@@ -37,17 +37,17 @@
 
 func (x *execution) wording(f claims.Failure) *fault.Error {
 	switch f.Code {
-	case claims.Refusal:
+	case claims.SchedulerRefused:
 		return x.refusal
-	case claims.RefusedBefore:
+	case claims.AlreadyRefused:
 		return fault.New(fault.Unavailable, "send the request again with the same key", "the request was refused at another entry and did not run").After(upstreamRetryAfter)
-	case claims.NoLog:
+	case claims.LogUnavailable:
 		return fault.New(fault.Unavailable, "send the request again with the same key", "the key's claim could not be read or committed").After(logRetryAfter)
 	case claims.KeyConflict:
 		return keyConflict(x.request.key)
-	case claims.CallerGone:
+	case claims.CallerDisconnected:
 		return fault.New(fault.Canceled, "send the request again", "the request was canceled")
-	case claims.TooLate:
+	case claims.DeadlineExceeded:
 		return fault.New(fault.Deadline, "allow more time, or send less", "the answer did not end before the deadline")
 	case claims.NotSent:
 		return fault.New(fault.Unavailable, "send the request again", "the upstream closed the connection before the request was sent").After(upstreamRetryAfter)
@@ -58,11 +58,11 @@
 		return fault.New(fault.Unavailable, "send the request again with a new key", "the upstream refused to start the request").After(upstreamRetryAfter)
 	case claims.UpstreamFailed:
 		return fault.New(fault.Unknown, "send the request again with a new key", "the upstream failed: %s", f.Detail)
-	case claims.NoClaim:
+	case claims.ClaimNotFound:
 		return noAnswer(x.request.key)
-	case claims.OwnersFailure:
+	case claims.OwnerFailure:
 		return x.ownersFailure
-	case claims.AnswerLost:
+	case claims.AnswerUnavailable:
 		return fault.New(fault.Unknown, "ask the service for the result; the key will not run again", "the request ran, but its answer is held no more")
 	}
 	return outcomeUnknown()
--- a/internal/entry/fetch.go
+++ b/internal/entry/fetch.go
@@ -113,13 +113,13 @@
 	req := &rpc.FetchRequest{Workspace: m.Workspace, Key: m.Key, Offset: uint64(f.answer.Length()), Stream: f.stream}
 	in, err := rpc.NewDRPCAnswersClient(f.link.Conn(f.address)).Fetch(ctx, req)
 	if err != nil {
-		return claims.FetchBroken
+		return claims.FetchInterrupted
 	}
 	defer in.Close()
 	for {
 		frame, err := in.Recv()
 		if err != nil {
-			return claims.FetchBroken
+			return claims.FetchInterrupted
 		}
 		silence.Reset(fetchSilence)
 		if kind, done := f.take(frame); done {
@@ -130,12 +130,12 @@
 
 func (f *fetcher) take(frame *rpc.FetchFrame) (claims.EventKind, bool) {
 	if f.stream != "" && frame.Stream != "" && frame.Stream != f.stream {
-		return claims.FetchBroken, true
+		return claims.FetchInterrupted, true
 	}
 	if len(frame.Data) > 0 {
 		f.answer.Describe(frame.Pool, frame.Form)
 		if f.answer.Append(int64(frame.Offset), frame.Data) != nil {
-			return claims.FetchBroken, true
+			return claims.FetchInterrupted, true
 		}
 	}
 	if !frame.End {
@@ -143,7 +143,7 @@
 	}
 	if len(frame.Failure) == 0 {
 		if frame.Offset+uint64(len(frame.Data)) != uint64(f.answer.Length()) {
-			return claims.FetchBroken, true
+			return claims.FetchInterrupted, true
 		}
 		f.answer.Describe(frame.Pool, frame.Form)
 		f.result = answer.Result{
@@ -154,10 +154,10 @@
 	}
 	failure, err := fault.Decode(frame.Failure)
 	if err != nil {
-		return claims.FetchBroken, true
+		return claims.FetchInterrupted, true
 	}
 	if failure.Kind == fault.NotFound {
-		return claims.FetchUnheld, true
+		return claims.AnswerNotHeld, true
 	}
 	f.failure = failure
 	return claims.FetchFailed, true
@@ -168,10 +168,10 @@
 	kind := f.run(x.ctx)
 	x.result = f.result
 	x.ownersFailure = f.failure
-	if kind == claims.FetchBroken && x.ctx.Err() != nil {
+	if kind == claims.FetchInterrupted && x.ctx.Err() != nil {
 		return x.interrupted(kind)
 	}
-	if kind == claims.FetchBroken && !x.service.live(e.Address) {
+	if kind == claims.FetchInterrupted && !x.service.live(e.Address) {
 		kind = claims.OwnerDead
 	}
 	return claims.Event{Kind: kind, Length: x.answer.Length()}
--- a/internal/entry/observe.go
+++ b/internal/entry/observe.go
@@ -103,7 +103,7 @@
 }
 
 func (o *observer) event(kind promise.Kind, r *request) promise.Event {
-	return promise.Event{Kind: kind, Workspace: r.workspace.Name, Key: r.key, Pool: r.pool, Tier: r.tier, Once: r.once(), Digest: r.digest}
+	return promise.Event{Kind: kind, Workspace: r.workspace.Name, Key: r.key, Pool: r.pool, Tier: r.tier, NonIdempotent: r.once(), Digest: r.digest}
 }
 
 func (o *observer) accepted(r *request) {
@@ -221,9 +221,9 @@
 
 func (o *observer) answered(e promise.Event, a *answer.Answer, got string) {
 	e.Stream = a.Meta().Stream
-	e.Whole = true
-	e.Sent = a.Sum()
-	e.Got = got
+	e.Complete = true
+	e.SentHash = a.Sum()
+	e.ReceivedHash = got
 	o.events.Record(e)
 }
 
--- a/internal/entry/pickup.go
+++ b/internal/entry/pickup.go
@@ -105,7 +105,7 @@
 	_, plain := cfg.Service(c.Pool)
 	r := &request{
 		workspace: w, key: key, callerKey: true, digest: c.Digest, pool: c.Pool, plain: plain, join: true,
-		form: form, accepted: time.Now(), deadline: time.Now().Add(time.Duration(cfg.Times().RequestMS) * time.Millisecond),
+		form: form, accepted: time.Now(), deadline: time.Now().Add(time.Duration(cfg.EffectiveTimeouts().RequestMS) * time.Millisecond),
 		tierName: w.Tier,
 	}
 	if plain {
@@ -135,7 +135,7 @@
 
 func (s *Service) copyIssued(ctx context.Context, address string, a *answer.Answer) {
 	f := fetcher{link: s.link, answer: a, address: address}
-	for range claims.FetchTries {
+	for range claims.MaxFetchAttempts {
 		switch f.run(ctx) {
 		case claims.Fetched:
 			a.End(f.result)
@@ -143,7 +143,7 @@
 		case claims.FetchFailed:
 			a.Fail(f.failure)
 			return
-		case claims.FetchUnheld:
+		case claims.AnswerNotHeld:
 			a.Fail(noAnswer(a.Meta().Key))
 			return
 		}
--- a/internal/entry/request.go
+++ b/internal/entry/request.go
@@ -133,7 +133,7 @@
 // setTimes fills in deadline, tier and goodput time.
 func (s *Service) setTimes(c echo.Context, r *request) error {
 	cfg := s.view.Snapshot().Config
-	ms := cfg.Times().RequestMS
+	ms := cfg.EffectiveTimeouts().RequestMS
 	if text := c.Request().Header.Get(headerTimeoutMS); text != "" {
 		n, err := strconv.ParseInt(text, 10, 64)
 		if err != nil || n < 1 {
--- a/internal/entry/rig_test.go
+++ b/internal/entry/rig_test.go
@@ -59,7 +59,7 @@
 	t.Cleanup(func() {
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		require.Empty(t, promise.Check(c.events, promise.Options{Open: true}))
+		require.Empty(t, promise.Check(c.events, promise.Options{InFlightAtEnd: true}))
 	})
 	return c
 }
--- a/internal/logbench/measure.go
+++ b/internal/logbench/measure.go
@@ -138,8 +138,8 @@
 	}
 	r.Restart = time.Since(began)
 	r.RestartEntries = len(saved.Entries)
-	if machine.Claims() != snapshotClaims+behindSnapshot {
-		return fmt.Errorf("the restarted state holds %d claims in place of %d", machine.Claims(), snapshotClaims+behindSnapshot)
+	if machine.ClaimCount() != snapshotClaims+behindSnapshot {
+		return fmt.Errorf("the restarted state holds %d claims in place of %d", machine.ClaimCount(), snapshotClaims+behindSnapshot)
 	}
 	return nil
 }
--- a/internal/matrix/applyfaults.go
+++ b/internal/matrix/applyfaults.go
@@ -61,7 +61,7 @@
 }
 
 func (s *site) unreachable(f *follower, d time.Duration) {
-	s.world.record(promise.Event{Kind: promise.Cut, Daemon: f.name})
+	s.world.record(promise.Event{Kind: promise.Partitioned, Daemon: f.name})
 	s.world.after(d, func() { s.world.record(promise.Event{Kind: promise.Healed, Daemon: f.name}) })
 }
 
--- a/internal/matrix/attempt.go
+++ b/internal/matrix/attempt.go
@@ -49,7 +49,7 @@
 func newAttempt(d *daemon, c *caller) *attempt {
 	name := fmt.Sprintf("%s-%d-%d", d.name, d.run, d.started)
 	a := &attempt{daemon: d, key: c.key, tier: c.tier, deadline: d.world.now() + requestTime, machine: claims.NewMachine(claims.Request{
-		Workspace: space, Key: c.key, Keyed: true, Plain: d.world.kind == call, Digest: c.key, Pool: pool, Stream: name, Entry: d.name,
+		Workspace: space, Key: c.key, Keyed: true, PlainService: d.world.kind == call, Digest: c.key, Pool: pool, Stream: name, Entry: d.name,
 	})}
 	d.do(requestTime, func() { a.step(claims.Event{Kind: claims.Expired}) })
 	return a
@@ -76,7 +76,7 @@
 		if !a.daemon.alive {
 			return
 		}
-		if f.Pause {
+		if f.Delayed {
 			a.daemon.do(retryPause, func() { a.act(f) })
 			continue
 		}
@@ -114,15 +114,15 @@
 		a.stream = f.Stream
 	case claims.Deliver:
 		a.text.WriteString(a.frame)
-	case claims.Retire:
+	case claims.CloseConnection:
 		a.retire()
 	case claims.Release:
 		d.session.release(a, outcomes[f.Slot])
 	case claims.Finish:
 		a.finish(f.Finish)
-	case claims.Settle:
+	case claims.ResolveClaim:
 		a.settle(f.Claim)
-	case claims.Recorded:
+	case claims.ServeRecorded:
 		a.end(&ending{stream: f.Claim.Stream, text: string(f.Claim.Body)})
 	case claims.End:
 		a.end(&ending{stream: a.stream, text: a.text.String()})
@@ -133,21 +133,21 @@
 
 // outcomes translates the use of a slot for the scheduler.
 var outcomes = map[claims.Slot]sched.Outcome{
-	claims.SlotDone:     sched.Completed,
-	claims.SlotNotSent:  sched.NotSent,
-	claims.SlotCanceled: sched.Canceled,
-	claims.SlotBroken:   sched.ConnectionLost,
+	claims.SlotCompleted:      sched.Completed,
+	claims.SlotNotSent:        sched.NotSent,
+	claims.SlotCanceled:       sched.Canceled,
+	claims.SlotConnectionLost: sched.ConnectionLost,
 }
 
 func (a *attempt) claimed(r state.Result, ok bool) {
-	e := claims.Event{Kind: claims.ClaimLost}
+	e := claims.Event{Kind: claims.ClaimUnconfirmed}
 	if r.Claim != nil {
 		e.Claim = *r.Claim
 	}
 	switch {
 	case !ok:
 	case r.Status == state.OK:
-		e.Kind = claims.ClaimMade
+		e.Kind = claims.ClaimCommitted
 	case r.Status == state.Exists:
 		e.Kind = claims.ClaimExists
 	default:
@@ -178,7 +178,7 @@
 	a.daemon.do(2*hop, func() {
 		switch {
 		case !started:
-			a.step(claims.Event{Kind: claims.SendBroken})
+			a.step(claims.Event{Kind: claims.SendInterrupted})
 		case w.kind == stream:
 			a.step(claims.Event{Kind: claims.Started})
 		default:
@@ -214,9 +214,9 @@
 // broken is what a lost connection means to the machine.
 func (a *attempt) broken() claims.EventKind {
 	if a.daemon.world.kind == call {
-		return claims.SendBroken
+		return claims.SendInterrupted
 	}
-	return claims.Broken
+	return claims.ConnectionLost
 }
 
 // poll hands over what came in, where the machine waits for it.
@@ -228,7 +228,7 @@
 	c.inbox, c.texts = c.inbox[1:], c.texts[1:]
 	a.awaiting = false
 	a.frame = text
-	if e.Kind == claims.Broken {
+	if e.Kind == claims.ConnectionLost {
 		e.Kind = a.broken()
 	}
 	if e.Kind == claims.Replied {
@@ -314,7 +314,7 @@
 // whether it is dead.
 func (d *daemon) fetchLost() claims.EventKind {
 	if d.believedLive() {
-		return claims.FetchBroken
+		return claims.FetchInterrupted
 	}
 	return claims.OwnerDead
 }
@@ -335,7 +335,7 @@
 			return
 		}
 	}
-	d.send(&from.daemon.process, func() { reply(claims.Event{Kind: claims.FetchUnheld}, nil) })
+	d.send(&from.daemon.process, func() { reply(claims.Event{Kind: claims.AnswerNotHeld}, nil) })
 }
 
 // onEnd calls fn at the attempt's end.
@@ -383,7 +383,7 @@
 				x.caller.answered(a.daemon, x.sent, a.ended.stream, a.ended.text)
 			default:
 				failure := *a.ended.failure
-				if failure.Code == claims.OwnersFailure {
+				if failure.Code == claims.OwnerFailure {
 					failure.Ran = claims.MayHaveRun
 				}
 				x.caller.refused(a.daemon, x.sent, failure)
--- a/internal/matrix/caller.go
+++ b/internal/matrix/caller.go
@@ -88,7 +88,7 @@
 		return
 	}
 	c.end()
-	c.world.record(promise.Event{Kind: promise.Answer, Daemon: d.name, Workspace: space, Key: c.key, Stream: name, Whole: true, Got: hashOf(text)})
+	c.world.record(promise.Event{Kind: promise.Answer, Daemon: d.name, Workspace: space, Key: c.key, Stream: name, Complete: true, ReceivedHash: hashOf(text)})
 }
 
 // refused gives the caller a failure.
--- a/internal/matrix/cell.go
+++ b/internal/matrix/cell.go
@@ -117,7 +117,7 @@
 	v.ending = w.ending()
 	// What happens after the callers' end must keep the promises too.
 	w.run(w.aftermath(), never)
-	v.broken = promise.Check(w.events, promise.Options{Open: len(v.hung) > 0})
+	v.broken = promise.Check(w.events, promise.Options{InFlightAtEnd: len(v.hung) > 0})
 }
 
 // skipped says why a fault could not come about.
--- a/internal/matrix/daemon.go
+++ b/internal/matrix/daemon.go
@@ -61,7 +61,7 @@
 	if c.ended || c.sends != sent {
 		return
 	}
-	d.world.record(promise.Event{Kind: promise.Accept, Daemon: d.name, Workspace: space, Key: c.key, Once: d.world.kind == call, Tier: c.tier})
+	d.world.record(promise.Event{Kind: promise.Accept, Daemon: d.name, Workspace: space, Key: c.key, NonIdempotent: d.world.kind == call, Tier: c.tier})
 	a, ok := d.attempts[c.key]
 	if !ok {
 		d.started++
--- a/internal/matrix/engine.go
+++ b/internal/matrix/engine.go
@@ -81,7 +81,7 @@
 		return false
 	}
 	content := contentOf(key)
-	e.world.record(promise.Event{Kind: promise.Execute, Upstream: e.name, Workspace: space, Key: key, Stream: name, Sent: hashOf(content)})
+	e.world.record(promise.Event{Kind: promise.Execute, Upstream: e.name, Workspace: space, Key: key, Stream: name, SentHash: hashOf(content)})
 	x := &work{content: content, conns: []*conn{c}}
 	e.works[name] = x
 	if e.world.kind == call {
@@ -176,7 +176,7 @@
 }
 
 // reset ends the connection as a dead peer does.
-func (c *conn) reset() { c.arrive(claims.Event{Kind: claims.Broken}, "") }
+func (c *conn) reset() { c.arrive(claims.Event{Kind: claims.ConnectionLost}, "") }
 
 func (c *conn) arrive(e claims.Event, text string) {
 	if c.silent {
--- a/internal/matrix/faults.go
+++ b/internal/matrix/faults.go
@@ -144,7 +144,7 @@
 // isolate cuts a daemon off from everyone for a long time.
 func (w *world) isolate(d *daemon) {
 	d.cut, d.lost = w.now()+cutTime, w.now()
-	w.record(promise.Event{Kind: promise.Cut, Daemon: d.name})
+	w.record(promise.Event{Kind: promise.Partitioned, Daemon: d.name})
 }
 
 // pause stops a daemon's process for a while.
--- a/internal/matrix/session.go
+++ b/internal/matrix/session.go
@@ -145,7 +145,7 @@
 		return
 	}
 	o.upstream = g.Upstream
-	o.attempt.step(claims.Event{Kind: claims.GrantGiven, Upstream: g.Upstream, Address: g.Address})
+	o.attempt.step(claims.Event{Kind: claims.GrantReceived, Upstream: g.Upstream, Address: g.Address})
 }
 
 func (s *session) refused(epoch uint64, r sched.Refusal) {
--- a/internal/replica/checks_test.go
+++ b/internal/replica/checks_test.go
@@ -148,6 +148,6 @@
 		Digest  string
 		Leases  map[string]state.Lease
 		Claims  int
-	}{version, digest, m.Leases(), m.Claims()})
+	}{version, digest, m.Leases(), m.ClaimCount()})
 	return fmt.Sprintf("%s %v", data, err)
 }
--- a/internal/replica/keeper.go
+++ b/internal/replica/keeper.go
@@ -141,7 +141,7 @@
 		e.keeper.retention = retention(files)
 	}
 	keepFrom := now.Add(-e.keeper.retention)
-	oldest, any := e.machine.Oldest()
+	oldest, any := e.machine.OldestClaim()
 	old := any && oldest < keepFrom.Add(-trimStep).UnixMilli()
 	if old || e.machine.AnswerBytes() > answerBytes {
 		e.order(state.Command{Trim: &state.Trim{BeforeMS: keepFrom.UnixMilli(), AnswerBytes: answerBytes}})
@@ -153,7 +153,7 @@
 	if err != nil {
 		c = &config.Config{}
 	}
-	return time.Duration(c.Times().RetentionMS) * time.Millisecond
+	return time.Duration(c.EffectiveTimeouts().RetentionMS) * time.Millisecond
 }
 
 // change adds or moves a replica, or removes one where the ID is zero. It
