--- a/internal/matrix/session.go
+++ b/internal/matrix/session.go
@@ -94,7 +94,7 @@
 func (s *session) form(id uint64, o *offered) sched.Offer {
 	return sched.Offer{
 		ID: sched.ID{Entry: s.entry(), Number: id}, Workspace: space, Tier: o.attempt.tier, Weight: 1,
-		PromptTokens: promptTokens, MaxTokens: maxTokens, Deadline: o.attempt.deadline, Fingerprint: fingerprint(o.attempt.key), Running: o.upstream,
+		PromptTokens: promptTokens, MaxTokens: maxTokens, Deadline: o.attempt.deadline, Fingerprint: fingerprint(o.attempt.key), RunningOn: o.upstream,
 	}
 }
 
@@ -145,7 +145,7 @@
 		return
 	}
 	o.upstream = g.Upstream
-	o.attempt.step(claims.Event{Kind: claims.GrantGiven, Upstream: g.Upstream, Address: g.Address})
+	o.attempt.step(claims.Event{Kind: claims.GrantReceived, Upstream: g.Upstream, Address: g.Address})
 }
 
 func (s *session) refused(epoch uint64, r sched.Refusal) {
@@ -196,7 +196,7 @@
 	h.heard[entry] = h.daemon.world.now()
 	refusals := h.core.resync(h.daemon.world.now(), entry, offers)
 	for _, o := range offers {
-		h.note(promise.Queue, o.ID, o.Tier, o.Running)
+		h.note(promise.Queue, o.ID, o.Tier, o.RunningOn)
 	}
 	h.refuse(refusals)
 	h.decide()
