--- a/core/broker/broker.go
+++ b/core/broker/broker.go
@@ -119,7 +119,7 @@
 	ID         ID
 	Code       Code
 	RetryAfter time.Duration
-	Why        string
+	Reason     string
 }
 
 // Outcome is how a granted request ended.
@@ -225,15 +225,15 @@
 	}
 }
 
-// Configure sets the route table.
-func (b *Broker) Configure(x *routes.Index) { b.table = x }
+// SetTable sets the route table.
+func (b *Broker) SetTable(x *routes.Index) { b.table = x }
 
 // SetName sets the name that distinguishes the broker from others that share the
-// upstreams. Call it before Upstreams.
+// upstreams. Call it before SetUpstreams.
 func (b *Broker) SetName(name string) { b.name = name }
 
-// SetSlack sets the number of tokens that a workspace may use beyond its quota.
-func (b *Broker) SetSlack(tokens int64) { b.quotaSlackTokens = float64(tokens) }
+// SetQuotaSlack sets the number of tokens that a workspace may use beyond its quota.
+func (b *Broker) SetQuotaSlack(tokens int64) { b.quotaSlackTokens = float64(tokens) }
 
 // SetShare sets the fraction of capacity and quotas that the broker may use.
 func (b *Broker) SetShare(share float64) { b.share = share }
@@ -330,9 +330,9 @@
 // reported.
 const nearlyFullLevel = 0.95
 
-// Levels returns, by workspace, the fraction of the quota that is left. It omits
+// QuotaLevels returns, by workspace, the fraction of the quota that is left. It omits
 // workspaces whose quota is nearly unused.
-func (b *Broker) Levels(now time.Duration) map[string]float64 {
+func (b *Broker) QuotaLevels(now time.Duration) map[string]float64 {
 	out := map[string]float64{}
 	for name, bucket := range b.buckets {
 		workspace := b.workspace(name)
@@ -347,9 +347,9 @@
 	return out
 }
 
-// Lower reduces the quotas to the levels that another broker reported, so that a
+// LowerQuotas reduces the quotas to the levels that another broker reported, so that a
 // change of brokers does not grant a second burst.
-func (b *Broker) Lower(now time.Duration, levels map[string]float64) {
+func (b *Broker) LowerQuotas(now time.Duration, levels map[string]float64) {
 	for name, left := range levels {
 		if workspace := b.workspace(name); workspace != nil {
 			rate, burst := b.quota(workspace)
@@ -358,8 +358,8 @@
 	}
 }
 
-// ForgetQuotas resets all quotas to full; Lower may reduce them afterwards.
-func (b *Broker) ForgetQuotas() { clear(b.buckets) }
+// ResetQuotas resets all quotas to full; LowerQuotas may reduce them afterwards.
+func (b *Broker) ResetQuotas() { clear(b.buckets) }
 
 // workspace returns the named workspace, or nil if it is unknown or has no quota.
 func (b *Broker) workspace(name string) *routes.Workspace {
@@ -376,7 +376,7 @@
 // refund returns the tokens of a request that did not run to its workspace's quota.
 func (b *Broker) refund(req *request) {
 	if bucket := b.buckets[req.Workspace]; bucket != nil && req.chargedTokens > 0 {
-		bucket.Return(float64(req.chargedTokens))
+		bucket.Refund(float64(req.chargedTokens))
 		req.chargedTokens = 0
 	}
 }
@@ -385,7 +385,7 @@
 func (b *Broker) refuse(req *request, code Code, after time.Duration, reason string) {
 	delete(b.requests, req.ID)
 	b.refund(req)
-	b.pending.Refusals = append(b.pending.Refusals, Refusal{ID: req.ID, Code: code, RetryAfter: after, Why: reason})
+	b.pending.Refusals = append(b.pending.Refusals, Refusal{ID: req.ID, Code: code, RetryAfter: after, Reason: reason})
 }
 
 // Cancel removes a waiting request and refunds its quota. It ignores requests that
@@ -472,9 +472,9 @@
 	}
 }
 
-// Upstreams replaces the upstreams of all pools. What was learned about upstreams
+// SetUpstreams replaces the upstreams of all pools. What was learned about upstreams
 // that remain is kept.
-func (b *Broker) Upstreams(list []Upstream) {
+func (b *Broker) SetUpstreams(list []Upstream) {
 	byPool := map[string][]Upstream{}
 	for name := range b.pools {
 		byPool[name] = nil
@@ -498,43 +498,43 @@
 	return nil
 }
 
-// Learned is what a broker has learned about an upstream.
-type Learned struct {
+// Estimates holds what a broker has learned about an upstream.
+type Estimates struct {
 	ID string
-	// Token is the time per output token and Call the time of a service call, in
+	// TokenTime is the time per output token and CallTime the time of a service call, in
 	// seconds; zero before the first observation.
-	Token float64
-	Call  float64
-	// Fails is the moving average of the failure rate, in [0, 1].
-	Fails float64
+	TokenTime float64
+	CallTime  float64
+	// FailureRate is the moving average of the failure rate, in [0, 1].
+	FailureRate float64
 }
 
-// Learned returns what was learned about each upstream, by upstream ID.
-func (b *Broker) Learned() map[string]Learned {
-	out := map[string]Learned{}
+// Estimates returns what was learned about each upstream, by upstream ID.
+func (b *Broker) Estimates() map[string]Estimates {
+	out := map[string]Estimates{}
 	for _, p := range b.pools {
 		for _, u := range p.order {
-			out[u.ID] = Learned{ID: u.ID, Token: u.speed.tokenTime, Call: u.speed.callTime, Fails: u.health.failureRate}
+			out[u.ID] = Estimates{ID: u.ID, TokenTime: u.speed.tokenTime, CallTime: u.speed.callTime, FailureRate: u.health.failureRate}
 		}
 	}
 	return out
 }
 
-// Teach replaces what was learned about the listed upstreams by what another
+// SetEstimates replaces what was learned about the listed upstreams by what another
 // broker learned. It ignores unknown upstreams.
-func (b *Broker) Teach(list []Learned) {
+func (b *Broker) SetEstimates(list []Estimates) {
 	for _, l := range list {
 		for _, p := range b.pools {
 			if u := p.upstreams[l.ID]; u != nil {
-				u.speed = speed{tokenTime: l.Token, callTime: l.Call}
-				u.health.failureRate = l.Fails
+				u.speed = speed{tokenTime: l.TokenTime, callTime: l.CallTime}
+				u.health.failureRate = l.FailureRate
 			}
 		}
 	}
 }
 
-// Dump is the state of a pool as operators see it.
-type Dump struct {
+// PoolDump is the state of a pool as operators see it.
+type PoolDump struct {
 	Pool      string         `json:"pool"`
 	Queued    int            `json:"queued"`
 	Upstreams []UpstreamDump `json:"upstreams"`
@@ -549,28 +549,28 @@
 
 // UpstreamDump is the state of an upstream as operators see it.
 type UpstreamDump struct {
-	ID       string  `json:"id"`
-	InFlight int     `json:"in_flight"`
-	Slots    int     `json:"slots"`
-	TokenMS  float64 `json:"token_ms"`
-	CallMS   float64 `json:"call_ms"`
-	Fails    float64 `json:"fails"`
-	Leaving  bool    `json:"leaving"`
-	Silent   bool    `json:"silent"`
+	ID          string  `json:"id"`
+	InFlight    int     `json:"in_flight"`
+	Slots       int     `json:"slots"`
+	TokenMS     float64 `json:"token_ms"`
+	CallMS      float64 `json:"call_ms"`
+	FailureRate float64 `json:"fails"`
+	Leaving     bool    `json:"leaving"`
+	Silent      bool    `json:"silent"`
 }
 
 // Dump returns the state of all pools.
-func (b *Broker) Dump() []Dump {
-	out := []Dump{}
+func (b *Broker) Dump() []PoolDump {
+	out := []PoolDump{}
 	for _, p := range b.pools {
-		d := Dump{
+		d := PoolDump{
 			Pool: p.name, Queued: len(p.queue), TokenMS: 1000 * p.costs.tokenTime, ReadMS: 1000 * p.costs.tokenTime * p.costs.prefillRatio,
 			OverheadMS: 1000 * p.costs.tokenTime * p.costs.overhead, CallMS: 1000 * p.costs.callTime,
 		}
 		for _, u := range p.order {
 			d.Upstreams = append(d.Upstreams, UpstreamDump{
 				ID: u.ID, InFlight: len(u.inFlight), Slots: u.Slots, TokenMS: 1000 * u.speed.tokenTime, CallMS: 1000 * u.speed.callTime,
-				Fails: u.health.failureRate, Leaving: u.Leaving, Silent: u.Silent,
+				FailureRate: u.health.failureRate, Leaving: u.Leaving, Silent: u.Silent,
 			})
 		}
 		out = append(out, d)
--- a/core/broker/broker_test.go
+++ b/core/broker/broker_test.go
@@ -12,7 +12,7 @@
 // newServiceBroker returns a broker with one upstream "u" of a plain service.
 func newServiceBroker(slots int) *Broker {
 	b := New(1)
-	b.Upstreams([]Upstream{{ID: "u", Pool: "p", Address: "a", Slots: slots}})
+	b.SetUpstreams([]Upstream{{ID: "u", Pool: "p", Address: "a", Slots: slots}})
 	return b
 }
 
@@ -65,7 +65,7 @@
 	o.Avoid = []string{"u"}
 	b.Offer(0, o)
 	require.Empty(t, b.Decide(0).Grants)
-	b.Upstreams([]Upstream{{ID: "u", Pool: "p", Slots: 4, Leaving: true}})
+	b.SetUpstreams([]Upstream{{ID: "u", Pool: "p", Slots: 4, Leaving: true}})
 	b.Offer(0, newOffer(2))
 	require.Empty(t, b.Decide(0).Grants)
 	refused := b.Decide(noUpstreamTimeout).Refusals
@@ -164,7 +164,7 @@
 
 func TestQuotaIsRefundedIfRequestDidNotRun(t *testing.T) {
 	b := newServiceBroker(10)
-	b.Configure(routes.NewIndex(&routes.Table{Workspaces: []routes.Workspace{{Name: "w", TokensPerSecond: 100, TokenBurst: 1000}}}))
+	b.SetTable(routes.NewIndex(&routes.Table{Workspaces: []routes.Workspace{{Name: "w", TokensPerSecond: 100, TokenBurst: 1000}}}))
 	now := 20 * time.Second
 	charged := func(n uint64) Offer {
 		o := newOffer(n)
@@ -206,23 +206,23 @@
 	}
 	broker := func(share float64) *Broker {
 		b := New(share)
-		b.Upstreams([]Upstream{{ID: "u", Pool: "p", Address: "a", Slots: 1 << 20}})
-		b.Configure(table)
+		b.SetUpstreams([]Upstream{{ID: "u", Pool: "p", Address: "a", Slots: 1 << 20}})
+		b.SetTable(table)
 		return b
 	}
 	old := broker(1)
 	now := time.Minute
 	total := drain(old, now)
 	require.Equal(t, burst, total)
-	levels := old.Levels(now)
+	levels := old.QuotaLevels(now)
 	require.Less(t, levels["w"], 0.01)
 	for range entries {
 		alone := broker(1.0 / entries)
-		alone.Lower(now, levels)
+		alone.LowerQuotas(now, levels)
 		total += drain(alone, now+time.Second)
 	}
 	next := broker(1)
-	next.Lower(now+time.Second, levels)
+	next.LowerQuotas(now+time.Second, levels)
 	total += drain(next, now+2*time.Second)
 	require.LessOrEqual(t, total, burst+4*rate, "one burst, and the rate for the elapsed time")
 	fresh := broker(1)
--- a/core/broker/decide.go
+++ b/core/broker/decide.go
@@ -57,9 +57,9 @@
 	return out
 }
 
-// Next returns the longest delay before the next call of Decide, and false if no
+// NextDelay returns the longest delay before the next call of Decide, and false if no
 // request waits.
-func (b *Broker) Next() (time.Duration, bool) {
+func (b *Broker) NextDelay() (time.Duration, bool) {
 	for _, p := range b.pools {
 		if len(p.queue) > 0 {
 			return decideInterval, true
--- a/core/broker/pattern_test.go
+++ b/core/broker/pattern_test.go
@@ -113,14 +113,14 @@
 		open: map[ID]requestKind{}, offered: map[ID]time.Duration{}, tallies: map[string]*tally{},
 	}
 	table := &routes.Table{Version: 1, Pools: []routes.Pool{{Name: simPool, Engine: &routes.Engine{Slots: simSlots, MemoryTokens: 600_000, EventTokens: 2}}}}
-	s.broker.Configure(routes.NewIndex(table))
+	s.broker.SetTable(routes.NewIndex(table))
 	list := []Upstream{}
 	for i, x := range slowness {
 		e := &simEngine{id: fmt.Sprintf("e-%02d", i), slowness: x}
 		s.engines[e.id] = e
 		list = append(list, Upstream{ID: e.id, Pool: simPool, Address: e.id, DataCentre: "dc", Region: "r", Slots: simSlots})
 	}
-	s.broker.Upstreams(list)
+	s.broker.SetUpstreams(list)
 	return s
 }
 
@@ -285,7 +285,7 @@
 		for entry := range c.entries {
 			b := New(1 / float64(c.entries))
 			b.SetName(fmt.Sprintf("entry-%d", entry))
-			b.Upstreams(list)
+			b.SetUpstreams(list)
 			for n := range 40 {
 				b.Offer(0, Offer{ID: ID{Entry: "x", Number: uint64(n)}, Pool: simPool, Aim: time.Second, Latest: time.Second, Deadline: time.Second})
 			}
@@ -333,11 +333,11 @@
 // have slots for, all too long for a slow engine to complete by the deadline.
 func TestPatternLongAnswersAvoidSlowEngines(t *testing.T) {
 	s := newSim(0.68, 0.68, 3, 3)
-	learned := []Learned{}
+	learned := []Estimates{}
 	for id, e := range s.engines {
-		learned = append(learned, Learned{ID: id, Token: simTokenTime * e.slowness})
+		learned = append(learned, Estimates{ID: id, TokenTime: simTokenTime * e.slowness})
 	}
-	s.broker.Teach(learned)
+	s.broker.SetEstimates(learned)
 	long := kinds[2]
 	long.output = 700
 	onSlow := 0
--- a/core/limits/bucket.go
+++ b/core/limits/bucket.go
@@ -37,8 +37,8 @@
 	b.level = min(b.level, level)
 }
 
-// Return adds tokens that were taken but not used.
-func (b *Bucket) Return(n float64) { b.level += n }
+// Refund adds tokens that were taken but not used.
+func (b *Bucket) Refund(n float64) { b.level += n }
 
 func (b *Bucket) refill(now time.Duration, rate, burst float64) {
 	if !b.started {
--- a/internal/broker/broker.go
+++ b/internal/broker/broker.go
@@ -106,7 +106,7 @@
 
 func newCore(set *settings.Settings) *broker.Broker {
 	core := broker.New(1)
-	core.SetSlack(set.Routing.Quota.SlackTokens)
+	core.SetQuotaSlack(set.Routing.Quota.SlackTokens)
 	return core
 }
 
@@ -182,16 +182,16 @@
 			x.send(s.reply())
 		}
 	}
-	learned := map[string]broker.Learned(nil)
+	learned := map[string]broker.Estimates(nil)
 	leadershipChanged := leads != s.leads
 	if leadershipChanged {
-		learned = s.core.Learned()
+		learned = s.core.Estimates()
 		s.setLeads(leads)
 	}
 	newTable := table != nil && table.Table.Version != s.version
 	if newTable {
 		s.version = table.Table.Version
-		s.core.Configure(table)
+		s.core.SetTable(table)
 	}
 	if !rosterChanged && !newTable && time.Since(s.rosterReadAt) < rosterInterval {
 		return
@@ -199,9 +199,9 @@
 	s.rosterReadAt = time.Now()
 	list := s.roster.All()
 	if s.leads || leadershipChanged {
-		s.core.Upstreams(work.Upstreams(list, s.set.Routing.DataCentres))
+		s.core.SetUpstreams(work.Upstreams(list, s.set.Routing.DataCentres))
 	}
-	s.core.Teach(slices.Collect(maps.Values(learned)))
+	s.core.SetEstimates(slices.Collect(maps.Values(learned)))
 	s.announceChanges(list)
 	s.rosterReadTime = time.Since(s.rosterReadAt)
 }
@@ -266,7 +266,7 @@
 		}
 	}
 	s.sendLevels()
-	if delay, waits := s.core.Next(); waits {
+	if delay, waits := s.core.NextDelay(); waits {
 		return delay
 	}
 	return heartbeatInterval
@@ -293,8 +293,8 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return struct {
-		Leads    bool          `json:"leads"`
-		Sessions int           `json:"sessions"`
-		Pools    []broker.Dump `json:"pools"`
+		Leads    bool              `json:"leads"`
+		Sessions int               `json:"sessions"`
+		Pools    []broker.PoolDump `json:"pools"`
 	}{s.leads, len(s.sessions), s.core.Dump()}
 }
--- a/internal/broker/levels.go
+++ b/internal/broker/levels.go
@@ -20,10 +20,10 @@
 	}
 	s.levelsSentAt = time.Now()
 	changed := s.reply()
-	changed.Quotas = work.EncodeLevels(levelChanges(s.sentLevels, s.core.Levels(s.now())))
+	changed.Quotas = work.EncodeQuotaLevels(levelChanges(s.sentLevels, s.core.QuotaLevels(s.now())))
 	all := s.reply()
 	all.QuotasSet = true
-	all.Quotas = work.EncodeLevels(s.sentLevels)
+	all.Quotas = work.EncodeQuotaLevels(s.sentLevels)
 	for _, x := range s.sessions {
 		switch {
 		case !x.hasLevels:
--- a/internal/broker/news.go
+++ b/internal/broker/news.go
@@ -88,10 +88,10 @@
 // that traffic grows with the changes and not with the roster. The caller holds the lock.
 func (s *Service) announceChanges(list []port.RosterEntry) {
 	r := s.reply()
-	learned := s.core.Learned()
+	learned := s.core.Estimates()
 	listed := make(map[string]bool, len(list))
 	for _, e := range list {
-		current := work.EncodeEntry(e, learned[e.ID])
+		current := work.EncodeUpstream(e, learned[e.ID])
 		listed[e.ID] = true
 		if old := s.announced[e.ID]; old != nil && !significantChange(old, current) {
 			continue
--- a/internal/broker/session.go
+++ b/internal/broker/session.go
@@ -128,7 +128,7 @@
 	for _, id := range ask.Cancels {
 		s.core.Cancel(broker.ID{Entry: entry, Number: id})
 	}
-	s.core.Lower(now, work.DecodeLevels(ask.Quotas))
+	s.core.LowerQuotas(now, work.DecodeQuotaLevels(ask.Quotas))
 	for _, o := range ask.Offers {
 		s.core.Offer(now, work.DecodeOffer(now, entry, o))
 	}
--- a/internal/brokerclient/alone.go
+++ b/internal/brokerclient/alone.go
@@ -35,7 +35,7 @@
 			s.localFrom = s.now() + firstBrokerTimeout
 		}
 		s.version = table.Table.Version
-		s.local.Configure(table)
+		s.local.SetTable(table)
 	}
 	if s.attached || table == nil {
 		return localDecideInterval
@@ -50,7 +50,7 @@
 	for _, r := range decisions.Refusals {
 		s.settleRefusal(r, byEntry)
 	}
-	if delay, waits := s.local.Next(); waits {
+	if delay, waits := s.local.NextDelay(); waits {
 		return delay
 	}
 	return localDecideInterval
--- a/internal/brokerclient/client.go
+++ b/internal/brokerclient/client.go
@@ -105,7 +105,7 @@
 func New(set *settings.Settings, log *zap.Logger, self port.Holder) *Service {
 	local := broker.New(1)
 	local.SetName(self.String())
-	local.SetSlack(set.Routing.Quota.SlackTokens)
+	local.SetQuotaSlack(set.Routing.Quota.SlackTokens)
 	return &Service{
 		set: set, log: log.Named("work"), metrics: newMetrics(), self: self.String(), started: time.Now(), wakeSession: make(chan struct{}, 1), wakeLocal: make(chan struct{}, 1),
 		waiting: map[uint64]*acquisition{}, running: map[uint64]*acquisition{}, local: local, entries: 1, roster: map[string]*rpc.RosterEntry{},
@@ -245,7 +245,7 @@
 	delete(s.waiting, r.ID.Number)
 	s.metrics.refusals.WithLabelValues(by, string(r.Code)).Inc()
 	a.by = by
-	a.failure = fault.New(fault.Kind(r.Code), "send the request again after the stated time", "%s", r.Why).After(r.RetryAfter)
+	a.failure = fault.New(fault.Kind(r.Code), "send the request again after the stated time", "%s", r.Reason).After(r.RetryAfter)
 	close(a.settled)
 }
 
@@ -264,10 +264,10 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return struct {
-		Attached bool          `json:"attached"`
-		Entries  int           `json:"entries"`
-		Waiting  int           `json:"waiting"`
-		Running  int           `json:"running"`
-		Pools    []broker.Dump `json:"pools"`
+		Attached bool              `json:"attached"`
+		Entries  int               `json:"entries"`
+		Waiting  int               `json:"waiting"`
+		Running  int               `json:"running"`
+		Pools    []broker.PoolDump `json:"pools"`
 	}{s.attached, s.entries, len(s.waiting), len(s.running), s.local.Dump()}
 }
--- a/internal/brokerclient/session.go
+++ b/internal/brokerclient/session.go
@@ -113,8 +113,8 @@
 		s.updateLocal()
 	}
 	if wasAttached {
-		s.local.ForgetQuotas()
-		s.local.Lower(now, s.levels)
+		s.local.ResetQuotas()
+		s.local.LowerQuotas(now, s.levels)
 	}
 	for _, a := range s.waiting {
 		s.local.Offer(now, a.offer)
@@ -277,7 +277,7 @@
 	if r.QuotasSet {
 		clear(s.levels)
 	}
-	for name, left := range work.DecodeLevels(r.Quotas) {
+	for name, left := range work.DecodeQuotaLevels(r.Quotas) {
 		if left < 1 {
 			s.levels[name] = left
 		} else {
@@ -294,7 +294,7 @@
 	s.leaderlessSessions = 0
 	s.backOffUntil = 0
 	now := s.now()
-	s.pending.Quotas = work.EncodeLevels(s.levels)
+	s.pending.Quotas = work.EncodeQuotaLevels(s.levels)
 	for _, a := range s.running {
 		s.pending.Offers = append(s.pending.Offers, work.EncodeOffer(now, a.offer))
 	}
@@ -345,13 +345,13 @@
 // updateLocal applies the roster to the local broker. The caller holds the lock.
 func (s *Service) updateLocal() {
 	list := make([]port.RosterEntry, 0, len(s.roster))
-	learned := make([]broker.Learned, 0, len(s.roster))
+	learned := make([]broker.Estimates, 0, len(s.roster))
 	for _, e := range s.roster {
-		entry, l := work.DecodeEntry(e)
+		entry, l := work.DecodeUpstream(e)
 		list = append(list, entry)
 		learned = append(learned, l)
 	}
-	s.local.Upstreams(work.Upstreams(list, s.set.Routing.DataCentres))
-	s.local.Teach(learned)
+	s.local.SetUpstreams(work.Upstreams(list, s.set.Routing.DataCentres))
+	s.local.SetEstimates(learned)
 	s.localStale, s.localUpdated = false, s.now()
 }
--- a/internal/work/codec.go
+++ b/internal/work/codec.go
@@ -71,12 +71,12 @@
 
 // EncodeRefusal encodes a refusal.
 func EncodeRefusal(r broker.Refusal) *rpc.WorkRefusal {
-	return &rpc.WorkRefusal{Id: r.ID.Number, Code: string(r.Code), RetryAfterMs: milliseconds(r.RetryAfter), Why: r.Why}
+	return &rpc.WorkRefusal{Id: r.ID.Number, Code: string(r.Code), RetryAfterMs: milliseconds(r.RetryAfter), Why: r.Reason}
 }
 
 // DecodeRefusal decodes a refusal for the given entry.
 func DecodeRefusal(entry string, r *rpc.WorkRefusal) broker.Refusal {
-	return broker.Refusal{ID: broker.ID{Entry: entry, Number: r.Id}, Code: broker.Code(r.Code), RetryAfter: duration(r.RetryAfterMs), Why: r.Why}
+	return broker.Refusal{ID: broker.ID{Entry: entry, Number: r.Id}, Code: broker.Code(r.Code), RetryAfter: duration(r.RetryAfterMs), Reason: r.Why}
 }
 
 // EncodeEnd encodes the end of a request.
@@ -99,17 +99,17 @@
 	permille              = 1000
 )
 
-// EncodeEntry encodes an upstream and what was learned about it.
-func EncodeEntry(e port.RosterEntry, l broker.Learned) *rpc.RosterEntry {
+// EncodeUpstream encodes an upstream and what was learned about it.
+func EncodeUpstream(e port.RosterEntry, l broker.Estimates) *rpc.RosterEntry {
 	return &rpc.RosterEntry{
 		Id: e.ID, Pool: e.Pool, Address: e.Address, DataCentre: e.DataCentre, Slots: uint32(e.Slots), Leaving: e.Leaving, Gone: e.Gone,
 		Silent: e.Silent, ColdMs: milliseconds(e.Cold), AgeMs: milliseconds(e.Age),
-		TokenUs: uint32(l.Token * microsecondsPerSecond), CallUs: uint32(l.Call * microsecondsPerSecond), Trouble: uint32(l.Fails * permille),
+		TokenUs: uint32(l.TokenTime * microsecondsPerSecond), CallUs: uint32(l.CallTime * microsecondsPerSecond), Trouble: uint32(l.FailureRate * permille),
 	}
 }
 
-// DecodeEntry decodes an upstream and what was learned about it.
-func DecodeEntry(e *rpc.RosterEntry) (port.RosterEntry, broker.Learned) {
+// DecodeUpstream decodes an upstream and what was learned about it.
+func DecodeUpstream(e *rpc.RosterEntry) (port.RosterEntry, broker.Estimates) {
 	entry := port.RosterEntry{
 		Entry: roster.Entry{
 			ID: e.Id, Pool: e.Pool, Address: e.Address, DataCentre: e.DataCentre, Slots: int(e.Slots), Leaving: e.Leaving, Gone: e.Gone,
@@ -117,11 +117,11 @@
 		},
 		Age: duration(e.AgeMs), Silent: e.Silent,
 	}
-	return entry, broker.Learned{ID: e.Id, Token: float64(e.TokenUs) / microsecondsPerSecond, Call: float64(e.CallUs) / microsecondsPerSecond, Fails: float64(e.Trouble) / permille}
+	return entry, broker.Estimates{ID: e.Id, TokenTime: float64(e.TokenUs) / microsecondsPerSecond, CallTime: float64(e.CallUs) / microsecondsPerSecond, FailureRate: float64(e.Trouble) / permille}
 }
 
-// EncodeLevels encodes the fractions of quotas that are left, by workspace.
-func EncodeLevels(levels map[string]float64) []*rpc.QuotaLevel {
+// EncodeQuotaLevels encodes the fractions of quotas that are left, by workspace.
+func EncodeQuotaLevels(levels map[string]float64) []*rpc.QuotaLevel {
 	out := []*rpc.QuotaLevel{}
 	for name, left := range levels {
 		out = append(out, &rpc.QuotaLevel{Workspace: name, Left: int32(left * permille)})
@@ -129,8 +129,8 @@
 	return out
 }
 
-// DecodeLevels decodes the fractions of quotas that are left, by workspace.
-func DecodeLevels(list []*rpc.QuotaLevel) map[string]float64 {
+// DecodeQuotaLevels decodes the fractions of quotas that are left, by workspace.
+func DecodeQuotaLevels(list []*rpc.QuotaLevel) map[string]float64 {
 	out := map[string]float64{}
 	for _, q := range list {
 		out[q.Workspace] = float64(q.Left) / permille
