--- a/core/roster/renewal.go
+++ b/core/roster/renewal.go
@@ -7,45 +7,44 @@
 	"time"
 )
 
-// Renewal says that a process lives on and that nothing else has changed. It is
-// what control daemons pass on of most heartbeats.
+// Renewal is the short form of a heartbeat that changes nothing but its sequence
+// and arrival time. Control daemons forward most heartbeats in this form.
 type Renewal struct {
 	ID       string
 	Sequence uint64
-	// Digest is that of the entry which is renewed.
+	// Digest identifies the state of the renewed entry.
 	Digest uint32
-	// Heard is when the heartbeat arrived.
+	// Heard is the arrival time of the heartbeat.
 	Heard time.Duration
 }
 
-// Renewal returns the entry's renewal.
+// Renewal returns the short form of the entry's heartbeat.
 func (e Entry) Renewal() Renewal {
 	return Renewal{ID: e.ID, Sequence: e.Sequence, Digest: e.digest(), Heard: e.Heard}
 }
 
-// digest sums up what makes a heartbeat a change: the fields that sameUse
-// compares.
+// digest returns a hash of the fields that sameUse compares.
 func (e Entry) digest() uint32 {
 	h := fnv.New32a()
 	for _, text := range []string{e.ID, e.Pool, e.Address, e.DataCentre} {
-		_, _ = io.WriteString(h, text) // a hash doesn't fail
+		_, _ = io.WriteString(h, text) // Write of a hash never fails
 		_, _ = h.Write([]byte{0})
 	}
-	tail := binary.BigEndian.AppendUint64(nil, uint64(e.Born))
-	tail = binary.BigEndian.AppendUint64(tail, uint64(e.Slots))
+	fixed := binary.BigEndian.AppendUint64(nil, uint64(e.Born))
+	fixed = binary.BigEndian.AppendUint64(fixed, uint64(e.Slots))
 	for _, flag := range []bool{e.Leaving, e.Gone} {
 		if flag {
-			tail = append(tail, 1)
+			fixed = append(fixed, 1)
 		} else {
-			tail = append(tail, 0)
+			fixed = append(fixed, 0)
 		}
 	}
-	_, _ = h.Write(tail)
+	_, _ = h.Write(fixed)
 	return h.Sum32()
 }
 
-// Renew takes in a renewal. It returns false where another entry is held, or
-// none: then the whole entry is needed.
+// Renew applies a renewal. It returns false if the entry is unknown or has
+// another digest; the sender must then send the whole entry.
 func (r *Roster) Renew(n Renewal) bool {
 	held, ok := r.entries[n.ID]
 	if !ok || held.digest() != n.Digest {
--- a/core/roster/roster.go
+++ b/core/roster/roster.go
@@ -1,11 +1,13 @@
-// Package roster keeps the upstreams that announce themselves by heartbeats.
+// Package roster tracks the upstreams that register by heartbeats. The control
+// daemons merge the heartbeats that they receive, and those that other control
+// daemons forward, into a Roster.
 //
 // Heartbeats may arrive late, out of order, at any daemon and more than once.
-// An upstream's process is told from an earlier one by when it was born; within
-// one process heartbeats are ordered by their sequence. The package is pure:
-// time is a duration on the caller's monotonic clock. Invariants: what is held
-// of a process never goes back to an earlier heartbeat; a process that left
-// never comes back; an address belongs to the process born last.
+// Processes with the same id are ordered by their start time, heartbeats of one
+// process by their sequence number. The package does no I/O; times are durations
+// on the caller's monotonic clock. Invariants: the state of a process never
+// reverts to an earlier heartbeat; a process that has left is never restored; an
+// address belongs to the process that started last.
 package roster
 
 import (
@@ -15,34 +17,37 @@
 )
 
 const (
-	// tombstoneLife is how long a process that left is remembered, so that its
-	// late heartbeats don't revive it. Heartbeats arrive seconds late at most.
-	tombstoneLife = 2 * time.Minute
-	// SilentAfter is how many heartbeat intervals without one make an upstream
-	// silent. It allows for two lost heartbeats and one that is late.
+	// tombstoneTTL is the time for which a process that left is remembered, so
+	// that its delayed heartbeats don't restore it. Heartbeats arrive seconds
+	// late at most.
+	tombstoneTTL = 2 * time.Minute
+	// SilentAfter is the number of heartbeat intervals without a heartbeat after
+	// which an upstream counts as silent. It allows for two lost heartbeats and
+	// one that is late.
 	SilentAfter = 4
-	// forgetAfter is how many make it forgotten.
-	forgetAfter = 25
+	// removeAfter is the number of such intervals after which it is removed.
+	removeAfter = 25
 )
 
-// Entry is one upstream as its newest heartbeat describes it.
+// Entry is the state of one upstream as of its newest heartbeat. It is stored
+// and dumped under its field names.
 type Entry struct {
 	ID         string
 	Pool       string
 	Address    string
 	DataCentre string
 	Slots      int
-	// Born is the start of its process in Unix milliseconds; zero where it does
-	// not say.
+	// Born is the start time of the process in Unix milliseconds; zero if it is
+	// not stated.
 	Born int64
 	// Sequence orders the heartbeats of one process.
 	Sequence uint64
-	// Leaving says that it takes no new work; Gone that its process ends.
+	// Leaving is set if it accepts no new requests, Gone if its process ends.
 	Leaving bool
 	Gone    bool
-	// Cold is how much longer it is slow after its start.
+	// Cold is the remaining warm-up time, during which it is slow.
 	Cold time.Duration
-	// Heard is when the heartbeat arrived.
+	// Heard is the arrival time of the heartbeat.
 	Heard time.Duration
 }
 
@@ -50,56 +55,56 @@
 type Roster struct {
 	interval time.Duration
 	entries  map[string]Entry
-	// owners names the entry of the process born last at each address. It may
-	// have ended since.
+	// owners maps each address to the id of the process that started last there,
+	// which may have ended since.
 	owners map[string]string
 }
 
-// New returns an empty roster for upstreams that announce themselves once an
+// New returns an empty roster for upstreams that send a heartbeat once per
 // interval.
 func New(interval time.Duration) *Roster {
 	return &Roster{interval: interval, entries: map[string]Entry{}, owners: map[string]string{}}
 }
 
-// later tells whether a heartbeat is newer than what is held.
-func later(e, held Entry) bool {
+// isNewer reports whether a heartbeat is newer than the entry held.
+func isNewer(e, held Entry) bool {
 	if e.Born != held.Born {
 		return e.Born > held.Born
 	}
 	return !held.Gone && (e.Sequence > held.Sequence || e.Gone)
 }
 
-// Verdict says what became of a heartbeat.
-type Verdict uint8
+// MergeResult is the effect of a heartbeat on the roster.
+type MergeResult uint8
 
-// Verdicts.
+// Results of Merge.
 const (
-	// Stale heartbeats change nothing.
-	Stale Verdict = iota
-	// Renewed ones say nothing new but that the upstream lives.
+	// Stale means that the heartbeat was outdated and changed nothing.
+	Stale MergeResult = iota
+	// Renewed means that it only confirmed that the upstream is alive.
 	Renewed
-	// Changed ones change what the upstream may be used for.
+	// Changed means that it changed whether or how the upstream can be used.
 	Changed
 )
 
-// Take takes in one heartbeat. One that is gone and does not say when it was
-// born ends whatever process has the id.
-func (r *Roster) Take(e Entry) Verdict {
+// Merge applies one heartbeat. An entry with Gone set and no start time ends the
+// current process with that id.
+func (r *Roster) Merge(e Entry) MergeResult {
 	held, known := r.entries[e.ID]
 	if e.Gone && e.Born == 0 {
 		if !known || held.Gone {
 			return Stale
 		}
-		e = farewell(held, e.Heard)
+		e = tombstone(held, e.Heard)
 	}
-	if known && !later(e, held) {
+	if known && !isNewer(e, held) {
 		return Stale
 	}
-	if r.ousted(e) {
+	if r.isSuperseded(e) {
 		if !known {
 			return Stale
 		}
-		e = farewell(e, e.Heard)
+		e = tombstone(e, e.Heard)
 	}
 	r.entries[e.ID] = e
 	r.claimAddress(e)
@@ -109,26 +114,28 @@
 	return Changed
 }
 
-// farewell is the last entry of a process.
-func farewell(held Entry, now time.Duration) Entry {
+// tombstone returns the final entry of a process.
+func tombstone(held Entry, now time.Duration) Entry {
 	held.Gone, held.Leaving, held.Heard = true, true, now
 	return held
 }
 
+// sameUse reports whether two entries differ only in what every heartbeat
+// updates; a change of any other field must reach all control daemons.
 func sameUse(a, b Entry) bool {
 	a.Sequence, a.Heard, a.Cold = b.Sequence, b.Heard, b.Cold
 	return a == b
 }
 
-// owner returns the live entry that an address belongs to.
+// owner returns the entry of the live process that an address belongs to.
 func (r *Roster) owner(address string) (Entry, bool) {
 	x, ok := r.entries[r.owners[address]]
 	return x, ok && !x.Gone && x.Address == address
 }
 
-// ousted tells whether a process's address belongs to another one that was born
-// later.
-func (r *Roster) ousted(e Entry) bool {
+// isSuperseded reports whether the process's address belongs to another process
+// that started later.
+func (r *Roster) isSuperseded(e Entry) bool {
 	if e.Gone || e.Address == "" {
 		return false
 	}
@@ -136,51 +143,52 @@
 	return ok && x.ID != e.ID && x.Born > e.Born
 }
 
-// claimAddress makes an address that of a process that is not ousted, and ends
-// the one that had it.
+// claimAddress assigns the entry's address to its process, which must not be
+// superseded, and ends the previous owner.
 func (r *Roster) claimAddress(e Entry) {
 	if e.Gone || e.Address == "" {
 		return
 	}
 	if x, ok := r.owner(e.Address); ok && x.ID != e.ID {
-		r.entries[x.ID] = farewell(x, e.Heard)
+		r.entries[x.ID] = tombstone(x, e.Heard)
 	}
 	r.owners[e.Address] = e.ID
 }
 
-// Leave ends an upstream by its id, as it asked itself. It returns the entry to
-// pass on, and false where the upstream is not known.
+// Leave ends the process with an id at its own request. It returns the entry to
+// forward to other daemons, and false if the id is unknown.
 func (r *Roster) Leave(now time.Duration, id string) (Entry, bool) {
 	held, ok := r.entries[id]
 	if !ok {
 		return Entry{}, false
 	}
 	if !held.Gone {
-		held = farewell(held, now)
+		held = tombstone(held, now)
 		r.entries[id] = held
 	}
 	return held, true
 }
 
-// Find returns what is held of an upstream.
+// Find returns the entry of an upstream, and false if the id is unknown.
 func (r *Roster) Find(id string) (Entry, bool) {
 	e, ok := r.entries[id]
 	return e, ok
 }
 
-// Silent tells whether an upstream has missed several heartbeats.
+// Silent reports whether an upstream has sent no heartbeat for SilentAfter
+// intervals.
 func (r *Roster) Silent(now time.Duration, e Entry) bool {
 	return now-e.Heard > SilentAfter*r.interval
 }
 
-// All lists the upstreams by id, those that left included while they are
-// remembered, and forgets what is too old.
+// All returns the entries sorted by id, including tombstones, and removes
+// expired entries.
 func (r *Roster) All(now time.Duration) []Entry {
 	out := make([]Entry, 0, len(r.entries))
 	for _, e := range r.entries {
 		age := now - e.Heard
-		if (e.Gone && age > tombstoneLife) || (!e.Gone && age > forgetAfter*r.interval) {
-			r.forget(e)
+		if (e.Gone && age > tombstoneTTL) || (!e.Gone && age > removeAfter*r.interval) {
+			r.remove(e)
 			continue
 		}
 		out = append(out, e)
@@ -189,7 +197,7 @@
 	return out
 }
 
-func (r *Roster) forget(e Entry) {
+func (r *Roster) remove(e Entry) {
 	delete(r.entries, e.ID)
 	if r.owners[e.Address] == e.ID {
 		delete(r.owners, e.Address)
--- a/internal/roster/metrics.go
+++ b/internal/roster/metrics.go
@@ -2,25 +2,26 @@
 
 import "github.com/prometheus/client_golang/prometheus"
 
-// states is how many upstreams are in which state, counted when it is asked for.
-type states struct {
+// stateCollector exports the number of upstreams by pool and state, counted at
+// each scrape.
+type stateCollector struct {
 	s    *Service
 	desc *prometheus.Desc
 }
 
-func newStates(s *Service) *states {
-	return &states{s: s, desc: prometheus.NewDesc("verbenastep_roster_upstreams",
+func newStateCollector(s *Service) *stateCollector {
+	return &stateCollector{s: s, desc: prometheus.NewDesc("verbenastep_roster_upstreams",
 		"Upstreams by state: ready, leaving, silent for several heartbeats, or gone and remembered.", []string{"pool", "state"}, nil)}
 }
 
-// Describe gives the metric's form.
-func (x *states) Describe(out chan<- *prometheus.Desc) { out <- x.desc }
+// Describe sends the metric's description.
+func (c *stateCollector) Describe(out chan<- *prometheus.Desc) { out <- c.desc }
 
-// Collect counts the upstreams.
-func (x *states) Collect(out chan<- prometheus.Metric) {
+// Collect sends the current counts.
+func (c *stateCollector) Collect(out chan<- prometheus.Metric) {
 	type key struct{ pool, state string }
 	counts := map[key]int{}
-	for _, e := range x.s.All() {
+	for _, e := range c.s.All() {
 		k := key{e.Pool, "ready"}
 		switch {
 		case e.Gone:
@@ -33,6 +34,6 @@
 		counts[k]++
 	}
 	for k, n := range counts {
-		out <- prometheus.MustNewConstMetric(x.desc, prometheus.GaugeValue, float64(n), k.pool, k.state)
+		out <- prometheus.MustNewConstMetric(c.desc, prometheus.GaugeValue, float64(n), k.pool, k.state)
 	}
 }
--- a/internal/roster/roster.go
+++ b/internal/roster/roster.go
@@ -1,5 +1,10 @@
-// Package roster keeps the upstreams that send heartbeats to the control
-// daemons, each of which passes on what it hears to the others.
+// Package roster is the control daemons' register of upstreams. Each control
+// daemon merges the heartbeats that upstreams send to it, forwards them to the
+// other control daemons and stores the roster on disk; the broker and the
+// platform's control calls use it.
+//
+// All control daemons converge on the same entries; core/roster orders the
+// heartbeats. A daemon without contact to the log's leader accepts none.
 package roster
 
 import (
@@ -17,23 +22,23 @@
 	"github.com/verbenastep/verbenastep/internal/settings"
 )
 
-// replicas is what the replica offers besides.
+// replicas is the part of the replica's service that the roster uses.
 type replicas interface {
 	Leadership() (leads bool, leader port.Leader)
 	MemberAddresses() []string
 }
 
-// Service is the "upstream.roster" service.
+// Service is the "upstream.roster" service. It is safe for concurrent use.
 type Service struct {
 	rpc.DRPCRosterUnimplementedServer
-	set      *settings.Settings
-	log      *zap.Logger
-	link     port.Link
-	replicas replicas
-	began    time.Time
-	ctx      context.Context
-	cancel   context.CancelFunc
-	done     sync.WaitGroup
+	set       *settings.Settings
+	log       *zap.Logger
+	link      port.Link
+	replicas  replicas
+	startedAt time.Time
+	ctx       context.Context
+	cancel    context.CancelFunc
+	done      sync.WaitGroup
 
 	mu      sync.Mutex
 	core    *roster.Roster
@@ -46,7 +51,7 @@
 func New(set *settings.Settings, log *zap.Logger) *Service {
 	interval := time.Duration(set.Routing.HeartbeatMS) * time.Millisecond
 	return &Service{
-		set: set, log: log.Named("roster"), began: time.Now(), core: roster.New(interval),
+		set: set, log: log.Named("roster"), startedAt: time.Now(), core: roster.New(interval),
 		changed: make(chan struct{}), peers: map[string]*peer{}, store: &store{folder: set.DataFolder},
 	}
 }
@@ -54,13 +59,13 @@
 // Name returns the service's name.
 func (s *Service) Name() string { return port.NameRoster }
 
-// Needs returns the link, the replica, which knows the control daemons, and who
-// takes metrics.
+// Needs returns the link, the replica, which lists the control daemons, and the
+// metrics registry.
 func (s *Service) Needs() []string {
 	return []string{port.NameLink, port.NameReplica, port.NameMetrics}
 }
 
-// Start begins to pass heartbeats on.
+// Start loads the stored roster and begins to accept and forward heartbeats.
 func (s *Service) Start(_ context.Context, k *kernel.Kernel) error {
 	err := error(nil)
 	if s.link, err = kernel.Find[port.Link](k, port.NameLink); err != nil {
@@ -69,23 +74,24 @@
 	if s.replicas, err = kernel.Find[replicas](k, port.NameReplica); err != nil {
 		return err
 	}
-	collect, err := kernel.Find[port.Metrics](k, port.NameMetrics)
+	registry, err := kernel.Find[port.Metrics](k, port.NameMetrics)
 	if err != nil {
 		return err
 	}
-	if err := collect.Registerer().Register(newStates(s)); err != nil {
+	if err := registry.Registerer().Register(newStateCollector(s)); err != nil {
 		return err
 	}
 	s.ctx, s.cancel = context.WithCancel(context.Background())
-	s.recall()
-	s.done.Go(s.keep)
+	s.load()
+	s.done.Go(s.storeChanges)
 	return rpc.DRPCRegisterRoster(s.link.Mux(), s)
 }
 
-func (s *Service) now() time.Duration { return time.Since(s.began) }
+func (s *Service) now() time.Duration { return time.Since(s.startedAt) }
 
-// Take takes in a heartbeat from an upstream. A daemon that has lost the other
-// control daemons refuses it: what it alone knows helps nobody.
+// Take records a heartbeat of an upstream and forwards it to the other control
+// daemons. It returns a fault.Unavailable error if this daemon has lost the log's
+// leader: it could not forward the heartbeat, and brokers would not learn of it.
 func (s *Service) Take(e roster.Entry) error {
 	if _, leader := s.replicas.Leadership(); leader.Address == "" {
 		return fault.New(fault.Unavailable, "send the heartbeat to another control daemon", "this daemon has lost the log's leader")
@@ -93,31 +99,31 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	e.Heard = s.now()
-	if verdict := s.take(e, "heartbeat"); verdict != roster.Stale {
-		s.spread(e, verdict)
+	if result := s.merge(e, "heartbeat"); result != roster.Stale {
+		s.forward(e, result)
 	}
 	return nil
 }
 
-// Leave ends an upstream by its id.
+// Leave records that the upstream with an id has left.
 func (s *Service) Leave(id string) error {
 	return s.Take(roster.Entry{ID: id, Gone: true, Leaving: true})
 }
 
-// take gives an entry to the core; the lock is held.
-func (s *Service) take(e roster.Entry, from string) roster.Verdict {
-	verdict := s.core.Take(e)
-	if verdict != roster.Changed {
-		return verdict
+// merge merges an entry and notifies watchers of a change. The caller holds s.mu.
+func (s *Service) merge(e roster.Entry, from string) roster.MergeResult {
+	result := s.core.Merge(e)
+	if result != roster.Changed {
+		return result
 	}
 	s.log.Info("upstream changed", zap.String("upstream", e.ID), zap.String("pool", e.Pool), zap.String("address", e.Address),
 		zap.Int64("born", e.Born), zap.Uint64("sequence", e.Sequence), zap.Bool("leaving", e.Leaving), zap.Bool("gone", e.Gone), zap.String("from", from))
 	close(s.changed)
 	s.changed = make(chan struct{})
-	return verdict
+	return result
 }
 
-// All lists the upstreams by id.
+// All returns the entries sorted by id, including those that left recently.
 func (s *Service) All() []port.RosterEntry {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -129,22 +135,23 @@
 	return out
 }
 
-// Changed returns a channel that is closed at the next change.
+// Changed returns a channel that is closed at the next change of an entry;
+// renewals don't count as changes.
 func (s *Service) Changed() <-chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.changed
 }
 
-// Stop ends the passing on.
+// Stop ends forwarding and storing and waits for both.
 func (s *Service) Stop(context.Context) error {
 	s.cancel()
 	s.done.Wait()
 	return nil
 }
 
-// Health returns nil.
+// Health always returns nil.
 func (s *Service) Health() error { return nil }
 
-// Dump lists the upstreams.
+// Dump returns all entries.
 func (s *Service) Dump() any { return s.All() }
--- a/internal/roster/spread.go
+++ b/internal/roster/spread.go
@@ -13,31 +13,31 @@
 )
 
 const (
-	// changePause is how long changes are collected before they are passed on; a
-	// small part of the time within which a leaving upstream must be known
-	// everywhere.
-	changePause = 40 * time.Millisecond
-	// renewalPause is the same for renewals; a small part of the heartbeats'
+	// changeDelay is the time for which changes are batched before they are
+	// forwarded. It is a small part of the time within which all daemons must
+	// know that an upstream leaves.
+	changeDelay = 40 * time.Millisecond
+	// renewalDelay is the same for renewals, a small part of the heartbeat
 	// interval.
-	renewalPause = 250 * time.Millisecond
-	// spreadTimeout bounds one call, and with it the wait for a daemon that is
-	// cut off.
-	spreadTimeout = 600 * time.Millisecond
-	// spreadRetry is the pause after a failed call.
-	spreadRetry = 200 * time.Millisecond
+	renewalDelay = 250 * time.Millisecond
+	// forwardTimeout bounds one call, and so the wait for an unreachable daemon.
+	forwardTimeout = 600 * time.Millisecond
+	// forwardRetryDelay is the delay after a failed call.
+	forwardRetryDelay = 200 * time.Millisecond
 )
 
-// peer is another control daemon and what it has not been told yet.
+// peer is the queue of entries to forward to another control daemon. The
+// service's mutex guards it, except the channels.
 type peer struct {
-	// changes are entries that it needs in full, renewals those that it knows to
-	// be otherwise unchanged.
+	// changes are the entries to send whole, renewals those to send in short
+	// form, by id.
 	changes  map[string]roster.Entry
 	renewals map[string]roster.Entry
-	// changed and renewed hold a token while there is something of their kind.
-	changed chan struct{}
-	renewed chan struct{}
-	lost    bool
-	// incarnation is that of its process which was given the whole roster.
+	// changed and renewed hold a token while the respective map has entries.
+	changed     chan struct{}
+	renewed     chan struct{}
+	unreachable bool
+	// incarnation is that of the process to which the whole roster was sent.
 	incarnation uint64
 }
 
@@ -48,26 +48,28 @@
 	}
 }
 
-// queue adds an entry in full, or its renewal.
-func (p *peer) queue(e roster.Entry, verdict roster.Verdict) {
-	_, inFull := p.changes[e.ID]
-	kind, wake := p.renewals, p.renewed
-	if inFull || verdict == roster.Changed {
-		kind, wake = p.changes, p.changed
+// queue adds an entry, whole after a change or in short form after a renewal. An
+// entry that is already queued whole stays so.
+func (p *peer) queue(e roster.Entry, result roster.MergeResult) {
+	_, whole := p.changes[e.ID]
+	queued, ready := p.renewals, p.renewed
+	if whole || result == roster.Changed {
+		queued, ready = p.changes, p.changed
 		delete(p.renewals, e.ID)
 	}
-	kind[e.ID] = e
-	wait.Signal(wake)
+	queued[e.ID] = e
+	wait.Signal(ready)
 }
 
-// drain takes all that is queued.
+// drain removes and returns all queued entries.
 func (p *peer) drain() (changes, renewals map[string]roster.Entry) {
 	changes, renewals = p.changes, p.renewals
 	p.changes, p.renewals = map[string]roster.Entry{}, map[string]roster.Entry{}
 	return changes, renewals
 }
 
-// requeue puts back what could not be told unless newer news came meanwhile.
+// requeue queues entries again whose call failed, unless newer ones were queued
+// meanwhile.
 func (p *peer) requeue(changes, renewals map[string]roster.Entry) {
 	for id, e := range changes {
 		if newer, ok := p.renewals[id]; ok {
@@ -86,8 +88,8 @@
 	}
 }
 
-// spread queues an entry for the other control daemons; the lock is held.
-func (s *Service) spread(e roster.Entry, verdict roster.Verdict) {
+// forward queues an entry for all other control daemons. The caller holds s.mu.
+func (s *Service) forward(e roster.Entry, result roster.MergeResult) {
 	for _, address := range s.replicas.MemberAddresses() {
 		if address == s.set.Addresses.Peers {
 			continue
@@ -96,43 +98,43 @@
 		if p == nil {
 			p = newPeer()
 			s.peers[address] = p
-			s.done.Go(func() { s.feed(address, p) })
+			s.done.Go(func() { s.forwardTo(address, p) })
 		}
-		p.queue(e, verdict)
+		p.queue(e, result)
 	}
 }
 
-// feed passes on what is queued for one daemon until the service stops.
-func (s *Service) feed(address string, p *peer) {
+// forwardTo sends the entries queued for one daemon until the service stops or
+// the daemon is unreachable and no longer a member.
+func (s *Service) forwardTo(address string, p *peer) {
 	for s.ctx.Err() == nil {
 		select {
 		case <-s.ctx.Done():
 		case <-p.changed:
-			wait.For(s.ctx, changePause)
+			wait.For(s.ctx, changeDelay)
 		case <-p.renewed:
-			s.untilChange(p, renewalPause)
+			s.waitForChange(p, renewalDelay)
 		}
-		for s.ctx.Err() == nil && !s.tell(address, p) {
+		for s.ctx.Err() == nil && !s.send(address, p) {
 			if !slices.Contains(s.replicas.MemberAddresses(), address) {
-				s.drop(address)
+				s.removePeer(address)
 				return
 			}
-			wait.For(s.ctx, spreadRetry)
+			wait.For(s.ctx, forwardRetryDelay)
 		}
 	}
 }
 
-// drop forgets a daemon that can't be reached and is no member any more.
-func (s *Service) drop(address string) {
+// removePeer removes a daemon that is unreachable and no longer a member.
+func (s *Service) removePeer(address string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.peers, address)
-	s.log.Info("control daemon dropped", zap.String("address", address))
+	s.log.Info("control daemon removed", zap.String("address", address))
 }
 
-// untilChange waits until a time has passed or the daemon needs to hear of a
-// change.
-func (s *Service) untilChange(p *peer, d time.Duration) {
+// waitForChange waits for d, or until a change is queued for the daemon.
+func (s *Service) waitForChange(p *peer, d time.Duration) {
 	select {
 	case <-s.ctx.Done():
 	case <-p.changed:
@@ -140,9 +142,9 @@
 	}
 }
 
-// tell makes one call with all that is queued. It returns false where that
-// failed and is queued again.
-func (s *Service) tell(address string, p *peer) bool {
+// send makes one call with all queued entries. It returns false if the call
+// failed; the entries are then queued again.
+func (s *Service) send(address string, p *peer) bool {
 	s.mu.Lock()
 	changes, renewals := p.drain()
 	now := s.now()
@@ -151,51 +153,53 @@
 	if len(news.Entries)+len(news.Renewals) == 0 {
 		return true
 	}
-	ctx, cancel := context.WithTimeout(s.ctx, spreadTimeout)
+	ctx, cancel := context.WithTimeout(s.ctx, forwardTimeout)
 	defer cancel()
 	ack, err := rpc.NewDRPCRosterClient(s.link.Conn(address)).Spread(ctx, news)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if lost := err != nil; lost != p.lost {
-		p.lost = lost
-		s.log.Info("control daemon lost or regained", zap.String("address", address), zap.Bool("lost", lost), zap.Error(err))
+	if lost := err != nil; lost != p.unreachable {
+		p.unreachable = lost
+		s.log.Info("control daemon reachability changed", zap.String("address", address), zap.Bool("lost", lost), zap.Error(err))
 	}
 	if err != nil {
 		p.requeue(changes, renewals)
 		return false
 	}
-	s.supply(address, p, ack)
+	s.queueMissing(address, p, ack)
 	return true
 }
 
-// supply queues what a daemon lacks: single entries, or the whole roster where
-// its process is a new one; the lock is held.
-func (s *Service) supply(address string, p *peer, ack *rpc.RosterAck) {
-	lacks := []roster.Entry{}
+// queueMissing queues the entries that a daemon lacks according to its
+// acknowledgement: single entries, or the whole roster if the daemon has
+// restarted. The caller holds s.mu.
+func (s *Service) queueMissing(address string, p *peer, ack *rpc.RosterAck) {
+	missing := []roster.Entry{}
 	for _, id := range ack.Unknown {
 		if e, ok := s.core.Find(id); ok {
-			lacks = append(lacks, e)
+			missing = append(missing, e)
 		}
 	}
 	if ack.Incarnation != p.incarnation {
 		p.incarnation = ack.Incarnation
-		lacks = s.core.All(s.now())
-		s.log.Info("whole roster passed on", zap.String("address", address), zap.Int("upstreams", len(lacks)), zap.Uint64("incarnation", ack.Incarnation))
+		missing = s.core.All(s.now())
+		s.log.Info("whole roster queued for control daemon", zap.String("address", address), zap.Int("upstreams", len(missing)), zap.Uint64("incarnation", ack.Incarnation))
 	}
-	for _, e := range lacks {
+	for _, e := range missing {
 		p.queue(e, roster.Changed)
 	}
 }
 
-// Spread takes in what another control daemon heard.
+// Spread merges the heartbeats that another control daemon received. The reply
+// lists the renewals that need the whole entry.
 func (s *Service) Spread(_ context.Context, news *rpc.RosterNews) (*rpc.RosterAck, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.now()
 	for _, e := range news.Entries {
-		s.take(decode(e, now), "control daemon")
+		s.merge(decode(e, now), "control daemon")
 	}
-	ack := &rpc.RosterAck{Incarnation: uint64(s.began.UnixNano())}
+	ack := &rpc.RosterAck{Incarnation: uint64(s.startedAt.UnixNano())}
 	for _, n := range news.Renewals {
 		if !s.core.Renew(decodeRenewal(n, now)) {
 			ack.Unknown = append(ack.Unknown, n.Id)
--- a/internal/roster/spread_test.go
+++ b/internal/roster/spread_test.go
@@ -21,22 +21,22 @@
 	"github.com/verbenastep/verbenastep/internal/settings"
 )
 
-// members is a replica's list of control daemons.
-type members struct {
+// fakeReplica is a replica service with a fixed list of control daemons.
+type fakeReplica struct {
 	kernel.Service
 	list []string
 }
 
-func (m members) Name() string                                { return port.NameReplica }
-func (m members) Needs() []string                             { return nil }
-func (m members) Start(context.Context, *kernel.Kernel) error { return nil }
-func (m members) Stop(context.Context) error                  { return nil }
-func (m members) Leadership() (leads bool, leader port.Leader) {
+func (m fakeReplica) Name() string                                { return port.NameReplica }
+func (m fakeReplica) Needs() []string                             { return nil }
+func (m fakeReplica) Start(context.Context, *kernel.Kernel) error { return nil }
+func (m fakeReplica) Stop(context.Context) error                  { return nil }
+func (m fakeReplica) Leadership() (leads bool, leader port.Leader) {
 	return false, port.Leader{Address: m.list[0]}
 }
-func (m members) MemberAddresses() []string { return m.list }
+func (m fakeReplica) MemberAddresses() []string { return m.list }
 
-// startControl runs one control daemon's roster.
+// startControl runs the roster service of one control daemon.
 func startControl(t *testing.T, address string, all []string) (s *Service, stop func()) {
 	t.Helper()
 	set := &settings.Settings{
@@ -45,15 +45,15 @@
 	l := link.New(set, zap.NewNop())
 	s = New(set, zap.NewNop())
 	k := kernel.New()
-	for _, x := range []kernel.Service{l, metrics.New(), members{list: all}, s} {
+	for _, x := range []kernel.Service{l, metrics.New(), fakeReplica{list: all}, s} {
 		require.NoError(t, k.Register(x))
 	}
 	require.NoError(t, k.Start(t.Context()))
 	l.Serve()
-	once := false
+	stopped := false
 	stop = func() {
-		if !once {
-			once = true
+		if !stopped {
+			stopped = true
 			_ = k.Stop(context.Background())
 		}
 	}
@@ -61,7 +61,7 @@
 	return s, stop
 }
 
-// startTwo runs the rosters of two control daemons.
+// startTwo runs the roster services of two control daemons.
 func startTwo(t *testing.T) (a, b *Service) {
 	t.Helper()
 	addresses, err := freeport.Addresses(2)
@@ -71,11 +71,11 @@
 	return a, b
 }
 
-func beatOf(id string, seq uint64) roster.Entry {
+func heartbeat(id string, seq uint64) roster.Entry {
 	return roster.Entry{ID: id, Pool: "p", Address: id, Slots: 2, Born: 1, Sequence: seq}
 }
 
-// sequence is that of the newest heartbeat known of an upstream.
+// sequence returns the sequence number of an upstream's newest heartbeat.
 func sequence(s *Service, id string) uint64 {
 	for _, e := range s.All() {
 		if e.ID == id {
@@ -85,61 +85,63 @@
 	return 0
 }
 
-const soon = 5 * time.Second
+const convergeTimeout = 5 * time.Second
 
-func knows(t *testing.T, s *Service, id string, seq uint64) {
+func requireSequence(t *testing.T, s *Service, id string, seq uint64) {
 	t.Helper()
-	require.Eventually(t, func() bool { return sequence(s, id) == seq }, soon, 10*time.Millisecond)
+	require.Eventually(t, func() bool { return sequence(s, id) == seq }, convergeTimeout, 10*time.Millisecond)
 }
 
-func TestHeartbeatsReachTheOtherControlDaemon(t *testing.T) {
+func TestHeartbeatsReachOtherControlDaemon(t *testing.T) {
 	a, b := startTwo(t)
-	require.NoError(t, a.Take(beatOf("u", 1)))
-	knows(t, b, "u", 1)
-	require.NoError(t, a.Take(beatOf("u", 2)))
-	knows(t, b, "u", 2)
-	leaving := beatOf("u", 3)
+	require.NoError(t, a.Take(heartbeat("u", 1)))
+	requireSequence(t, b, "u", 1)
+	require.NoError(t, a.Take(heartbeat("u", 2)))
+	requireSequence(t, b, "u", 2)
+	leaving := heartbeat("u", 3)
 	leaving.Leaving = true
 	require.NoError(t, a.Take(leaving))
-	knows(t, b, "u", 3)
+	requireSequence(t, b, "u", 3)
 	require.True(t, b.All()[0].Leaving)
 	require.NoError(t, a.Leave("u"))
-	require.Eventually(t, func() bool { return b.All()[0].Gone }, soon, 10*time.Millisecond)
+	require.Eventually(t, func() bool { return b.All()[0].Gone }, convergeTimeout, 10*time.Millisecond)
 }
 
-// TestRestartedControlDaemonIsGivenTheWholeRoster restarts one without its disk.
-func TestRestartedControlDaemonIsGivenTheWholeRoster(t *testing.T) {
+// TestRestartedControlDaemonReceivesWholeRoster restarts a daemon with an empty
+// data folder: it must not wait for the heartbeats of all upstreams.
+func TestRestartedControlDaemonReceivesWholeRoster(t *testing.T) {
 	addresses, err := freeport.Addresses(2)
 	require.NoError(t, err)
 	a, _ := startControl(t, addresses[0], addresses)
 	b, stop := startControl(t, addresses[1], addresses)
 	for i := range 20 {
-		require.NoError(t, a.Take(beatOf(fmt.Sprint(i), 1)))
+		require.NoError(t, a.Take(heartbeat(fmt.Sprint(i), 1)))
 	}
-	knows(t, b, "19", 1)
+	requireSequence(t, b, "19", 1)
 	stop()
 	b, _ = startControl(t, addresses[1], addresses)
-	require.NoError(t, a.Take(beatOf("0", 2)))
-	knows(t, b, "0", 2)
-	require.Eventually(t, func() bool { return len(b.All()) == 20 }, soon, 10*time.Millisecond, "those whose heartbeats are still to come")
+	require.NoError(t, a.Take(heartbeat("0", 2)))
+	requireSequence(t, b, "0", 2)
+	require.Eventually(t, func() bool { return len(b.All()) == 20 }, convergeTimeout, 10*time.Millisecond, "upstreams without a heartbeat since the restart")
 }
 
-// TestRenewalOfWhatTheOtherMissedBringsAllOfIt loses one entry on the way.
-func TestRenewalOfWhatTheOtherMissedBringsAllOfIt(t *testing.T) {
+// TestRenewalOfUnknownEntrySendsWholeEntry guards against an entry that stays
+// unknown after the message with it was lost.
+func TestRenewalOfUnknownEntrySendsWholeEntry(t *testing.T) {
 	a, b := startTwo(t)
-	require.NoError(t, a.Take(beatOf("u", 1)))
-	knows(t, b, "u", 1)
+	require.NoError(t, a.Take(heartbeat("u", 1)))
+	requireSequence(t, b, "u", 1)
 	a.mu.Lock()
-	other := beatOf("v", 1)
-	other.Heard = a.now()
-	a.core.Take(other)
+	lost := heartbeat("v", 1)
+	lost.Heard = a.now()
+	a.core.Merge(lost)
 	a.mu.Unlock()
-	require.NoError(t, a.Take(beatOf("v", 2)))
-	knows(t, b, "v", 2)
+	require.NoError(t, a.Take(heartbeat("v", 2)))
+	requireSequence(t, b, "v", 2)
 }
 
-// TestRenewalsAreSmall holds what most heartbeats cost between control daemons
-// to half of the whole entry.
+// TestRenewalsAreSmall requires that a renewal, the form of most heartbeats
+// between control daemons, has less than half the size of a whole entry.
 func TestRenewalsAreSmall(t *testing.T) {
 	e := roster.Entry{ID: "i-0071ab4e87", Pool: "logbook-model", Address: "10.3.64.7:8348", DataCentre: "jhb-north", Slots: 7, Born: 1781142393038, Sequence: 4000}
 	queued := map[string]roster.Entry{e.ID: e}
@@ -151,12 +153,12 @@
 func TestUpstreamsAreCountedByState(t *testing.T) {
 	s := New(&settings.Settings{Routing: &settings.Routing{HeartbeatMS: 1000}}, zap.NewNop())
 	for i, change := range []func(*roster.Entry){func(*roster.Entry) {}, func(e *roster.Entry) { e.Leaving = true }, func(e *roster.Entry) { e.Gone = true }, func(e *roster.Entry) { e.Heard = -time.Minute / 6 }} {
-		e := beatOf(fmt.Sprint(i), 1)
+		e := heartbeat(fmt.Sprint(i), 1)
 		e.Heard = s.now()
 		change(&e)
-		s.core.Take(e)
+		s.core.Merge(e)
 	}
-	require.NoError(t, testutil.CollectAndCompare(newStates(s), strings.NewReader(`
+	require.NoError(t, testutil.CollectAndCompare(newStateCollector(s), strings.NewReader(`
 # HELP verbenastep_roster_upstreams Upstreams by state: ready, leaving, silent for several heartbeats, or gone and remembered.
 # TYPE verbenastep_roster_upstreams gauge
 verbenastep_roster_upstreams{pool="p",state="gone"} 1
@@ -166,15 +168,15 @@
 `)))
 }
 
-func TestWhatCouldNotBeToldIsQueuedAgainUnlessOutdated(t *testing.T) {
+func TestFailedSendIsQueuedAgainUnlessOutdated(t *testing.T) {
 	p := newPeer()
-	p.queue(beatOf("a", 1), roster.Changed)
-	p.queue(beatOf("b", 1), roster.Renewed)
-	p.queue(beatOf("c", 1), roster.Renewed)
+	p.queue(heartbeat("a", 1), roster.Changed)
+	p.queue(heartbeat("b", 1), roster.Renewed)
+	p.queue(heartbeat("c", 1), roster.Renewed)
 	changes, renewals := p.drain()
-	p.queue(beatOf("a", 2), roster.Renewed)
-	p.queue(beatOf("b", 2), roster.Changed)
+	p.queue(heartbeat("a", 2), roster.Renewed)
+	p.queue(heartbeat("b", 2), roster.Changed)
 	p.requeue(changes, renewals)
-	require.Equal(t, map[string]roster.Entry{"a": beatOf("a", 2), "b": beatOf("b", 2)}, p.changes, "the other never got a in full")
-	require.Equal(t, map[string]roster.Entry{"c": beatOf("c", 1)}, p.renewals)
+	require.Equal(t, map[string]roster.Entry{"a": heartbeat("a", 2), "b": heartbeat("b", 2)}, p.changes, "the peer never received a whole")
+	require.Equal(t, map[string]roster.Entry{"c": heartbeat("c", 1)}, p.renewals)
 }
--- a/internal/roster/store.go
+++ b/internal/roster/store.go
@@ -15,15 +15,15 @@
 )
 
 const (
-	// rosterFile is where the roster is kept below the data folder.
+	// rosterFile is the name of the stored roster in the data folder.
 	rosterFile = "roster.json"
-	// keepPause is the least time between two writes.
-	keepPause = time.Second
+	// storeInterval is the shortest time between two writes.
+	storeInterval = time.Second
 )
 
-// store keeps the roster on disk, so that a daemon that comes back knows the
-// upstreams before their next heartbeats. It is a hint: an upstream is used only
-// if its process answers under its id.
+// store saves the roster on disk, so that a restarted daemon knows the upstreams
+// before their next heartbeats. The stored roster may be outdated; this is safe
+// because an upstream is used only if its process answers under its id.
 type store struct{ folder string }
 
 func (s *store) save(list []roster.Entry) error {
@@ -50,26 +50,26 @@
 	return list, json.Unmarshal(data, &list)
 }
 
-// recall takes the kept roster. Its upstreams count as silent until they are
-// heard of.
-func (s *Service) recall() {
+// load merges the stored roster. Its upstreams count as silent until their next
+// heartbeats.
+func (s *Service) load() {
 	list, err := s.store.load()
 	if err != nil {
-		s.log.Info("kept roster is not used; upstreams are learned from their heartbeats", zap.Error(err))
+		s.log.Info("stored roster not loaded; upstreams are unknown until their next heartbeats", zap.Error(err))
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	silent := s.now() - time.Duration(s.set.Routing.HeartbeatMS)*time.Millisecond*(roster.SilentAfter+1)
+	silentSince := s.now() - time.Duration(s.set.Routing.HeartbeatMS)*time.Millisecond*(roster.SilentAfter+1)
 	for _, e := range list {
-		e.Heard = silent
-		s.core.Take(e)
+		e.Heard = silentSince
+		s.core.Merge(e)
 	}
-	s.log.Info("roster recalled", zap.Int("upstreams", len(list)))
+	s.log.Info("stored roster loaded", zap.Int("upstreams", len(list)))
 }
 
-// keep writes the roster after changes.
-func (s *Service) keep() {
+// storeChanges writes the roster after each change until the service stops.
+func (s *Service) storeChanges() {
 	failing := false
 	changed := s.Changed()
 	for {
@@ -86,8 +86,8 @@
 		err := s.store.save(list)
 		if failed := err != nil; failed != failing {
 			failing = failed
-			s.log.Info("keeping the roster failed or works again", zap.Bool("failing", failing), zap.Error(err))
+			s.log.Info("roster storage state changed", zap.Bool("failing", failing), zap.Error(err))
 		}
-		wait.For(s.ctx, keepPause)
+		wait.For(s.ctx, storeInterval)
 	}
 }
--- a/internal/tables/tables.go
+++ b/internal/tables/tables.go
@@ -1,5 +1,7 @@
-// Package tables publishes route tables through the replicated log and reads
-// back what is accepted.
+// Package tables publishes route tables to the replicated log and reads the table
+// in force. The platform's control calls use it.
+//
+// A read is linearizable: it returns the newest table, or fails.
 package tables
 
 import (
@@ -16,17 +18,18 @@
 )
 
 const (
-	// readTimeout bounds a read: a caller that waits a second goes elsewhere.
+	// readTimeout bounds a read. Callers turn to another control daemon after a
+	// second.
 	readTimeout = 800 * time.Millisecond
-	// publishTimeout bounds a publication for the same reason; a table of a few
-	// megabytes takes longer over a narrow link.
+	// publishTimeout bounds the publication of a small table for the same reason.
 	publishTimeout = 900 * time.Millisecond
-	// bytesTimeout is added for each megabyte.
-	bytesTimeout = time.Second
+	// timeoutPerMiB is added to publishTimeout for each MiB, since a table of a
+	// few megabytes takes longer over a slow link.
+	timeoutPerMiB = time.Second
 )
 
-// reader is what the replica offers besides.
-type reader interface {
+// tableReader is the part of the replica's service that reads tables.
+type tableReader interface {
 	ReadTable(ctx context.Context) (state.Publish, error)
 }
 
@@ -34,7 +37,7 @@
 type Service struct {
 	log    *zap.Logger
 	logs   port.Log
-	reader reader
+	reader tableReader
 }
 
 // New returns the service.
@@ -46,23 +49,24 @@
 // Needs returns the log and the replica.
 func (s *Service) Needs() []string { return []string{port.NameLog, port.NameReplica} }
 
-// Start finds the log.
+// Start looks up the log and the replica.
 func (s *Service) Start(_ context.Context, k *kernel.Kernel) error {
 	err := error(nil)
 	if s.logs, err = kernel.Find[port.Log](k, port.NameLog); err != nil {
 		return err
 	}
-	s.reader, err = kernel.Find[reader](k, port.NameReplica)
+	s.reader, err = kernel.Find[tableReader](k, port.NameReplica)
 	return err
 }
 
-// Publish checks a table and commits it; source is what the operator sent. It
-// returns the version in force afterwards, which is another than the table's
-// where that was superseded. An error of kind malformed says that the table is
-// refused, any other that it may or may not be in force.
+// Publish validates a table and commits it together with source, the document
+// that the operator sent. It returns the version in force afterwards, which
+// differs from the table's version if that was superseded. After an error of kind
+// fault.Malformed the table is rejected; after any other error it may or may not
+// be in force.
 func (s *Service) Publish(ctx context.Context, t *routes.Table, source []byte) (uint64, error) {
 	if err := t.Check(); err != nil {
-		s.log.Info("route table refused", zap.Uint64("version", t.Version), zap.Error(err))
+		s.log.Info("route table rejected", zap.Uint64("version", t.Version), zap.Error(err))
 		return 0, fault.New(fault.Malformed, "correct the table and publish it again", "%v", err)
 	}
 	began := time.Now()
@@ -70,13 +74,13 @@
 	if err != nil {
 		return 0, err
 	}
-	packed, err := routes.Pack(source)
+	packedSource, err := routes.Pack(source)
 	if err != nil {
 		return 0, err
 	}
-	ctx, cancel := context.WithTimeout(ctx, publishTimeout+time.Duration(len(table)+len(packed))*bytesTimeout/(1<<20))
+	ctx, cancel := context.WithTimeout(ctx, publishTimeout+time.Duration(len(table)+len(packedSource))*timeoutPerMiB/(1<<20))
 	defer cancel()
-	result, err := s.logs.Propose(ctx, port.GroupMain, state.Command{Publish: &state.Publish{Version: t.Version, Table: table, Source: packed}})
+	result, err := s.logs.Propose(ctx, port.GroupMain, state.Command{Publish: &state.Publish{Version: t.Version, Table: table, Source: packedSource}})
 	took := zap.Duration("took", time.Since(began))
 	if err != nil {
 		s.log.Warn("route table not acknowledged", zap.Uint64("version", t.Version), took, zap.Error(err))
@@ -87,14 +91,14 @@
 	return result.Version, nil
 }
 
-// Read returns the document of the table in force, and false where none was
-// published. It fails where a newer one may be in force.
+// Read returns the source document of the table in force, and false if none was
+// published. It fails if the log can't confirm that the table is the newest.
 func (s *Service) Read(ctx context.Context) (source []byte, found bool, err error) {
 	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
 	p, err := s.reader.ReadTable(ctx)
 	if err != nil {
-		s.log.Info("read of the route table refused", zap.Error(err))
+		s.log.Info("route table not read", zap.Error(err))
 		return nil, false, fault.New(fault.Unavailable, "ask again, or ask another control daemon", "the log does not confirm which table is the newest: %v", err)
 	}
 	if p.Version == 0 {
@@ -104,11 +108,11 @@
 	return source, err == nil, err
 }
 
-// Stop does nothing.
+// Stop implements kernel.Service; there is nothing to stop.
 func (s *Service) Stop(context.Context) error { return nil }
 
-// Health returns nil.
+// Health always returns nil.
 func (s *Service) Health() error { return nil }
 
-// Dump has nothing of its own.
+// Dump returns an empty object; the service has no state.
 func (s *Service) Dump() any { return struct{}{} }
--- a/internal/view/view.go
+++ b/internal/view/view.go
@@ -1,7 +1,9 @@
-// Package view keeps a daemon's copy of the accepted configuration and of the
-// leases, fed by a watch on a replica.
+// Package view maintains a daemon's copy of the replicated state that it needs:
+// the accepted configuration, the route table, the leases, the quarantine
+// suspects and the log's leader. A watch on one replica keeps it up to date; the
+// daemon's other services read it.
 //
-// Invariant: the version in force never falls.
+// The configuration and route table versions in force never decrease.
 package view
 
 import (
@@ -23,33 +25,33 @@
 	"github.com/verbenastep/verbenastep/internal/settings"
 )
 
-// Service is the "config.view" service.
+// Service is the "config.view" service. It is safe for concurrent use.
 type Service struct {
 	set    *settings.Settings
 	log    *zap.Logger
 	link   port.Link
 	kernel *kernel.Kernel
 	events port.Events
-	// inForce and tableInForce are the gauges of the versions in force, age that
-	// of the last word from a replica.
-	inForce      prometheus.Gauge
-	tableInForce prometheus.Gauge
-	age          prometheus.GaugeFunc
-	cancel       context.CancelFunc
-	done         sync.WaitGroup
+	// configVersion and tableVersionGauge export the versions in force, age the
+	// time since the last message from a replica.
+	configVersion     prometheus.Gauge
+	tableVersionGauge prometheus.Gauge
+	age               prometheus.GaugeFunc
+	cancel            context.CancelFunc
+	done              sync.WaitGroup
 
 	mu      sync.Mutex
 	files   config.Files
 	current port.Snapshot
 	leases  map[string]state.Lease
-	// suspects are the whole list as last heard.
+	// suspects is the complete list as of the last update.
 	suspects []state.Suspect
 	changed  chan struct{}
-	// source is the replica that is watched, index the log position reached.
+	// source is the watched replica, index the log index it has reached.
 	source string
 	index  uint64
-	// heard is when the last update or keepalive came.
-	heard time.Time
+	// lastUpdateAt is the arrival time of the last update or keepalive.
+	lastUpdateAt time.Time
 	// routes is the route table in force.
 	routes *routes.Index
 	leader port.Leader
@@ -60,33 +62,34 @@
 	s := &Service{
 		set: set, log: log.Named("view"), files: config.Files{},
 		current: port.Snapshot{Digest: config.Files{}.Digest(), Config: &config.Config{}},
-		leases:  map[string]state.Lease{}, changed: make(chan struct{}), heard: time.Now(),
-		inForce: prometheus.NewGauge(prometheus.GaugeOpts{
+		leases:  map[string]state.Lease{}, changed: make(chan struct{}), lastUpdateAt: time.Now(),
+		configVersion: prometheus.NewGauge(prometheus.GaugeOpts{
 			Namespace: "verbenastep", Subsystem: "config", Name: "version_in_force", Help: "Configuration version in force on this daemon.",
 		}),
-		tableInForce: prometheus.NewGauge(prometheus.GaugeOpts{
+		tableVersionGauge: prometheus.NewGauge(prometheus.GaugeOpts{
 			Namespace: "verbenastep", Subsystem: "routes", Name: "version_in_force", Help: "Route table version in force on this daemon.",
 		}),
 	}
 	s.age = prometheus.NewGaugeFunc(prometheus.GaugeOpts{
 		Namespace: "verbenastep", Subsystem: "config", Name: "age_seconds", Help: "Time since a replica last confirmed what is in force.",
-	}, s.sinceHeard)
+	}, s.ageSeconds)
 	return s
 }
 
-func (s *Service) sinceHeard() float64 {
+// ageSeconds returns the time since the last update or keepalive.
+func (s *Service) ageSeconds() float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return time.Since(s.heard).Seconds()
+	return time.Since(s.lastUpdateAt).Seconds()
 }
 
 // Name returns the service's name.
 func (s *Service) Name() string { return port.NameView }
 
-// Needs returns the link, and who takes events and metrics.
+// Needs returns the link, the event log and the metrics registry.
 func (s *Service) Needs() []string { return []string{port.NameLink, port.NameEvents, port.NameMetrics} }
 
-// Start begins watching.
+// Start begins to watch the replicas.
 func (s *Service) Start(_ context.Context, k *kernel.Kernel) error {
 	link, err := kernel.Find[port.Link](k, port.NameLink)
 	if err != nil {
@@ -101,7 +104,7 @@
 	if err != nil {
 		return err
 	}
-	for _, c := range []prometheus.Collector{s.inForce, s.tableInForce, s.age} {
+	for _, c := range []prometheus.Collector{s.configVersion, s.tableVersionGauge, s.age} {
 		if err := metrics.Registerer().Register(c); err != nil {
 			return err
 		}
@@ -112,13 +115,13 @@
 	return nil
 }
 
-// take applies one update; on an error the watch begins anew, which yields a
-// snapshot.
-func (s *Service) take(u *rpc.WatchUpdate) error {
+// apply applies one update. After an error the caller starts a new watch, which
+// begins with a snapshot.
+func (s *Service) apply(u *rpc.WatchUpdate) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if len(u.Config) > 0 {
-		if err := s.takeConfig(u.Config); err != nil {
+		if err := s.applyConfig(u.Config); err != nil {
 			return err
 		}
 	}
@@ -132,17 +135,17 @@
 		}
 	}
 	if u.SuspectsFull {
-		if err := s.takeSuspects(u.Suspects); err != nil {
+		if err := s.applySuspects(u.Suspects); err != nil {
 			return err
 		}
 	}
-	if err := s.takeTable(u); err != nil {
+	if err := s.applyTable(u); err != nil {
 		return err
 	}
 	leader := port.Leader{Address: u.LeaderAddress, Term: u.LeaderTerm}
-	moved := s.leader != leader
+	leaderChanged := s.leader != leader
 	s.leader = leader
-	if len(u.Config) == 0 && len(u.Leases) == 0 && !u.SuspectsFull && len(u.Table) == 0 && !moved {
+	if len(u.Config) == 0 && len(u.Leases) == 0 && !u.SuspectsFull && len(u.Table) == 0 && !leaderChanged {
 		return nil
 	}
 	close(s.changed)
@@ -150,7 +153,8 @@
 	return nil
 }
 
-func (s *Service) takeSuspects(list [][]byte) error {
+// applySuspects replaces the list of suspects. The caller holds s.mu.
+func (s *Service) applySuspects(list [][]byte) error {
 	suspects := []state.Suspect{}
 	for _, data := range list {
 		x := state.Suspect{}
@@ -163,7 +167,9 @@
 	return nil
 }
 
-func (s *Service) takeConfig(data []byte) error {
+// applyConfig applies a delta to the configuration and ignores versions older
+// than the one in force. The caller holds s.mu.
+func (s *Service) applyConfig(data []byte) error {
 	d := config.Delta{}
 	if err := json.Unmarshal(data, &d); err != nil {
 		return err
@@ -182,7 +188,7 @@
 	}
 	s.files = files
 	s.current = port.Snapshot{Version: d.Version, Digest: d.Digest, Config: merged}
-	s.inForce.Set(float64(d.Version))
+	s.configVersion.Set(float64(d.Version))
 	s.log.Info("configuration in force", zap.Uint64("version", d.Version))
 	if s.events != nil {
 		s.events.Record(promise.Event{Kind: promise.InForce, Version: d.Version, Digest: d.Digest})
@@ -197,14 +203,14 @@
 	return s.current
 }
 
-// Files returns the files in force.
+// Files returns the configuration files in force.
 func (s *Service) Files() config.Files {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.files
 }
 
-// Lease returns a lease as last heard.
+// Lease returns a lease as of the last update; without a holder if it is unknown.
 func (s *Service) Lease(name string) state.Lease {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -213,7 +219,7 @@
 	return l
 }
 
-// Suspects returns the crash count of each suspect fingerprint of a pool.
+// Suspects returns the crash counts of a pool's suspect requests by fingerprint.
 func (s *Service) Suspects(pool string) map[uint64]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -226,24 +232,26 @@
 	return out
 }
 
-// Changed returns a channel that is closed at the next change.
+// Changed returns a channel that is closed at the next change; keepalives don't
+// count.
 func (s *Service) Changed() <-chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.changed
 }
 
-// Stop ends the watch.
+// Stop ends the watch and waits for it.
 func (s *Service) Stop(context.Context) error {
 	s.cancel()
 	s.done.Wait()
 	return nil
 }
 
-// Health returns nil: an old configuration is better than none.
+// Health always returns nil: a daemon without contact to a replica keeps working
+// with the last configuration.
 func (s *Service) Health() error { return nil }
 
-// Dump shows the version in force and the leases.
+// Dump returns the configuration in force, the watched replica and the leases.
 func (s *Service) Dump() any {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/view/view_test.go
+++ b/internal/view/view_test.go
@@ -14,8 +14,8 @@
 	"github.com/verbenastep/verbenastep/internal/settings"
 )
 
-// accepted returns a machine at a version.
-func accepted(t *testing.T, versions uint64) *state.Machine {
+// machineAt returns a state machine that has accepted a number of versions.
+func machineAt(t *testing.T, versions uint64) *state.Machine {
 	t.Helper()
 	m := state.New()
 	for v := range versions {
@@ -35,27 +35,27 @@
 	return &rpc.WatchUpdate{Config: data}
 }
 
-func TestNeverGoesToALowerVersion(t *testing.T) {
+func TestOlderConfigurationIsIgnored(t *testing.T) {
 	s := New(&settings.Settings{}, zap.NewNop())
-	require.NoError(t, s.take(update(t, accepted(t, 300), 0, s.Snapshot().Digest)))
+	require.NoError(t, s.apply(update(t, machineAt(t, 300), 0, s.Snapshot().Digest)))
 	require.Equal(t, uint64(300), s.Snapshot().Version)
-	require.NoError(t, s.take(update(t, accepted(t, 299), 0, "")))
+	require.NoError(t, s.apply(update(t, machineAt(t, 299), 0, "")))
 	require.Equal(t, uint64(300), s.Snapshot().Version)
 	require.Equal(t, "t300", s.Snapshot().Config.Tiers[0].Name)
 }
 
-func TestDeltaThatDoesNotFitIsRefused(t *testing.T) {
+func TestDeltaForOtherDigestIsRejected(t *testing.T) {
 	s := New(&settings.Settings{}, zap.NewNop())
-	m := accepted(t, 3)
-	_, digest, _ := accepted(t, 2).Config()
+	m := machineAt(t, 3)
+	_, digest, _ := machineAt(t, 2).Config()
 	wrong := (*config.DigestError)(nil)
-	require.ErrorAs(t, s.take(update(t, m, 2, digest)), &wrong)
+	require.ErrorAs(t, s.apply(update(t, m, 2, digest)), &wrong)
 	require.Equal(t, uint64(0), s.Snapshot().Version)
-	require.NoError(t, s.take(update(t, m, 0, "unknown")))
+	require.NoError(t, s.apply(update(t, m, 0, "unknown")))
 	require.Equal(t, uint64(3), s.Snapshot().Version)
 }
 
-func TestKeepaliveChangesNothing(t *testing.T) {
+func TestKeepaliveNotifiesNobody(t *testing.T) {
 	s := New(&settings.Settings{}, zap.NewNop())
 	lease, err := json.Marshal(state.Lease{Name: "l", Holder: "h", Epoch: 2})
 	require.NoError(t, err)
@@ -63,15 +63,15 @@
 	require.NoError(t, err)
 	suspect, err := json.Marshal(state.Suspect{Pool: "p", Fingerprint: 1, Crashes: 1})
 	require.NoError(t, err)
-	require.NoError(t, s.take(&rpc.WatchUpdate{Leases: [][]byte{lease}, Suspects: [][]byte{suspect}, SuspectsFull: true}))
+	require.NoError(t, s.apply(&rpc.WatchUpdate{Leases: [][]byte{lease}, Suspects: [][]byte{suspect}, SuspectsFull: true}))
 	changed := s.Changed()
-	require.NoError(t, s.take(&rpc.WatchUpdate{Index: 7}))
+	require.NoError(t, s.apply(&rpc.WatchUpdate{Index: 7}))
 	select {
 	case <-changed:
-		require.Fail(t, "a keepalive woke the watchers")
+		require.Fail(t, "a keepalive closed the channel of Changed")
 	default:
 	}
-	require.NoError(t, s.take(&rpc.WatchUpdate{Leases: [][]byte{old}}))
+	require.NoError(t, s.apply(&rpc.WatchUpdate{Leases: [][]byte{old}}))
 	require.Equal(t, "h", s.Lease("l").Holder)
 	require.Len(t, s.Suspects("p"), 1)
 }
--- a/internal/view/watch.go
+++ b/internal/view/watch.go
@@ -18,25 +18,25 @@
 )
 
 const (
-	// retryPause is the wait before the next replica is tried.
-	retryPause = 100 * time.Millisecond
-	// silence is how long a watch may carry nothing, not even a keepalive,
-	// before it is dropped. It outlasts the read that a watch begins with.
-	silence = 1800 * time.Millisecond
-	// steadySilence is the same once the watch has begun: two keepalives and a
-	// lost packet that is sent again.
-	steadySilence = 900 * time.Millisecond
+	// retryDelay is the delay before the next replica is tried.
+	retryDelay = 100 * time.Millisecond
+	// firstMessageTimeout bounds the time to a watch's first message. It covers
+	// the read with which the replica begins a watch.
+	firstMessageTimeout = 1800 * time.Millisecond
+	// messageTimeout bounds the time between two messages, keepalives included.
+	// It covers two keepalive intervals and the retransmission of a lost packet.
+	messageTimeout = 900 * time.Millisecond
 )
 
-var errSilent = errors.New("the watch carried nothing for too long; another replica is tried")
+var errWatchTimeout = errors.New("watch received neither update nor keepalive within the timeout; trying the next replica")
 
-// run watches one replica after the other, the near ones first.
+// run watches one replica at a time, nearest first, until the context ends.
 func (s *Service) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		if s.set.Routing != nil && s.Routes() == nil {
-			s.race(ctx)
+			s.awaitFirstTable(ctx)
 		}
-		for _, p := range s.order() {
+		for _, p := range s.replicasByDistance() {
 			if ctx.Err() != nil {
 				return
 			}
@@ -45,21 +45,22 @@
 	}
 }
 
-// watchOnce watches a replica until that ends, and waits before the next try.
+// watchOnce watches a replica until the watch ends, then waits for the retry delay.
 func (s *Service) watchOnce(ctx context.Context, p settings.Peer) {
 	err := s.watch(ctx, p)
 	s.log.Debug("watch ended", zap.String("replica", p.Name), zap.Error(err))
-	wait.For(ctx, retryPause)
+	wait.For(ctx, retryDelay)
 }
 
-// race watches all replicas at once until any has brought the first route table:
-// callers wait for it, and which replica is near is not known yet.
-func (s *Service) race(ctx context.Context) {
+// awaitFirstTable watches all replicas at once until one of them has sent the
+// first route table: callers wait for it, and the nearest replica is not known
+// before the member list is.
+func (s *Service) awaitFirstTable(ctx context.Context) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	racers := sync.WaitGroup{}
-	for _, p := range s.order() {
-		racers.Go(func() {
+	watches := sync.WaitGroup{}
+	for _, p := range s.replicasByDistance() {
+		watches.Go(func() {
 			for ctx.Err() == nil {
 				s.watchOnce(ctx, p)
 			}
@@ -69,15 +70,16 @@
 		select {
 		case <-s.Changed():
 		case <-ctx.Done():
-		case <-time.After(retryPause):
+		case <-time.After(retryDelay):
 		}
 	}
 	cancel()
-	racers.Wait()
+	watches.Wait()
 }
 
-// order lists the replicas: this daemon, its data centre, its region, others.
-func (s *Service) order() []settings.Peer {
+// replicasByDistance returns the known replicas: this daemon first, then those in
+// its data centre, in its region and elsewhere.
+func (s *Service) replicasByDistance() []settings.Peer {
 	members, _ := kernel.Find[port.Members](s.kernel, port.NameMembers)
 	distance := func(p settings.Peer) int {
 		if p.Address == s.set.Addresses.Peers {
@@ -86,7 +88,7 @@
 		if members == nil {
 			return 3
 		}
-		m, ok := byAddress(members.Live(), p.Address)
+		m, ok := memberByAddress(members.Live(), p.Address)
 		switch {
 		case ok && m.DataCentre == s.set.DataCentre:
 			return 1
@@ -103,7 +105,7 @@
 	return out
 }
 
-func byAddress(live []port.Member, address string) (port.Member, bool) {
+func memberByAddress(live []port.Member, address string) (port.Member, bool) {
 	i := slices.IndexFunc(live, func(m port.Member) bool { return m.Peers == address })
 	if i < 0 {
 		return port.Member{}, false
@@ -111,7 +113,7 @@
 	return live[i], true
 }
 
-// addReplicas adds the live replicas that the settings don't list.
+// addReplicas appends live replicas that the settings don't list.
 func addReplicas(known []settings.Peer, live []port.Member) []settings.Peer {
 	for _, m := range live {
 		listed := slices.ContainsFunc(known, func(p settings.Peer) bool { return p.Address == m.Peers })
@@ -122,10 +124,11 @@
 	return known
 }
 
+// watch applies the updates of one replica until the watch fails or times out.
 func (s *Service) watch(ctx context.Context, p settings.Peer) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	watchdog := time.AfterFunc(silence, func() { cancel(errSilent) })
+	watchdog := time.AfterFunc(firstMessageTimeout, func() { cancel(errWatchTimeout) })
 	defer watchdog.Stop()
 	snap := s.Snapshot()
 	s.mu.Lock()
@@ -142,16 +145,16 @@
 		if err != nil {
 			return errors.Join(err, context.Cause(ctx))
 		}
-		watchdog.Reset(steadySilence)
-		s.note(p.Name, update.Index)
-		if err := s.take(update); err != nil {
+		watchdog.Reset(messageTimeout)
+		s.recordUpdate(p.Name, update.Index)
+		if err := s.apply(update); err != nil {
 			return err
 		}
 	}
 }
 
-func (s *Service) note(source string, index uint64) {
+func (s *Service) recordUpdate(source string, index uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.source, s.index, s.heard = source, index, time.Now()
+	s.source, s.index, s.lastUpdateAt = source, index, time.Now()
 }
