--- a/core/broker/broker.go
+++ b/core/broker/broker.go
@@ -341,7 +341,7 @@
 	if b.table == nil {
 		return nil
 	}
-	space := b.table.WorkspaceNamed(name)
+	space := b.table.WorkspaceByName(name)
 	if space == nil || space.TokensPerSecond == 0 {
 		return nil
 	}
--- a/core/routes/table.go
+++ b/core/routes/table.go
@@ -182,8 +182,8 @@
 // WorkspaceByKey returns the workspace that owns a key's hash, or nil.
 func (x *Index) WorkspaceByKey(keyHash string) *Workspace { return x.keys[keyHash] }
 
-// WorkspaceNamed returns the workspace with a name, or nil.
-func (x *Index) WorkspaceNamed(name string) *Workspace { return x.workspaces[name] }
+// WorkspaceByName returns the workspace with a name, or nil.
+func (x *Index) WorkspaceByName(name string) *Workspace { return x.workspaces[name] }
 
 // RequiresKey reports whether requests to routes that are not public need a key.
 func (x *Index) RequiresKey() bool { return len(x.Table.Workspaces) > 0 }
--- a/internal/broker/news_test.go
+++ b/internal/broker/news_test.go
@@ -21,10 +21,10 @@
 // heard is a roster that the test sets.
 type heard struct{ list []port.RosterEntry }
 
-func (h *heard) Take(roster.Entry) error  { return nil }
-func (h *heard) Leave(string) error       { return nil }
-func (h *heard) All() []port.RosterEntry  { return h.list }
-func (h *heard) Changed() <-chan struct{} { return nil }
+func (h *heard) RecordHeartbeat(roster.Entry) error { return nil }
+func (h *heard) Leave(string) error                 { return nil }
+func (h *heard) All() []port.RosterEntry            { return h.list }
+func (h *heard) Changed() <-chan struct{}           { return nil }
 
 func upstream(id string) port.RosterEntry {
 	return port.RosterEntry{Entry: roster.Entry{ID: id, Pool: "p", Address: id, Slots: 2}}
--- a/internal/port/port.go
+++ b/internal/port/port.go
@@ -304,9 +304,10 @@
 
 // Roster keeps the upstreams that send heartbeats.
 type Roster interface {
-	// Take takes in a heartbeat and passes it on. An error says that this
-	// daemon can't, and that another one should be asked.
-	Take(e roster.Entry) error
+	// RecordHeartbeat records a heartbeat and forwards it to the other control
+	// daemons. It returns an error if this daemon can't; the upstream should then
+	// use another control daemon.
+	RecordHeartbeat(e roster.Entry) error
 	// Leave ends an upstream by its id.
 	Leave(id string) error
 	// All lists the upstreams by id, with how long ago each was heard of.
--- a/internal/roster/roster.go
+++ b/internal/roster/roster.go
@@ -89,10 +89,10 @@
 
 func (s *Service) now() time.Duration { return time.Since(s.startedAt) }
 
-// Take records a heartbeat of an upstream and forwards it to the other control
-// daemons. It returns a fault.Unavailable error if this daemon has lost the log's
-// leader: it could not forward the heartbeat, and brokers would not learn of it.
-func (s *Service) Take(e roster.Entry) error {
+// RecordHeartbeat records a heartbeat of an upstream and forwards it to the other
+// control daemons. It returns a fault.Unavailable error if this daemon has lost
+// the log's leader: other daemons may then not learn of the heartbeat.
+func (s *Service) RecordHeartbeat(e roster.Entry) error {
 	if _, leader := s.replicas.Leadership(); leader.Address == "" {
 		return fault.New(fault.Unavailable, "send the heartbeat to another control daemon", "this daemon has lost the log's leader")
 	}
@@ -107,7 +107,7 @@
 
 // Leave records that the upstream with an id has left.
 func (s *Service) Leave(id string) error {
-	return s.Take(roster.Entry{ID: id, Gone: true, Leaving: true})
+	return s.RecordHeartbeat(roster.Entry{ID: id, Gone: true, Leaving: true})
 }
 
 // merge merges an entry and notifies watchers of a change. The caller holds s.mu.
--- a/internal/roster/spread_test.go
+++ b/internal/roster/spread_test.go
@@ -94,13 +94,13 @@
 
 func TestHeartbeatsReachOtherControlDaemon(t *testing.T) {
 	a, b := startTwo(t)
-	require.NoError(t, a.Take(heartbeat("u", 1)))
+	require.NoError(t, a.RecordHeartbeat(heartbeat("u", 1)))
 	requireSequence(t, b, "u", 1)
-	require.NoError(t, a.Take(heartbeat("u", 2)))
+	require.NoError(t, a.RecordHeartbeat(heartbeat("u", 2)))
 	requireSequence(t, b, "u", 2)
 	leaving := heartbeat("u", 3)
 	leaving.Leaving = true
-	require.NoError(t, a.Take(leaving))
+	require.NoError(t, a.RecordHeartbeat(leaving))
 	requireSequence(t, b, "u", 3)
 	require.True(t, b.All()[0].Leaving)
 	require.NoError(t, a.Leave("u"))
@@ -115,12 +115,12 @@
 	a, _ := startControl(t, addresses[0], addresses)
 	b, stop := startControl(t, addresses[1], addresses)
 	for i := range 20 {
-		require.NoError(t, a.Take(heartbeat(fmt.Sprint(i), 1)))
+		require.NoError(t, a.RecordHeartbeat(heartbeat(fmt.Sprint(i), 1)))
 	}
 	requireSequence(t, b, "19", 1)
 	stop()
 	b, _ = startControl(t, addresses[1], addresses)
-	require.NoError(t, a.Take(heartbeat("0", 2)))
+	require.NoError(t, a.RecordHeartbeat(heartbeat("0", 2)))
 	requireSequence(t, b, "0", 2)
 	require.Eventually(t, func() bool { return len(b.All()) == 20 }, convergeTimeout, 10*time.Millisecond, "upstreams without a heartbeat since the restart")
 }
@@ -129,14 +129,14 @@
 // unknown after the message with it was lost.
 func TestRenewalOfUnknownEntrySendsWholeEntry(t *testing.T) {
 	a, b := startTwo(t)
-	require.NoError(t, a.Take(heartbeat("u", 1)))
+	require.NoError(t, a.RecordHeartbeat(heartbeat("u", 1)))
 	requireSequence(t, b, "u", 1)
 	a.mu.Lock()
 	lost := heartbeat("v", 1)
 	lost.Heard = a.now()
 	a.core.Merge(lost)
 	a.mu.Unlock()
-	require.NoError(t, a.Take(heartbeat("v", 2)))
+	require.NoError(t, a.RecordHeartbeat(heartbeat("v", 2)))
 	requireSequence(t, b, "v", 2)
 }
 
