--- a/core/broker/broker.go
+++ b/core/broker/broker.go
@@ -366,7 +366,7 @@
 	if b.table == nil {
 		return nil
 	}
-	workspace := b.table.WorkspaceNamed(name)
+	workspace := b.table.WorkspaceByName(name)
 	if workspace == nil || workspace.TokensPerSecond == 0 {
 		return nil
 	}
