--- a/core/consensus/codec.go
+++ b/core/consensus/codec.go
@@ -5,218 +5,225 @@
 	"errors"
 )
 
-// ErrMalformed says that bytes are no message, entry or member list of this
-// version.
+// ErrMalformed reports that bytes do not decode as a message, entry, hard
+// state, snapshot description or member list of a known version.
 var ErrMalformed = errors.New("bytes are not a consensus record of a known version; run the same version on all replicas")
 
 // codecVersion is the first byte of each encoded message.
-const codecVersion = 1
+const messageVersion = 1
 
-// maxListed bounds lists in a decoded record before memory is taken for them.
-const maxListed = 1 << 20
+// maxListLength limits lists in a decoded record before memory is allocated
+// for them.
+const maxListLength = 1 << 20
 
-type writer struct{ b []byte }
+type encoder struct{ buf []byte }
 
-func (w *writer) num(v uint64) { w.b = binary.AppendUvarint(w.b, v) }
+func (w *encoder) uvarint(v uint64) { w.buf = binary.AppendUvarint(w.buf, v) }
 
-func (w *writer) bytes(v []byte) {
-	w.num(uint64(len(v)))
-	w.b = append(w.b, v...)
+func (w *encoder) bytes(v []byte) {
+	w.uvarint(uint64(len(v)))
+	w.buf = append(w.buf, v...)
 }
 
-func (w *writer) flag(v bool) {
+func (w *encoder) boolean(v bool) {
 	if v {
-		w.num(1)
+		w.uvarint(1)
 		return
 	}
-	w.num(0)
+	w.uvarint(0)
 }
 
-type reader struct {
-	b   []byte
-	bad bool
+type decoder struct {
+	buf       []byte
+	malformed bool
 }
 
-func (r *reader) num() uint64 {
-	v, n := binary.Uvarint(r.b)
+func (r *decoder) uvarint() uint64 {
+	v, n := binary.Uvarint(r.buf)
 	if n <= 0 {
-		r.bad = true
-		r.b = nil
+		r.malformed = true
+		r.buf = nil
 		return 0
 	}
-	r.b = r.b[n:]
+	r.buf = r.buf[n:]
 	return v
 }
 
-// bytes returns a copy, so that decoded records don't pin their buffer.
-func (r *reader) bytes() []byte {
-	n := r.num()
-	if n > uint64(len(r.b)) {
-		r.bad = true
+// bytes returns a copy, so that decoded records do not keep the input buffer
+// alive.
+func (r *decoder) bytes() []byte {
+	n := r.uvarint()
+	if n > uint64(len(r.buf)) {
+		r.malformed = true
 		return nil
 	}
-	out := append([]byte(nil), r.b[:n]...)
-	r.b = r.b[n:]
+	out := append([]byte(nil), r.buf[:n]...)
+	r.buf = r.buf[n:]
 	return out
 }
 
-func (r *reader) flag() bool { return r.num() == 1 }
+func (r *decoder) boolean() bool { return r.uvarint() == 1 }
 
-func (r *reader) count() int {
-	n := r.num()
-	if n > maxListed || n > uint64(len(r.b)) {
-		r.bad = true
+func (r *decoder) listLength() int {
+	n := r.uvarint()
+	if n > maxListLength || n > uint64(len(r.buf)) {
+		r.malformed = true
 		return 0
 	}
 	return int(n)
 }
 
-func (w *writer) entry(e Entry) {
-	w.num(e.Term)
-	w.num(e.Index)
-	w.num(uint64(e.Kind))
+func (w *encoder) entry(e Entry) {
+	w.uvarint(e.Term)
+	w.uvarint(e.Index)
+	w.uvarint(uint64(e.Kind))
 	w.bytes(e.Data)
 }
 
-func (r *reader) entry() Entry {
-	return Entry{Term: r.num(), Index: r.num(), Kind: EntryKind(r.num()), Data: r.bytes()}
+func (r *decoder) entry() Entry {
+	return Entry{Term: r.uvarint(), Index: r.uvarint(), Kind: EntryKind(r.uvarint()), Data: r.bytes()}
 }
 
-func (w *writer) members(list []Member) {
-	w.num(uint64(len(list)))
+func (w *encoder) members(list []Member) {
+	w.uvarint(uint64(len(list)))
 	for _, m := range list {
-		w.num(uint64(m.ID))
+		w.uvarint(uint64(m.ID))
 		w.bytes([]byte(m.Name))
 		w.bytes([]byte(m.Address))
-		w.flag(m.Learner)
+		w.boolean(m.Learner)
 	}
 }
 
-func (r *reader) members() []Member {
+func (r *decoder) members() []Member {
 	out := []Member(nil)
-	for range r.count() {
-		out = append(out, Member{ID: ID(r.num()), Name: string(r.bytes()), Address: string(r.bytes()), Learner: r.flag()})
+	for range r.listLength() {
+		out = append(out, Member{ID: ID(r.uvarint()), Name: string(r.bytes()), Address: string(r.bytes()), Learner: r.boolean()})
 	}
 	return out
 }
 
-func (w *writer) meta(m Meta) {
-	w.num(m.Index)
-	w.num(m.Term)
-	w.num(m.Size)
+func (w *encoder) meta(m Meta) {
+	w.uvarint(m.Index)
+	w.uvarint(m.Term)
+	w.uvarint(m.Size)
 	w.members(m.Members)
 }
 
-func (r *reader) meta() Meta {
-	return Meta{Index: r.num(), Term: r.num(), Size: r.num(), Members: r.members()}
+func (r *decoder) meta() Meta {
+	return Meta{Index: r.uvarint(), Term: r.uvarint(), Size: r.uvarint(), Members: r.members()}
 }
 
-func (r *reader) finish() error {
-	if r.bad || len(r.b) != 0 {
+func (r *decoder) checkComplete() error {
+	if r.malformed || len(r.buf) != 0 {
 		return ErrMalformed
 	}
 	return nil
 }
 
-// EncodeEntry gives an entry's form on disk.
+// EncodeEntry returns the on-disk encoding of an entry.
 func EncodeEntry(e Entry) []byte {
-	w := writer{b: make([]byte, 0, len(e.Data)+16)}
+	w := encoder{buf: make([]byte, 0, len(e.Data)+16)}
 	w.entry(e)
-	return w.b
+	return w.buf
 }
 
-// DecodeEntry reads an entry's form on disk.
+// DecodeEntry decodes EncodeEntry's output. It returns ErrMalformed for other
+// input.
 func DecodeEntry(b []byte) (Entry, error) {
-	r := reader{b: b}
+	r := decoder{buf: b}
 	e := r.entry()
-	return e, r.finish()
+	return e, r.checkComplete()
 }
 
-// EncodeHard gives the form on disk.
+// EncodeHard returns the on-disk encoding of a hard state.
 func EncodeHard(h Hard) []byte {
-	w := writer{}
-	w.num(h.Term)
-	w.num(uint64(h.Vote))
-	w.num(uint64(h.Leader))
-	return w.b
+	w := encoder{}
+	w.uvarint(h.Term)
+	w.uvarint(uint64(h.Vote))
+	w.uvarint(uint64(h.Leader))
+	return w.buf
 }
 
-// DecodeHard reads the form on disk.
+// DecodeHard decodes EncodeHard's output, and that of the version before, which
+// has no leader. It returns ErrMalformed for other input.
 func DecodeHard(b []byte) (Hard, error) {
-	r := reader{b: b}
-	h := Hard{Term: r.num(), Vote: ID(r.num())}
-	if len(r.b) > 0 {
-		// Records of the version before end here: no leader is known.
-		h.Leader = ID(r.num())
+	r := decoder{buf: b}
+	h := Hard{Term: r.uvarint(), Vote: ID(r.uvarint())}
+	if len(r.buf) > 0 {
+		// Records of the version before end here, without a leader.
+		h.Leader = ID(r.uvarint())
 	}
-	return h, r.finish()
+	return h, r.checkComplete()
 }
 
-// EncodeMeta gives the form on disk.
+// EncodeMeta returns the on-disk encoding of a snapshot description.
 func EncodeMeta(m Meta) []byte {
-	w := writer{}
+	w := encoder{}
 	w.meta(m)
-	return w.b
+	return w.buf
 }
 
-// DecodeMeta reads the form on disk.
+// DecodeMeta decodes EncodeMeta's output. It returns ErrMalformed for other
+// input.
 func DecodeMeta(b []byte) (Meta, error) {
-	r := reader{b: b}
+	r := decoder{buf: b}
 	m := r.meta()
-	return m, r.finish()
+	return m, r.checkComplete()
 }
 
-// EncodeMembers gives the data of an EntryMembers.
+// EncodeMembers returns the data of an EntryMembers entry.
 func EncodeMembers(list []Member) []byte {
-	w := writer{}
+	w := encoder{}
 	w.members(list)
-	return w.b
+	return w.buf
 }
 
-// DecodeMembers reads the data of an EntryMembers.
+// DecodeMembers decodes the data of an EntryMembers entry. It returns
+// ErrMalformed for other input.
 func DecodeMembers(b []byte) ([]Member, error) {
-	r := reader{b: b}
+	r := decoder{buf: b}
 	list := r.members()
-	return list, r.finish()
+	return list, r.checkComplete()
 }
 
-// EncodeMessage gives a message's form on the wire.
+// EncodeMessage returns the wire encoding of a message.
 func EncodeMessage(m Message) []byte {
-	w := writer{b: []byte{codecVersion}}
+	w := encoder{buf: []byte{messageVersion}}
 	for _, v := range []uint64{uint64(m.Kind), uint64(m.From), uint64(m.To), m.Term, m.Index, m.LogTerm, m.Commit, m.Hint, m.Sequence} {
-		w.num(v)
+		w.uvarint(v)
 	}
-	w.flag(m.Reject)
-	w.flag(m.Force)
-	w.num(uint64(len(m.Entries)))
+	w.boolean(m.Reject)
+	w.boolean(m.Force)
+	w.uvarint(uint64(len(m.Entries)))
 	for _, e := range m.Entries {
 		w.entry(e)
 	}
-	w.flag(m.Chunk != nil)
+	w.boolean(m.Chunk != nil)
 	if m.Chunk != nil {
 		w.meta(m.Chunk.Meta)
-		w.num(m.Chunk.Offset)
-		w.num(m.Chunk.Length)
+		w.uvarint(m.Chunk.Offset)
+		w.uvarint(m.Chunk.Length)
 		w.bytes(m.Chunk.Data)
 	}
-	return w.b
+	return w.buf
 }
 
-// DecodeMessage reads a message's form on the wire.
+// DecodeMessage decodes EncodeMessage's output. It returns ErrMalformed for
+// other input.
 func DecodeMessage(b []byte) (Message, error) {
-	if len(b) == 0 || b[0] != codecVersion {
+	if len(b) == 0 || b[0] != messageVersion {
 		return Message{}, ErrMalformed
 	}
-	r := reader{b: b[1:]}
+	r := decoder{buf: b[1:]}
 	m := Message{
-		Kind: MessageKind(r.num()), From: ID(r.num()), To: ID(r.num()), Term: r.num(), Index: r.num(),
-		LogTerm: r.num(), Commit: r.num(), Hint: r.num(), Sequence: r.num(), Reject: r.flag(), Force: r.flag(),
+		Kind: MessageKind(r.uvarint()), From: ID(r.uvarint()), To: ID(r.uvarint()), Term: r.uvarint(), Index: r.uvarint(),
+		LogTerm: r.uvarint(), Commit: r.uvarint(), Hint: r.uvarint(), Sequence: r.uvarint(), Reject: r.boolean(), Force: r.boolean(),
 	}
-	for range r.count() {
+	for range r.listLength() {
 		m.Entries = append(m.Entries, r.entry())
 	}
-	if r.flag() {
-		m.Chunk = &Chunk{Meta: r.meta(), Offset: r.num(), Length: r.num(), Data: r.bytes()}
+	if r.boolean() {
+		m.Chunk = &Chunk{Meta: r.meta(), Offset: r.uvarint(), Length: r.uvarint(), Data: r.bytes()}
 	}
-	return m, r.finish()
+	return m, r.checkComplete()
 }
--- a/core/consensus/codec_test.go
+++ b/core/consensus/codec_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestMessageSurvivesTheWire(t *testing.T) {
+func TestMessageRoundTrip(t *testing.T) {
 	m := Message{
 		Kind: InstallChunk, From: 1, To: 2, Term: 3, Index: 4, LogTerm: 5, Commit: 6, Hint: 7, Sequence: 8, Reject: true, Force: true,
 		Entries: []Entry{{Term: 3, Index: 5, Kind: EntryMembers, Data: []byte("x")}},
--- a/core/consensus/election.go
+++ b/core/consensus/election.go
@@ -1,101 +1,103 @@
 package consensus
 
-// bound tells whether this node may not help to replace a leader: it is one, or
-// it heard from one less than an election timeout ago.
-func (n *Node) bound() bool { return n.role == Leader || n.now < n.promised }
+// mustNotVote reports whether this node must not help to elect another leader:
+// it is the leader, or a leader contacted it less than an election timeout ago
+// and may still hold a lease.
+func (n *Node) mustNotVote() bool { return n.role == Leader || n.now < n.noVoteUntil }
 
-// release ends the promise to a leader that asks for votes in a newer term: it
-// leads no more, and its lease ended when it stepped down or stopped.
-func (n *Node) release(m Message) {
+// liftVoteRestriction allows this node to vote at once if the last known leader
+// itself requests votes in a newer term: it does not lead any more, and its
+// lease ended when it stepped down or stopped.
+func (n *Node) liftVoteRestriction(m Message) {
 	if (m.Kind == PreVote || m.Kind == Vote) && m.From == n.hard.Leader && n.role != Leader {
-		n.promised = n.now
+		n.noVoteUntil = n.now
 	}
 }
 
-// campaign starts an election. Unless the leader asked for it, a round of
-// pre-votes finds out first whether it could be won, so that a replica cut off
-// does not raise the term.
+// campaign starts an election. Unless force is set, by a leadership transfer, a
+// pre-vote round first checks whether the election can be won, so that a
+// partitioned replica does not raise the term.
 func (n *Node) campaign(force bool) {
-	n.resetDeadline()
-	if !n.conf.voter(n.opt.ID) {
+	n.resetElectionDeadline()
+	if !n.membership.isVoter(n.options.ID) {
 		return
 	}
 	n.role = Candidate
 	n.leader = 0
 	n.votes = map[ID]bool{}
-	n.preVote = !force
-	if n.preVote {
-		n.ask(Message{Kind: PreVote, Term: n.hard.Term + 1})
+	n.isPreVote = !force
+	if n.isPreVote {
+		n.requestVotes(Message{Kind: PreVote, Term: n.hard.Term + 1})
 		return
 	}
-	n.elect(force)
+	n.startElection(force)
 }
 
-func (n *Node) elect(force bool) {
-	n.preVote = false
+func (n *Node) startElection(force bool) {
+	n.isPreVote = false
 	n.votes = map[ID]bool{}
-	n.hard = Hard{Term: n.hard.Term + 1, Vote: n.opt.ID}
-	n.resetDeadline()
-	n.ask(Message{Kind: Vote, Force: force})
+	n.hard = Hard{Term: n.hard.Term + 1, Vote: n.options.ID}
+	n.resetElectionDeadline()
+	n.requestVotes(Message{Kind: Vote, Force: force})
 }
 
-func (n *Node) ask(m Message) {
-	m.Index = n.log.last()
+func (n *Node) requestVotes(m Message) {
+	m.Index = n.log.lastIndex()
 	m.LogTerm = n.log.lastTerm()
-	for _, to := range n.conf.members() {
-		if !to.Learner && to.ID != n.opt.ID {
+	for _, to := range n.membership.members() {
+		if !to.Learner && to.ID != n.options.ID {
 			m.To = to.ID
 			n.send(m)
 		}
 	}
-	n.count(n.opt.ID, true)
+	n.recordVote(n.options.ID, true)
 }
 
-func (n *Node) onVote(m Message) {
+func (n *Node) handleVoteRequest(m Message) {
 	reply := Message{Kind: VoteReply, To: m.From}
-	free := n.hard.Vote == 0 || n.hard.Vote == m.From
-	if n.bound() && !m.Force {
+	canVote := n.hard.Vote == 0 || n.hard.Vote == m.From
+	if n.mustNotVote() && !m.Force {
 		return
 	}
 	if m.Kind == PreVote {
 		reply.Kind = PreVoteReply
-		free = m.Term > n.hard.Term
+		canVote = m.Term > n.hard.Term
 	}
-	current := m.LogTerm > n.log.lastTerm() || (m.LogTerm == n.log.lastTerm() && m.Index >= n.log.last())
-	reply.Reject = !free || !current
+	isUpToDate := m.LogTerm > n.log.lastTerm() || (m.LogTerm == n.log.lastTerm() && m.Index >= n.log.lastIndex())
+	reply.Reject = !canVote || !isUpToDate
 	if m.Kind == PreVote && !reply.Reject {
 		reply.Term = m.Term
 	}
 	if m.Kind == Vote && !reply.Reject {
 		n.hard.Vote = m.From
-		n.resetDeadline()
+		n.resetElectionDeadline()
 	}
 	n.send(reply)
 }
 
-func (n *Node) onVoteReply(m Message) {
-	if n.role != Candidate || n.preVote != (m.Kind == PreVoteReply) {
+func (n *Node) handleVoteReply(m Message) {
+	if n.role != Candidate || n.isPreVote != (m.Kind == PreVoteReply) {
 		return
 	}
 	if m.Kind == PreVoteReply && !m.Reject && m.Term != n.hard.Term+1 {
 		return
 	}
-	n.count(m.From, !m.Reject)
+	n.recordVote(m.From, !m.Reject)
 }
 
-func (n *Node) count(from ID, granted bool) {
+func (n *Node) recordVote(from ID, granted bool) {
 	n.votes[from] = granted
-	yes := 0
-	for _, m := range n.conf.members() {
+	votes := 0
+	for _, m := range n.membership.members() {
 		if !m.Learner && n.votes[m.ID] {
-			yes++
+			votes++
 		}
 	}
-	if yes < n.conf.quorum() {
+	if votes < n.membership.quorumSize() {
 		return
 	}
-	if n.preVote {
-		n.elect(false)
+	if n.isPreVote {
+		n.startElection(false)
 		return
 	}
 	n.becomeLeader()
--- a/core/consensus/leader.go
+++ b/core/consensus/leader.go
@@ -1,44 +1,45 @@
 package consensus
 
-// peerState is how a leader sends to a replica.
+// peerState is the way in which a leader replicates to a peer.
 type peerState uint8
 
 const (
-	// probing sends one message and waits for where the logs agree.
+	// probing sends one message at a time until the matching index is known.
 	probing peerState = iota
-	// streaming sends without waiting, up to the window.
+	// streaming sends without waiting for replies, up to the limit of
+	// unanswered messages.
 	streaming
 	// installing sends a snapshot in chunks.
 	installing
 )
 
-// peer is a leader's knowledge of another replica.
+// peer is a leader's replication progress for another replica.
 type peer struct {
-	state peerState
-	match uint64
-	next  uint64
-	// inflight holds the last index of each unanswered message.
+	state      peerState
+	matchIndex uint64
+	nextIndex  uint64
+	// inflight holds the last entry index of each unanswered Append message.
 	inflight []uint64
-	// paused says that a probe is unanswered.
-	paused bool
-	// heard is when it last answered, progressed when that last moved match or
-	// the snapshot on, sent when the last chunk left.
-	heard      uint64
-	progressed uint64
-	// answered is the newest heartbeat it answered.
-	answered uint64
-	// installMeta and offset are the snapshot's position.
-	installMeta Meta
-	offset      uint64
+	// isPaused is set while a probe is unanswered.
+	isPaused bool
+	// lastReplyAt is the tick of the last reply, lastProgressAt that of the
+	// last one that advanced matchIndex or the snapshot, or of the last resend.
+	lastReplyAt    uint64
+	lastProgressAt uint64
+	// ackedHeartbeat is the sequence of the newest heartbeat it answered.
+	ackedHeartbeat uint64
+	// installMeta and installOffset are the progress of a snapshot transfer.
+	installMeta   Meta
+	installOffset uint64
 }
 
-// heartbeatRound is when a heartbeat left.
+// heartbeatRound records the tick at which a heartbeat was sent.
 type heartbeatRound struct {
 	sequence uint64
-	at       uint64
+	sentAt   uint64
 }
 
-// pendingRead waits for a heartbeat round to be answered by a quorum.
+// pendingRead is a read that waits for a quorum to answer a heartbeat round.
 type pendingRead struct {
 	id       uint64
 	from     ID
@@ -46,137 +47,138 @@
 	sequence uint64
 }
 
-// leading is a leader's own state; it is empty on others.
-type leading struct {
-	peers    map[ID]*peer
-	first    uint64
-	sequence uint64
-	rounds   []heartbeatRound
-	beatAt   uint64
-	// leaseFrom is when the newest round left that a quorum answered.
-	leaseFrom uint64
-	leased    bool
-	// leaseOff says that a successor may have been asked to start an election,
-	// which does not wait for the lease.
-	leaseOff bool
-	reads    []pendingRead
-	// waiting are reads that came before the term's first commit.
-	waiting     []pendingRead
-	uncommitted int
-	transferee  ID
-	transferEnd uint64
+// leaderState is the state that only a leader has; it is empty on other nodes.
+type leaderState struct {
+	peers             map[ID]*peer
+	firstIndex        uint64
+	heartbeatSequence uint64
+	heartbeatRounds   []heartbeatRound
+	lastHeartbeatAt   uint64
+	// leaseStart is when the newest round that a quorum answered was sent.
+	leaseStart uint64
+	hasLease   bool
+	// leaseDisabled is set once a successor may have been told to start an
+	// election, which does not wait for the lease to expire.
+	leaseDisabled bool
+	pendingReads  []pendingRead
+	// deferredReads arrived before the first commit of the term.
+	deferredReads    []pendingRead
+	uncommittedBytes int
+	transferee       ID
+	transferDeadline uint64
 }
 
 func (n *Node) becomeLeader() {
 	n.role = Leader
-	n.leader = n.opt.ID
-	n.hard.Leader = n.opt.ID
-	n.lead = leading{peers: map[ID]*peer{}, first: n.log.last() + 1, beatAt: n.now}
-	n.syncPeers()
-	n.appendOwn(EntryEmpty, [][]byte{nil})
+	n.leader = n.options.ID
+	n.hard.Leader = n.options.ID
+	n.leaderState = leaderState{peers: map[ID]*peer{}, firstIndex: n.log.lastIndex() + 1, lastHeartbeatAt: n.now}
+	n.updatePeers()
+	n.appendEntries(EntryEmpty, [][]byte{nil})
 	n.broadcastAppend()
-	n.heartbeat()
+	n.broadcastHeartbeat()
 }
 
-// syncPeers makes the peers fit the members.
-func (n *Node) syncPeers() {
-	old := n.lead.peers
-	n.lead.peers = map[ID]*peer{}
-	for _, m := range n.conf.members() {
-		if m.ID == n.opt.ID {
+// updatePeers adds and removes peers to match the member list.
+func (n *Node) updatePeers() {
+	old := n.leaderState.peers
+	n.leaderState.peers = map[ID]*peer{}
+	for _, m := range n.membership.members() {
+		if m.ID == n.options.ID {
 			continue
 		}
 		p := old[m.ID]
 		if p == nil {
-			p = &peer{next: n.log.last() + 1, heard: n.now, progressed: n.now}
+			p = &peer{nextIndex: n.log.lastIndex() + 1, lastReplyAt: n.now, lastProgressAt: n.now}
 		}
-		n.lead.peers[m.ID] = p
+		n.leaderState.peers[m.ID] = p
 	}
 }
 
-// eachPeer visits the other members in their order, so that a node does the
-// same in each run.
-func (n *Node) eachPeer(f func(ID, *peer)) {
-	for _, m := range n.conf.members() {
-		if p := n.lead.peers[m.ID]; p != nil {
+// forEachPeer visits the other members in list order, which keeps the node
+// deterministic.
+func (n *Node) forEachPeer(f func(ID, *peer)) {
+	for _, m := range n.membership.members() {
+		if p := n.leaderState.peers[m.ID]; p != nil {
 			f(m.ID, p)
 		}
 	}
 }
 
 func (n *Node) tickLeader() {
-	heard := n.conf.quorumValue(func(id ID) uint64 {
-		if p := n.lead.peers[id]; p != nil {
-			return p.heard
+	quorumReplyAt := n.membership.quorumValue(func(id ID) uint64 {
+		if p := n.leaderState.peers[id]; p != nil {
+			return p.lastReplyAt
 		}
 		return n.now
 	})
-	if heard+n.opt.ElectionTicks <= n.now {
-		n.follow(n.hard.Term, 0)
+	if quorumReplyAt+n.options.ElectionTicks <= n.now {
+		n.becomeFollower(n.hard.Term, 0)
 		return
 	}
-	if n.lead.transferee != 0 && n.now >= n.lead.transferEnd {
-		n.lead.transferee = 0
+	if n.leaderState.transferee != 0 && n.now >= n.leaderState.transferDeadline {
+		n.leaderState.transferee = 0
 	}
-	if n.now >= n.lead.beatAt+n.opt.HeartbeatTicks {
-		n.heartbeat()
+	if n.now >= n.leaderState.lastHeartbeatAt+n.options.HeartbeatTicks {
+		n.broadcastHeartbeat()
 	}
 }
 
-func (n *Node) heartbeat() {
-	n.lead.sequence++
-	n.lead.beatAt = n.now
-	n.lead.rounds = append(n.lead.rounds, heartbeatRound{sequence: n.lead.sequence, at: n.now})
-	n.eachPeer(func(id ID, p *peer) {
-		n.send(Message{Kind: Heartbeat, To: id, Commit: min(n.log.commit, p.match), Sequence: n.lead.sequence})
+func (n *Node) broadcastHeartbeat() {
+	n.leaderState.heartbeatSequence++
+	n.leaderState.lastHeartbeatAt = n.now
+	n.leaderState.heartbeatRounds = append(n.leaderState.heartbeatRounds, heartbeatRound{sequence: n.leaderState.heartbeatSequence, sentAt: n.now})
+	n.forEachPeer(func(id ID, p *peer) {
+		n.send(Message{Kind: Heartbeat, To: id, Commit: min(n.log.commitIndex, p.matchIndex), Sequence: n.leaderState.heartbeatSequence})
 	})
-	n.settleRounds()
+	n.handleHeartbeatAcks()
 }
 
-// settleRounds renews the lease and confirms reads by the newest round that a
-// quorum answered.
-func (n *Node) settleRounds() {
-	done := n.conf.quorumValue(func(id ID) uint64 {
-		if p := n.lead.peers[id]; p != nil {
-			return p.answered
+// handleHeartbeatAcks extends the lease and confirms reads up to the newest
+// round that a quorum answered.
+func (n *Node) handleHeartbeatAcks() {
+	ackedSequence := n.membership.quorumValue(func(id ID) uint64 {
+		if p := n.leaderState.peers[id]; p != nil {
+			return p.ackedHeartbeat
 		}
-		return n.lead.sequence
+		return n.leaderState.heartbeatSequence
 	})
-	for len(n.lead.rounds) > 0 && n.lead.rounds[0].sequence <= done {
-		n.lead.leaseFrom = n.lead.rounds[0].at
-		n.lead.leased = true
-		n.lead.rounds = n.lead.rounds[1:]
+	for len(n.leaderState.heartbeatRounds) > 0 && n.leaderState.heartbeatRounds[0].sequence <= ackedSequence {
+		n.leaderState.leaseStart = n.leaderState.heartbeatRounds[0].sentAt
+		n.leaderState.hasLease = true
+		n.leaderState.heartbeatRounds = n.leaderState.heartbeatRounds[1:]
 	}
-	kept := n.lead.reads[:0]
-	for _, r := range n.lead.reads {
-		if r.sequence > done {
-			kept = append(kept, r)
+	remaining := n.leaderState.pendingReads[:0]
+	for _, r := range n.leaderState.pendingReads {
+		if r.sequence > ackedSequence {
+			remaining = append(remaining, r)
 			continue
 		}
-		n.answerRead(r)
+		n.completeRead(r)
 	}
-	n.lead.reads = kept
+	n.leaderState.pendingReads = remaining
 }
 
-// Settled tells whether a leader has committed an entry of its own term, and
-// with it all that came before.
+// Settled reports whether this node is the leader and has committed an entry of
+// its own term, and with it all earlier entries.
 func (n *Node) Settled() bool { return n.role == Leader && n.committedInTerm() }
 
-func (n *Node) committedInTerm() bool { return n.log.commit >= n.lead.first }
+func (n *Node) committedInTerm() bool { return n.log.commitIndex >= n.leaderState.firstIndex }
 
-// Leased tells whether this node is the leader and no other can be, by the
-// clocks' drift bound, at the time last given to Advance.
+// Leased reports whether this node is the leader and, within the bound on clock
+// drift, no other node can be leader at the time last passed to Advance.
 func (n *Node) Leased() bool {
-	return n.role == Leader && n.lead.leased && !n.lead.leaseOff && n.committedInTerm() &&
-		n.now < n.lead.leaseFrom+n.opt.LeaseTicks
+	return n.role == Leader && n.leaderState.hasLease && !n.leaderState.leaseDisabled && n.committedInTerm() &&
+		n.now < n.leaderState.leaseStart+n.options.LeaseTicks
 }
 
-// Read asks for an index at which a read sees all that was committed before
-// this call; it comes in Effects.Reads under the same id. It is lost where
-// leadership changes meanwhile: the caller retries.
+// Read requests an index at which a read is linearizable: it sees everything
+// committed before this call. The index is returned in Effects.Reads under the
+// same id. The request is lost if leadership changes, so the caller must retry
+// it. Read returns a *NotLeaderError if no leader is known.
 func (n *Node) Read(id uint64) error {
 	if n.role == Leader {
-		n.leaderRead(pendingRead{id: id, from: n.opt.ID})
+		n.startRead(pendingRead{id: id, from: n.options.ID})
 		return nil
 	}
 	if n.leader == 0 {
@@ -186,105 +188,107 @@
 	return nil
 }
 
-func (n *Node) leaderRead(r pendingRead) {
+func (n *Node) startRead(r pendingRead) {
 	if !n.committedInTerm() {
-		n.lead.waiting = append(n.lead.waiting, r)
+		n.leaderState.deferredReads = append(n.leaderState.deferredReads, r)
 		return
 	}
-	r.index = n.log.commit
+	r.index = n.log.commitIndex
 	if n.Leased() {
-		n.answerRead(r)
+		n.completeRead(r)
 		return
 	}
-	r.sequence = n.lead.sequence + 1
-	n.lead.reads = append(n.lead.reads, r)
-	n.heartbeat()
+	r.sequence = n.leaderState.heartbeatSequence + 1
+	n.leaderState.pendingReads = append(n.leaderState.pendingReads, r)
+	n.broadcastHeartbeat()
 }
 
-func (n *Node) answerRead(r pendingRead) {
-	if r.from == n.opt.ID {
+func (n *Node) completeRead(r pendingRead) {
+	if r.from == n.options.ID {
 		n.reads = append(n.reads, Read{ID: r.id, Index: r.index})
 		return
 	}
 	n.send(Message{Kind: ReadIndexReply, To: r.from, Sequence: r.id, Index: r.index})
 }
 
-func (n *Node) mayPropose() error {
-	if n.role != Leader || n.lead.transferee != 0 {
+func (n *Node) checkCanPropose() error {
+	if n.role != Leader || n.leaderState.transferee != 0 {
 		return &NotLeaderError{Leader: n.leader}
 	}
-	if n.lead.uncommitted > n.opt.UncommittedBytes {
-		return &BusyError{Bytes: n.lead.uncommitted}
+	if n.leaderState.uncommittedBytes > n.options.UncommittedBytes {
+		return &BusyError{Bytes: n.leaderState.uncommittedBytes}
 	}
 	return nil
 }
 
-// Propose appends commands and returns the first one's index and the term. A
-// command is committed once the entry at its index is, with that term.
+// Propose appends commands and returns the index of the first one and the term.
+// A command is committed once the entry at its index is committed with that
+// term. It returns a *NotLeaderError or a *BusyError if nothing was appended.
 func (n *Node) Propose(commands [][]byte) (index, term uint64, err error) {
-	if err := n.mayPropose(); err != nil {
+	if err := n.checkCanPropose(); err != nil {
 		return 0, 0, err
 	}
-	index = n.appendOwn(EntryCommand, commands)
+	index = n.appendEntries(EntryCommand, commands)
 	n.broadcastAppend()
 	return index, n.hard.Term, nil
 }
 
-func (n *Node) appendOwn(kind EntryKind, list [][]byte) uint64 {
-	first := n.log.last() + 1
+func (n *Node) appendEntries(kind EntryKind, list [][]byte) uint64 {
+	first := n.log.lastIndex() + 1
 	for _, data := range list {
-		e := Entry{Term: n.hard.Term, Index: n.log.last() + 1, Kind: kind, Data: data}
+		e := Entry{Term: n.hard.Term, Index: n.log.lastIndex() + 1, Kind: kind, Data: data}
 		n.log.entries = append(n.log.entries, e)
-		n.lead.uncommitted += len(data)
-		n.conf.take([]Entry{e})
+		n.leaderState.uncommittedBytes += len(data)
+		n.membership.recordChanges([]Entry{e})
 	}
 	return first
 }
 
 func (n *Node) advanceCommit() {
-	index := n.conf.quorumValue(func(id ID) uint64 {
-		if p := n.lead.peers[id]; p != nil {
-			return p.match
+	index := n.membership.quorumValue(func(id ID) uint64 {
+		if p := n.leaderState.peers[id]; p != nil {
+			return p.matchIndex
 		}
 		return n.log.persisted
 	})
-	if index <= n.log.commit || !n.log.matches(index, n.hard.Term) {
+	if index <= n.log.commitIndex || !n.log.matches(index, n.hard.Term) {
 		return
 	}
-	for _, e := range n.log.slice(n.log.commit+1, index, int(^uint(0)>>1)) {
-		n.lead.uncommitted -= len(e.Data)
+	for _, e := range n.log.slice(n.log.commitIndex+1, index, int(^uint(0)>>1)) {
+		n.leaderState.uncommittedBytes -= len(e.Data)
 	}
-	n.lead.uncommitted = max(n.lead.uncommitted, 0)
-	n.log.commit = index
-	waiting := n.lead.waiting
+	n.leaderState.uncommittedBytes = max(n.leaderState.uncommittedBytes, 0)
+	n.log.commitIndex = index
+	deferred := n.leaderState.deferredReads
 	if n.committedInTerm() {
-		n.lead.waiting = nil
-		for _, r := range waiting {
-			n.leaderRead(r)
+		n.leaderState.deferredReads = nil
+		for _, r := range deferred {
+			n.startRead(r)
 		}
 	}
-	n.eachPeer(n.sendCommit)
+	n.forEachPeer(n.sendCommit)
 }
 
-// Transfer hands leadership to a voter once it has the whole log. Proposals
-// are refused meanwhile; it is given up after an election timeout.
+// Transfer passes leadership to a voter as soon as it has the whole log.
+// Proposals are rejected meanwhile. The transfer is abandoned after an election
+// timeout.
 func (n *Node) Transfer(to ID) error {
-	if err := n.mayPropose(); err != nil {
+	if err := n.checkCanPropose(); err != nil {
 		return err
 	}
-	p := n.lead.peers[to]
-	if p == nil || !n.conf.voter(to) {
+	p := n.leaderState.peers[to]
+	if p == nil || !n.membership.isVoter(to) {
 		return &ChangeError{Reason: "the successor is not a voter", Remedy: "name another voter"}
 	}
-	n.lead.transferee = to
-	n.lead.transferEnd = n.now + n.opt.ElectionTicks
-	n.lead.leaseOff = true
+	n.leaderState.transferee = to
+	n.leaderState.transferDeadline = n.now + n.options.ElectionTicks
+	n.leaderState.leaseDisabled = true
 	n.tryTransfer(to, p)
 	return nil
 }
 
 func (n *Node) tryTransfer(to ID, p *peer) {
-	if n.lead.transferee == to && p.match == n.log.last() {
+	if n.leaderState.transferee == to && p.matchIndex == n.log.lastIndex() {
 		n.send(Message{Kind: TimeoutNow, To: to})
 	}
 }
--- a/core/consensus/log.go
+++ b/core/consensus/log.go
@@ -1,46 +1,47 @@
 package consensus
 
-// entryLog is the part of the log that is in memory: all entries after prev.
+// entryLog holds the part of the log in memory: all entries after prevIndex.
 type entryLog struct {
-	// base is the newest snapshot.
-	base Meta
-	// prevIndex and prevTerm name the entry before entries[0].
+	// snapshot describes the newest snapshot on disk.
+	snapshot Meta
+	// prevIndex and prevTerm identify the entry before entries[0].
 	prevIndex uint64
 	prevTerm  uint64
 	entries   []Entry
-	// handed is the last index given out for writing, persisted the last that
+	// emitted is the last index returned for writing, persisted the last that
 	// is synced.
-	handed    uint64
-	persisted uint64
-	commit    uint64
-	applied   uint64
+	emitted      uint64
+	persisted    uint64
+	commitIndex  uint64
+	appliedIndex uint64
 }
 
-func newLog(s Saved) entryLog {
-	l := entryLog{base: s.Meta, prevIndex: s.Meta.Index, prevTerm: s.Meta.Term, commit: s.Meta.Index, applied: s.Meta.Index}
+func newEntryLog(s Saved) entryLog {
+	l := entryLog{snapshot: s.Meta, prevIndex: s.Meta.Index, prevTerm: s.Meta.Term, commitIndex: s.Meta.Index, appliedIndex: s.Meta.Index}
 	for _, e := range s.Entries {
-		if e.Index == l.last()+1 {
+		if e.Index == l.lastIndex()+1 {
 			l.entries = append(l.entries, e)
 		}
 	}
-	l.handed = l.last()
-	l.persisted = l.last()
+	l.emitted = l.lastIndex()
+	l.persisted = l.lastIndex()
 	return l
 }
 
-func (l *entryLog) last() uint64 { return l.prevIndex + uint64(len(l.entries)) }
+func (l *entryLog) lastIndex() uint64 { return l.prevIndex + uint64(len(l.entries)) }
 
 func (l *entryLog) lastTerm() uint64 {
-	t, _ := l.term(l.last())
+	t, _ := l.term(l.lastIndex())
 	return t
 }
 
-// term returns false where the entry is compacted away or not there yet.
+// term returns the term of an entry, and false if the entry is compacted or
+// does not exist yet.
 func (l *entryLog) term(index uint64) (uint64, bool) {
 	if index == l.prevIndex {
 		return l.prevTerm, true
 	}
-	if index < l.prevIndex || index > l.last() {
+	if index < l.prevIndex || index > l.lastIndex() {
 		return 0, false
 	}
 	return l.entries[index-l.prevIndex-1].Term, true
@@ -51,8 +52,8 @@
 	return ok && t == term
 }
 
-// slice returns entries from lo to hi inclusive, at least one, up to about
-// limit bytes.
+// slice returns the entries from lo to hi inclusive, as many as fit into limit
+// bytes but at least one. It returns nil if lo is past hi or compacted.
 func (l *entryLog) slice(lo, hi uint64, limit int) []Entry {
 	if lo > hi || lo <= l.prevIndex {
 		return nil
@@ -68,34 +69,34 @@
 	return part[:len(part):len(part)]
 }
 
-// merge takes a leader's entries that follow a matching entry and returns the
-// first index that was overwritten or appended, zero where nothing changed.
+// merge adds a leader's entries that follow a matching entry. It returns the
+// first index that was overwritten or appended, zero if nothing changed.
 func (l *entryLog) merge(entries []Entry) uint64 {
 	for i, e := range entries {
 		if e.Index <= l.prevIndex || l.matches(e.Index, e.Term) {
 			continue
 		}
-		l.cut(e.Index)
+		l.truncate(e.Index)
 		l.entries = append(l.entries, entries[i:]...)
 		return e.Index
 	}
 	return 0
 }
 
-// cut drops the entries from an index on. The backing array is copied, since
-// messages may still refer to it.
-func (l *entryLog) cut(from uint64) {
-	if from > l.last() {
+// truncate removes the entries from an index on. It copies the backing array
+// because messages may still refer to it.
+func (l *entryLog) truncate(firstIndex uint64) {
+	if firstIndex > l.lastIndex() {
 		return
 	}
-	l.entries = append([]Entry(nil), l.entries[:from-l.prevIndex-1]...)
-	l.handed = min(l.handed, from-1)
-	l.persisted = min(l.persisted, from-1)
+	l.entries = append([]Entry(nil), l.entries[:firstIndex-l.prevIndex-1]...)
+	l.emitted = min(l.emitted, firstIndex-1)
+	l.persisted = min(l.persisted, firstIndex-1)
 }
 
-// compact drops the entries up to an index.
+// compact removes the entries up to an applied index.
 func (l *entryLog) compact(upTo uint64) {
-	if upTo <= l.prevIndex || upTo > l.applied {
+	if upTo <= l.prevIndex || upTo > l.appliedIndex {
 		return
 	}
 	term, _ := l.term(upTo)
@@ -104,22 +105,23 @@
 	l.prevTerm = term
 }
 
-// restore replaces everything by a snapshot.
+// restore replaces the whole log by a snapshot.
 func (l *entryLog) restore(m Meta) {
 	*l = entryLog{
-		base: m, prevIndex: m.Index, prevTerm: m.Term, handed: m.Index,
-		persisted: m.Index, commit: m.Index, applied: m.Index,
+		snapshot: m, prevIndex: m.Index, prevTerm: m.Term, emitted: m.Index,
+		persisted: m.Index, commitIndex: m.Index, appliedIndex: m.Index,
 	}
 }
 
-// conflictHint suggests where a leader may find agreement: before the whole
-// term that conflicts, but never below what is committed.
+// conflictHint returns the index that the leader should try next after a
+// mismatch at index: the one before all entries of the conflicting term, but
+// never below the commit index.
 func (l *entryLog) conflictHint(index uint64) uint64 {
-	if index > l.last() {
-		return l.last()
+	if index > l.lastIndex() {
+		return l.lastIndex()
 	}
 	term, ok := l.term(index)
-	for ok && index > l.commit+1 {
+	for ok && index > l.commitIndex+1 {
 		before, found := l.term(index - 1)
 		if !found || before != term {
 			break
--- a/core/consensus/member.go
+++ b/core/consensus/member.go
@@ -5,10 +5,10 @@
 	"sort"
 )
 
-// membership is the group's members along the log: the newest list counts from
-// the moment it is appended.
+// membership holds the member lists of the log. The newest list applies as soon
+// as it is appended, committed or not.
 type membership struct {
-	lists []memberList
+	history []memberList
 }
 
 type memberList struct {
@@ -17,49 +17,49 @@
 }
 
 func (c *membership) reset(m Meta) {
-	c.lists = []memberList{{index: m.Index, members: m.Members}}
+	c.history = []memberList{{index: m.Index, members: m.Members}}
 }
 
-// take notes the member lists among entries.
-func (c *membership) take(entries []Entry) {
+// recordChanges adds the member lists found in entries.
+func (c *membership) recordChanges(entries []Entry) {
 	for _, e := range entries {
 		if e.Kind != EntryMembers {
 			continue
 		}
 		list, err := DecodeMembers(e.Data)
 		if err == nil {
-			c.lists = append(c.lists, memberList{index: e.Index, members: list})
+			c.history = append(c.history, memberList{index: e.Index, members: list})
 		}
 	}
 }
 
-// cut forgets lists from an index on.
-func (c *membership) cut(from uint64) {
-	for len(c.lists) > 1 && c.lists[len(c.lists)-1].index >= from {
-		c.lists = c.lists[:len(c.lists)-1]
+// truncate removes the lists from an index on.
+func (c *membership) truncate(from uint64) {
+	for len(c.history) > 1 && c.history[len(c.history)-1].index >= from {
+		c.history = c.history[:len(c.history)-1]
 	}
 }
 
-func (c *membership) newest() memberList { return c.lists[len(c.lists)-1] }
+func (c *membership) latest() memberList { return c.history[len(c.history)-1] }
 
-func (c *membership) members() []Member { return c.newest().members }
+func (c *membership) members() []Member { return c.latest().members }
 
-func (c *membership) at(index uint64) []Member {
-	for i := len(c.lists) - 1; i > 0; i-- {
-		if c.lists[i].index <= index {
-			return c.lists[i].members
+func (c *membership) membersAt(index uint64) []Member {
+	for i := len(c.history) - 1; i > 0; i-- {
+		if c.history[i].index <= index {
+			return c.history[i].members
 		}
 	}
-	return c.lists[0].members
+	return c.history[0].members
 }
 
-func (c *membership) voter(id ID) bool {
+func (c *membership) isVoter(id ID) bool {
 	return slices.ContainsFunc(c.members(), func(m Member) bool { return m.ID == id && !m.Learner })
 }
 
-func (c *membership) quorum() int { return len(voters(c.members()))/2 + 1 }
+func (c *membership) quorumSize() int { return len(voterIDs(c.members()))/2 + 1 }
 
-func voters(list []Member) []ID {
+func voterIDs(list []Member) []ID {
 	out := []ID{}
 	for _, m := range list {
 		if !m.Learner {
@@ -70,11 +70,12 @@
 	return out
 }
 
-// quorumValue returns the largest value that a majority of the voters reach.
-func (c *membership) quorumValue(of func(ID) uint64) uint64 {
+// quorumValue returns the largest value that a majority of the voters have
+// reached, zero if there are no voters.
+func (c *membership) quorumValue(valueOf func(ID) uint64) uint64 {
 	values := []uint64{}
-	for _, id := range voters(c.members()) {
-		values = append(values, of(id))
+	for _, id := range voterIDs(c.members()) {
+		values = append(values, valueOf(id))
 	}
 	if len(values) == 0 {
 		return 0
@@ -83,9 +84,9 @@
 	return values[len(values)/2]
 }
 
-// distance is how many voters two lists don't share.
-func distance(a, b []Member) int {
-	va, vb := voters(a), voters(b)
+// voterDifference counts the voters that are in only one of two lists.
+func voterDifference(a, b []Member) int {
+	va, vb := voterIDs(a), voterIDs(b)
 	n := 0
 	for _, id := range va {
 		if !slices.Contains(vb, id) {
@@ -100,25 +101,25 @@
 	return n
 }
 
-// ProposeMembers appends a new member list that differs by at most one voter.
-// Two changes never overlap, and a new leader changes nothing before it has
-// committed an entry of its own term: else two lists could be in force whose
-// majorities don't meet.
+// ProposeMembers appends a new member list that differs by at most one voter
+// and returns its index. A change is rejected with a *ChangeError while the
+// previous one is uncommitted, and until a new leader has committed an entry of
+// its own term: otherwise two lists with disjoint majorities could be in force.
 func (n *Node) ProposeMembers(list []Member) (uint64, error) {
-	if err := n.mayPropose(); err != nil {
+	if err := n.checkCanPropose(); err != nil {
 		return 0, err
 	}
-	if !n.committedInTerm() || n.conf.newest().index > n.log.commit {
+	if !n.committedInTerm() || n.membership.latest().index > n.log.commitIndex {
 		return 0, &ChangeError{Reason: "another membership change or a new leader's first entry is not committed yet", Remedy: "retry after a moment"}
 	}
-	if distance(n.conf.members(), list) > 1 {
+	if voterDifference(n.membership.members(), list) > 1 {
 		return 0, &ChangeError{Reason: "the change adds or removes more than one voter", Remedy: "change one voter at a time"}
 	}
-	if !slices.ContainsFunc(list, func(m Member) bool { return m.ID == n.opt.ID && !m.Learner }) {
+	if !slices.ContainsFunc(list, func(m Member) bool { return m.ID == n.options.ID && !m.Learner }) {
 		return 0, &ChangeError{Reason: "the leader can't remove itself", Remedy: "transfer leadership first"}
 	}
-	index := n.appendOwn(EntryMembers, [][]byte{EncodeMembers(list)})
-	n.syncPeers()
+	index := n.appendEntries(EntryMembers, [][]byte{EncodeMembers(list)})
+	n.updatePeers()
 	n.broadcastAppend()
 	return index, nil
 }
--- a/core/consensus/node.go
+++ b/core/consensus/node.go
@@ -1,110 +1,113 @@
 package consensus
 
-// Options shape a node. All times are ticks.
+// Options configures a node. All times are in ticks.
 type Options struct {
 	ID ID
-	// ElectionTicks is how long a follower that heard from a leader neither
-	// votes nor campaigns; elections start after one to two times as long.
+	// ElectionTicks is how long a follower neither votes nor campaigns after a
+	// message from the leader. Election timeouts are one to two times as long.
 	ElectionTicks uint64
-	// HeartbeatTicks is the pause between heartbeats.
+	// HeartbeatTicks is the interval between heartbeats.
 	HeartbeatTicks uint64
-	// LeaseTicks is how long a leader may answer reads alone after a heartbeat
-	// round that a quorum answered. It must be less than ElectionTicks by the
-	// clocks' drift and two ticks of rounding.
+	// LeaseTicks is how long a leader may answer reads locally after the start
+	// of a heartbeat round that a quorum answered. It must be less than
+	// ElectionTicks by the maximum clock drift and two ticks of rounding.
 	LeaseTicks uint64
-	// ResendTicks is how long unanswered entries wait before they are sent
-	// again.
+	// ResendTicks is the delay before unanswered entries are sent again.
 	ResendTicks uint64
-	// AppendBytes bounds the entries of one message.
+	// AppendBytes limits the entries of one message.
 	AppendBytes int
-	// Inflight is the most unanswered Append messages to one replica.
+	// Inflight limits the unanswered Append messages to one replica.
 	Inflight int
-	// UncommittedBytes bounds what a leader takes before it is committed.
+	// UncommittedBytes is the size of uncommitted entries above which a leader
+	// rejects proposals.
 	UncommittedBytes int
-	// ChunkBytes is a snapshot chunk's size.
+	// ChunkBytes is the size of a snapshot chunk.
 	ChunkBytes uint64
-	// Random returns a number below n.
+	// Random returns a pseudorandom number in [0, n).
 	Random func(n uint64) uint64
 }
 
-// Node is one replica of one group. It is not safe for concurrent use.
+// Node is one replica of a group. It is not safe for concurrent use.
 type Node struct {
-	opt  Options
-	now  uint64
-	hard Hard
-	// handedHard is the hard state as last given out for writing.
-	handedHard Hard
-	log        entryLog
-	conf       membership
+	options Options
+	now     uint64
+	hard    Hard
+	// emittedHard is the hard state last returned for writing.
+	emittedHard Hard
+	log         entryLog
+	membership  membership
 
 	role   Role
 	leader ID
-	// promised is until when this node may not help to replace a leader.
-	promised uint64
-	// deadline is when the next election starts.
-	deadline uint64
-	votes    map[ID]bool
-	preVote  bool
-	// returning is until when a leader that has started again asks for votes
-	// more often.
-	returning uint64
-
-	lead leading
-
-	early    []Message
-	late     []Message
-	reads    []Read
-	install  *Snapshot
-	incoming incoming
+	// noVoteUntil is the tick before which this node must not vote, because a
+	// leader may hold a lease.
+	noVoteUntil uint64
+	// electionDeadline is the tick at which the next election starts.
+	electionDeadline uint64
+	votes            map[ID]bool
+	isPreVote        bool
+	// fastRetryUntil is the tick until which a restarted leader retries its
+	// election at short intervals.
+	fastRetryUntil uint64
+
+	leaderState leaderState
+
+	immediate        []Message
+	afterSync        []Message
+	reads            []Read
+	receivedSnapshot *Snapshot
+	incomingSnapshot incomingSnapshot
 }
 
-// New returns a node that continues from what its disk holds. As it may have
-// promised a leader not to vote just before it stopped, it keeps that promise
-// for a whole election timeout. One that led itself has nothing to keep, and
-// asks for votes at once: nobody else can be elected as early.
+// New returns a node that continues from its state on disk. It withholds its
+// vote for one election timeout, since it may have confirmed a leader's lease
+// just before it stopped. A node that was the last leader itself has confirmed
+// no other lease and campaigns after restartedLeaderRetryTicks: no other node
+// can be elected that early.
 func New(opt Options, saved Saved, now uint64) *Node {
-	n := &Node{opt: opt, now: now, promised: now + opt.ElectionTicks, hard: saved.Hard, handedHard: saved.Hard, log: newLog(saved)}
-	n.conf.reset(saved.Meta)
-	n.conf.take(n.log.entries)
-	// Nobody leads where all begin at once: the first election comes early, and
-	// a leader that lives is heard of before it.
-	n.deadline = now + opt.ElectionTicks + settleTicks + opt.Random(opt.ElectionTicks/firstSpread)
-	if n.ledLast() {
-		n.promised = now
-		n.returning = now + returnSpan*opt.ElectionTicks
-		n.deadline = now + returnTicks
+	n := &Node{options: opt, now: now, noVoteUntil: now + opt.ElectionTicks, hard: saved.Hard, emittedHard: saved.Hard, log: newEntryLog(saved)}
+	n.membership.reset(saved.Meta)
+	n.membership.recordChanges(n.log.entries)
+	// If all nodes start at the same time there is no leader, so the first
+	// election timeout is short. A running leader's heartbeat arrives earlier.
+	n.electionDeadline = now + opt.ElectionTicks + electionMarginTicks + opt.Random(opt.ElectionTicks/firstElectionJitterDivisor)
+	if n.wasLastLeader() {
+		n.noVoteUntil = now
+		n.fastRetryUntil = now + fastRetryElectionTimeouts*opt.ElectionTicks
+		n.electionDeadline = now + restartedLeaderRetryTicks
 	}
 	return n
 }
 
-// ledLast tells whether this node was the last leader that it knows of.
-func (n *Node) ledLast() bool { return n.hard.Leader != 0 && n.hard.Leader == n.opt.ID }
+// wasLastLeader reports whether this node was the last leader it knows of.
+func (n *Node) wasLastLeader() bool { return n.hard.Leader != 0 && n.hard.Leader == n.options.ID }
 
 const (
-	// returnTicks is the pause between the requests for votes of a leader that
-	// has started again: the others may be starting, too.
-	returnTicks = 2
-	// returnSpan is for how many election timeouts it asks that often: machines
-	// that lost power together come back within about a second.
-	returnSpan = 3
+	// restartedLeaderRetryTicks is the interval between the vote requests of a
+	// restarted leader; the other nodes may still be starting.
+	restartedLeaderRetryTicks = 2
+	// fastRetryElectionTimeouts is the duration of these retries in election
+	// timeouts. Machines that lost power together restart within about a second.
+	fastRetryElectionTimeouts = 3
 )
 
-// firstSpread divides the spread of the first election after a start.
-const firstSpread = 2
+// firstElectionJitterDivisor reduces the random part of the first election
+// timeout after a start.
+const firstElectionJitterDivisor = 2
 
-// settleTicks is added to each election timeout, so that the others' promises
-// to the lost leader have ended when they are asked.
-const settleTicks = 2
+// electionMarginTicks is added to each election timeout, so that the other
+// nodes may vote again when they receive the vote request.
+const electionMarginTicks = 2
 
-func (n *Node) resetDeadline() {
-	n.deadline = n.now + n.opt.ElectionTicks + settleTicks + n.opt.Random(n.opt.ElectionTicks)
-	if n.now < n.returning && n.ledLast() {
-		n.deadline = n.now + returnTicks
+func (n *Node) resetElectionDeadline() {
+	n.electionDeadline = n.now + n.options.ElectionTicks + electionMarginTicks + n.options.Random(n.options.ElectionTicks)
+	if n.now < n.fastRetryUntil && n.wasLastLeader() {
+		n.electionDeadline = n.now + restartedLeaderRetryTicks
 	}
 }
 
-// Advance tells the time in ticks of a monotonic clock. It must be called with
-// the present time before each batch of other calls.
+// Advance sets the time in ticks of a monotonic clock. It must be called with
+// the current time before each batch of other calls.
 func (n *Node) Advance(now uint64) {
 	if now <= n.now {
 		return
@@ -114,42 +117,42 @@
 		n.tickLeader()
 		return
 	}
-	if n.now >= n.deadline {
+	if n.now >= n.electionDeadline {
 		n.campaign(false)
 	}
 }
 
 func (n *Node) send(m Message) {
-	m.From = n.opt.ID
+	m.From = n.options.ID
 	if m.Term == 0 {
 		m.Term = n.hard.Term
 	}
 	if m.Kind == Append || m.Kind == Heartbeat || m.Kind == InstallChunk {
-		n.early = append(n.early, m)
+		n.immediate = append(n.immediate, m)
 		return
 	}
-	n.late = append(n.late, m)
+	n.afterSync = append(n.afterSync, m)
 }
 
-// Step takes a message.
+// Step processes a message from another node.
 func (n *Node) Step(m Message) {
-	if m.To != n.opt.ID || m.From == n.opt.ID {
+	if m.To != n.options.ID || m.From == n.options.ID {
 		return
 	}
-	if m.Term > n.hard.Term && !n.higherTerm(m) {
+	if m.Term > n.hard.Term && !n.handleHigherTerm(m) {
 		return
 	}
 	if m.Term < n.hard.Term {
-		n.lowerTerm(m)
+		n.rejectLowerTerm(m)
 		return
 	}
 	switch m.Kind {
 	case PreVote, Vote:
-		n.onVote(m)
+		n.handleVoteRequest(m)
 	case PreVoteReply, VoteReply:
-		n.onVoteReply(m)
+		n.handleVoteReply(m)
 	case Append, Heartbeat, InstallChunk:
-		n.onLeader(m)
+		n.handleLeaderMessage(m)
 	case TimeoutNow:
 		if n.role == Follower {
 			n.campaign(true)
@@ -158,35 +161,35 @@
 		n.reads = append(n.reads, Read{ID: m.Sequence, Index: m.Index})
 	default:
 		if n.role == Leader {
-			n.onFollower(m)
+			n.handleFollowerMessage(m)
 		}
 	}
 }
 
-// higherTerm follows a newer term; it returns false where the message is done
-// with.
-func (n *Node) higherTerm(m Message) bool {
-	n.release(m)
+// handleHigherTerm moves to a newer term where the message requires it. It
+// returns false if the message needs no further processing.
+func (n *Node) handleHigherTerm(m Message) bool {
+	n.liftVoteRestriction(m)
 	switch m.Kind {
 	case PreVote:
-		n.onVote(m)
+		n.handleVoteRequest(m)
 		return false
 	case PreVoteReply:
 		if !m.Reject {
-			n.onVoteReply(m)
+			n.handleVoteReply(m)
 			return false
 		}
 	case Vote:
-		if n.bound() && !m.Force {
+		if n.mustNotVote() && !m.Force {
 			return false
 		}
 	}
-	n.follow(m.Term, 0)
+	n.becomeFollower(m.Term, 0)
 	return true
 }
 
-// lowerTerm tells an old leader or candidate of the newer term.
-func (n *Node) lowerTerm(m Message) {
+// rejectLowerTerm informs a stale leader or candidate of the newer term.
+func (n *Node) rejectLowerTerm(m Message) {
 	switch m.Kind {
 	case Append, Heartbeat, InstallChunk:
 		n.send(Message{Kind: AppendReply, To: m.From, Reject: true})
@@ -197,7 +200,7 @@
 	}
 }
 
-func (n *Node) follow(term uint64, leader ID) {
+func (n *Node) becomeFollower(term uint64, leader ID) {
 	if term > n.hard.Term {
 		n.hard = Hard{Term: term}
 	}
@@ -207,31 +210,32 @@
 	n.role = Follower
 	n.leader = leader
 	n.votes = nil
-	n.lead = leading{}
-	n.resetDeadline()
+	n.leaderState = leaderState{}
+	n.resetElectionDeadline()
 }
 
-// onLeader takes what only the leader of the present term sends.
-func (n *Node) onLeader(m Message) {
+// handleLeaderMessage processes a message that only the leader of the current
+// term sends.
+func (n *Node) handleLeaderMessage(m Message) {
 	if n.role != Follower || n.leader != m.From {
-		n.follow(m.Term, m.From)
+		n.becomeFollower(m.Term, m.From)
 	}
-	n.promised = n.now + n.opt.ElectionTicks
-	n.resetDeadline()
+	n.noVoteUntil = n.now + n.options.ElectionTicks
+	n.resetElectionDeadline()
 	switch m.Kind {
 	case Append:
-		n.onAppend(m)
+		n.handleAppend(m)
 	case Heartbeat:
-		n.commitTo(min(m.Commit, n.log.last()))
-		n.send(Message{Kind: HeartbeatReply, To: m.From, Sequence: m.Sequence, Index: n.log.last()})
+		n.advanceCommitTo(min(m.Commit, n.log.lastIndex()))
+		n.send(Message{Kind: HeartbeatReply, To: m.From, Sequence: m.Sequence, Index: n.log.lastIndex()})
 	case InstallChunk:
-		n.onChunk(m)
+		n.handleChunk(m)
 	}
 }
 
-func (n *Node) onAppend(m Message) {
-	if m.Index < n.log.commit {
-		n.send(Message{Kind: AppendReply, To: m.From, Index: n.log.commit})
+func (n *Node) handleAppend(m Message) {
+	if m.Index < n.log.commitIndex {
+		n.send(Message{Kind: AppendReply, To: m.From, Index: n.log.commitIndex})
 		return
 	}
 	if !n.log.matches(m.Index, m.LogTerm) {
@@ -239,81 +243,83 @@
 		return
 	}
 	if first := n.log.merge(m.Entries); first > 0 {
-		n.conf.cut(first)
-		n.conf.take(n.log.slice(first, n.log.last(), int(^uint(0)>>1)))
+		n.membership.truncate(first)
+		n.membership.recordChanges(n.log.slice(first, n.log.lastIndex(), int(^uint(0)>>1)))
 	}
 	matched := m.Index + uint64(len(m.Entries))
-	n.commitTo(min(m.Commit, matched))
+	n.advanceCommitTo(min(m.Commit, matched))
 	n.send(Message{Kind: AppendReply, To: m.From, Index: matched})
 }
 
-func (n *Node) commitTo(index uint64) {
-	if index > n.log.commit {
-		n.log.commit = index
+func (n *Node) advanceCommitTo(index uint64) {
+	if index > n.log.commitIndex {
+		n.log.commitIndex = index
 	}
 }
 
-// Pending tells whether Effects would return something.
+// Pending reports whether Effects would return anything.
 func (n *Node) Pending() bool {
-	return len(n.early)+len(n.late)+len(n.reads) > 0 || n.install != nil ||
-		n.hard != n.handedHard || n.log.handed < n.log.last() || n.applicable() > n.log.applied
+	return len(n.immediate)+len(n.afterSync)+len(n.reads) > 0 || n.receivedSnapshot != nil ||
+		n.hard != n.emittedHard || n.log.emitted < n.log.lastIndex() || n.applicableIndex() > n.log.appliedIndex
 }
 
-func (n *Node) applicable() uint64 { return min(n.log.commit, n.log.persisted) }
+func (n *Node) applicableIndex() uint64 { return min(n.log.commitIndex, n.log.persisted) }
 
-// applyBytes bounds what one Effects gives to apply.
-const applyBytes = 4 << 20
+// maxApplyBytes limits the committed entries in one Effects.
+const maxApplyBytes = 4 << 20
 
-// Effects returns what is to be done. Persisted must be called after it and
-// before any other call.
+// Effects returns the work that is due. The caller must carry it out and call
+// Persisted before any other method.
 func (n *Node) Effects() Effects {
-	e := Effects{Early: n.early, Late: n.late, Reads: n.reads, Snapshot: n.install}
-	n.early, n.late, n.reads, n.install = nil, nil, nil, nil
-	if n.hard != n.handedHard {
+	e := Effects{Early: n.immediate, Late: n.afterSync, Reads: n.reads, Snapshot: n.receivedSnapshot}
+	n.immediate, n.afterSync, n.reads, n.receivedSnapshot = nil, nil, nil, nil
+	if n.hard != n.emittedHard {
 		h := n.hard
 		e.Hard = &h
-		n.handedHard = h
-		// A leader whose own vote is not on disk might be a leader of the same
-		// term again after a crash: nothing leaves before the vote is synced.
+		n.emittedHard = h
+		// A leader that crashes before its own vote is on disk could vote again
+		// in the same term, so no message leaves before the vote is synced.
 		e.Late = append(e.Early, e.Late...)
 		e.Early = nil
 	}
-	e.Entries = n.log.slice(n.log.handed+1, n.log.last(), int(^uint(0)>>1))
-	n.log.handed = n.log.last()
-	e.Committed = n.log.slice(n.log.applied+1, n.applicable(), applyBytes)
-	n.log.applied += uint64(len(e.Committed))
+	e.Entries = n.log.slice(n.log.emitted+1, n.log.lastIndex(), int(^uint(0)>>1))
+	n.log.emitted = n.log.lastIndex()
+	e.Committed = n.log.slice(n.log.appliedIndex+1, n.applicableIndex(), maxApplyBytes)
+	n.log.appliedIndex += uint64(len(e.Committed))
 	return e
 }
 
-// Persisted says that all that Effects asked for is synced.
+// Persisted records that all writes returned by Effects are synced.
 func (n *Node) Persisted() {
-	n.log.persisted = n.log.handed
+	n.log.persisted = n.log.emitted
 	if n.role == Leader {
 		n.advanceCommit()
 	}
 }
 
-// Compact says that a snapshot is on disk; the log keeps a tail of entries for
-// replicas that lag a little.
+// Compact records that a snapshot is on disk and discards the entries that it
+// covers, except for the last tail entries, which serve replicas that lag
+// slightly.
 func (n *Node) Compact(m Meta, tail uint64) {
-	if m.Index <= n.log.base.Index || m.Index > n.log.applied {
+	if m.Index <= n.log.snapshot.Index || m.Index > n.log.appliedIndex {
 		return
 	}
-	n.log.base = m
+	n.log.snapshot = m
 	if m.Index > tail {
 		n.log.compact(m.Index - tail)
 	}
 }
 
-// PeerStatus is a leader's knowledge of another replica.
+// PeerStatus is a leader's replication progress for another replica.
 type PeerStatus struct {
 	Member Member
-	Match  uint64
-	// Heard is how many ticks ago it last answered.
+	// Match is the last index known to be replicated to the peer.
+	Match uint64
+	// Heard is the number of ticks since its last reply.
 	Heard uint64
 }
 
-// Status is a node's position.
+// Status describes a node's role, its log and its group.
 type Status struct {
 	ID      ID
 	Role    Role
@@ -324,40 +330,41 @@
 	Applied uint64
 	Base    Meta
 	Members []Member
-	// Peers is filled on a leader only.
+	// Peers is set on a leader only.
 	Peers []PeerStatus
 }
 
-// Status returns the node's position.
+// Status returns a copy of the node's status. The caller must not change
+// Members.
 func (n *Node) Status() Status {
 	s := Status{
-		ID: n.opt.ID, Role: n.role, Term: n.hard.Term, Leader: n.leader, Last: n.log.last(),
-		Commit: n.log.commit, Applied: n.log.applied, Base: n.log.base, Members: n.conf.members(),
+		ID: n.options.ID, Role: n.role, Term: n.hard.Term, Leader: n.leader, Last: n.log.lastIndex(),
+		Commit: n.log.commitIndex, Applied: n.log.appliedIndex, Base: n.log.snapshot, Members: n.membership.members(),
 	}
 	for _, m := range s.Members {
-		if p := n.lead.peers[m.ID]; p != nil {
-			s.Peers = append(s.Peers, PeerStatus{Member: m, Match: p.match, Heard: n.now - p.heard})
+		if p := n.leaderState.peers[m.ID]; p != nil {
+			s.Peers = append(s.Peers, PeerStatus{Member: m, Match: p.matchIndex, Heard: n.now - p.lastReplyAt})
 		}
 	}
 	return s
 }
 
-// Position returns the role, the term and the leader, zero where none is known.
+// Position returns the role, the term and the leader, zero if none is known.
 func (n *Node) Position() (role Role, term uint64, leader ID) {
 	return n.role, n.hard.Term, n.leader
 }
 
 // Commit returns the commit index.
-func (n *Node) Commit() uint64 { return n.log.commit }
+func (n *Node) Commit() uint64 { return n.log.commitIndex }
 
-// Members returns the members, which the caller must not change.
-func (n *Node) Members() []Member { return n.conf.members() }
+// Members returns the newest member list, which the caller must not change.
+func (n *Node) Members() []Member { return n.membership.members() }
 
 // Base returns the index of the newest snapshot.
-func (n *Node) Base() uint64 { return n.log.base.Index }
+func (n *Node) Base() uint64 { return n.log.snapshot.Index }
 
-// Term returns the term of an entry that is in the log.
+// Term returns the term of an entry, and false if it is not in the log.
 func (n *Node) Term(index uint64) (uint64, bool) { return n.log.term(index) }
 
-// MembersAt returns the members as of an applied index.
-func (n *Node) MembersAt(index uint64) []Member { return n.conf.at(index) }
+// MembersAt returns the member list in force at an applied index.
+func (n *Node) MembersAt(index uint64) []Member { return n.membership.membersAt(index) }
--- a/core/consensus/node_test.go
+++ b/core/consensus/node_test.go
@@ -14,10 +14,12 @@
 	return New(opt, Saved{Hard: Hard{Term: 1}, Meta: Meta{Index: 1, Term: 1, Members: members}}, 0)
 }
 
-func three() []Member { return []Member{{ID: 1, Name: "a"}, {ID: 2, Name: "b"}, {ID: 3, Name: "c"}} }
+func threeVoters() []Member {
+	return []Member{{ID: 1, Name: "a"}, {ID: 2, Name: "b"}, {ID: 3, Name: "c"}}
+}
 
-// drain carries out effects and returns all messages.
-func drain(n *Node) []Message {
+// drainMessages processes all effects and returns the messages.
+func drainMessages(n *Node) []Message {
 	out := []Message{}
 	for n.Pending() {
 		e := n.Effects()
@@ -27,29 +29,29 @@
 	return out
 }
 
-// elect makes node 1 the leader by the votes of node 2.
-func elect(t *testing.T, n *Node) {
+// electLeader makes node 1 the leader with the vote of node 2.
+func electLeader(t *testing.T, n *Node) {
 	t.Helper()
 	n.Advance(100)
-	drain(n)
+	drainMessages(n)
 	n.Step(Message{Kind: PreVoteReply, From: 2, To: 1, Term: n.hard.Term + 1})
-	drain(n)
+	drainMessages(n)
 	n.Step(Message{Kind: VoteReply, From: 2, To: 1, Term: n.hard.Term})
-	drain(n)
+	drainMessages(n)
 	require.Equal(t, Leader, n.role)
 }
 
-func TestPreVoteRaisesNoTerm(t *testing.T) {
-	n := testNode(1, three()...)
+func TestPreVoteDoesNotRaiseTerm(t *testing.T) {
+	n := testNode(1, threeVoters()...)
 	for now := uint64(50); now < 500; now += 50 {
 		n.Advance(now)
-		drain(n)
+		drainMessages(n)
 	}
 	require.Equal(t, uint64(1), n.hard.Term)
 }
 
-func TestVoteLeavesOnlyAfterItIsWritten(t *testing.T) {
-	n := testNode(1, three()...)
+func TestVoteIsSentOnlyAfterSync(t *testing.T) {
+	n := testNode(1, threeVoters()...)
 	n.Advance(13)
 	n.Step(Message{Kind: Vote, From: 2, To: 1, Term: 5, Index: 1, LogTerm: 1})
 	e := n.Effects()
@@ -58,48 +60,48 @@
 	require.Len(t, e.Late, 1)
 }
 
-func TestVotesOnceATerm(t *testing.T) {
-	n := testNode(1, three()...)
+func TestVotesOncePerTerm(t *testing.T) {
+	n := testNode(1, threeVoters()...)
 	n.Advance(13)
 	n.Step(Message{Kind: Vote, From: 2, To: 1, Term: 5, Index: 1, LogTerm: 1})
 	n.Step(Message{Kind: Vote, From: 3, To: 1, Term: 5, Index: 1, LogTerm: 1})
-	replies := drain(n)
+	replies := drainMessages(n)
 	require.Len(t, replies, 2)
 	require.False(t, replies[0].Reject)
 	require.True(t, replies[1].Reject)
 }
 
-func TestRestartedReplicaKeepsItsPromise(t *testing.T) {
-	n := testNode(1, three()...)
+func TestRestartedReplicaWithholdsVoteForElectionTimeout(t *testing.T) {
+	n := testNode(1, threeVoters()...)
 	n.Advance(11)
 	n.Step(Message{Kind: Vote, From: 2, To: 1, Term: 5, Index: 1, LogTerm: 1})
-	require.Empty(t, drain(n))
+	require.Empty(t, drainMessages(n))
 	n.Advance(12)
 	n.Step(Message{Kind: Vote, From: 2, To: 1, Term: 5, Index: 1, LogTerm: 1})
-	require.Len(t, drain(n), 1)
+	require.Len(t, drainMessages(n), 1)
 }
 
-// led returns a node that starts again and last heard of a leader.
-func led(id, leader ID) *Node {
-	n := testNode(id, three()...)
+// newRestartedNode returns a node that restarts with a persisted leader.
+func newRestartedNode(id, leader ID) *Node {
+	n := testNode(id, threeVoters()...)
 	n.hard.Leader = leader
-	return New(n.opt, Saved{Hard: n.hard, Meta: Meta{Index: 1, Term: 1, Members: three()}}, 0)
+	return New(n.options, Saved{Hard: n.hard, Meta: Meta{Index: 1, Term: 1, Members: threeVoters()}}, 0)
 }
 
-// TestAllStartAgainAndTheLeaderReturnsAtOnce stops all replicas at the same
-// moment: nobody waits for the lease of a leader that asks for votes itself.
-func TestAllStartAgainAndTheLeaderReturnsAtOnce(t *testing.T) {
-	nodes := map[ID]*Node{1: led(1, 1), 2: led(2, 1), 3: led(3, 1)}
-	const most = 5 // ticks: two pauses between its requests, and the way to the others
-	for now := uint64(1); now <= most; now++ {
+// All replicas restart at the same time. The others must not wait for the lease
+// of the last leader when that leader itself requests votes.
+func TestLastLeaderIsReelectedQuicklyAfterFullRestart(t *testing.T) {
+	nodes := map[ID]*Node{1: newRestartedNode(1, 1), 2: newRestartedNode(2, 1), 3: newRestartedNode(3, 1)}
+	const maxTicks = 5 // two retry intervals and the message delay
+	for now := uint64(1); now <= maxTicks; now++ {
 		for _, n := range nodes {
 			n.Advance(now)
 		}
-		for moved := true; moved; {
-			moved = false
+		for delivered := true; delivered; {
+			delivered = false
 			for _, n := range nodes {
-				for _, m := range drain(n) {
-					moved = true
+				for _, m := range drainMessages(n) {
+					delivered = true
 					nodes[m.To].Step(m)
 				}
 			}
@@ -110,41 +112,41 @@
 	require.Equal(t, ID(1), nodes[3].hard.Leader)
 }
 
-func TestPromiseHoldsAgainstOthersThanTheLeaderItself(t *testing.T) {
-	n := led(1, 2)
+func TestVoteIsWithheldFromAllButFormerLeader(t *testing.T) {
+	n := newRestartedNode(1, 2)
 	n.Advance(3)
 	n.Step(Message{Kind: PreVote, From: 3, To: 1, Term: 2, Index: 1, LogTerm: 1})
 	n.Step(Message{Kind: Vote, From: 3, To: 1, Term: 2, Index: 1, LogTerm: 1})
-	require.Empty(t, drain(n), "the leader may be alive and hold a lease")
+	require.Empty(t, drainMessages(n), "the former leader may still hold a lease")
 	n.Step(Message{Kind: Vote, From: 2, To: 1, Term: 2, Index: 1, LogTerm: 1})
-	replies := drain(n)
+	replies := drainMessages(n)
 	require.Len(t, replies, 1)
 	require.False(t, replies[0].Reject)
 
-	n = led(1, 2)
+	n = newRestartedNode(1, 2)
 	n.Step(Message{Kind: Heartbeat, From: 2, To: 1, Term: 1})
-	drain(n)
+	drainMessages(n)
 	n.Step(Message{Kind: PreVote, From: 2, To: 1, Term: 2, Index: 1, LogTerm: 1})
-	require.Len(t, drain(n), 1, "it stepped down or started again since")
+	require.Len(t, drainMessages(n), 1, "the leader stepped down or restarted")
 }
 
-// TestReturningLeaderDoesNotDisturbItsSuccessor has it come back after another
-// was elected.
-func TestReturningLeaderDoesNotDisturbItsSuccessor(t *testing.T) {
-	n := led(2, 1)
+// The former leader restarts after another node was elected.
+func TestRestartedLeaderDoesNotDisruptSuccessor(t *testing.T) {
+	n := newRestartedNode(2, 1)
 	n.Step(Message{Kind: Heartbeat, From: 3, To: 2, Term: 2})
-	drain(n)
+	drainMessages(n)
 	n.Step(Message{Kind: PreVote, From: 1, To: 2, Term: 2, Index: 1, LogTerm: 1})
 	n.Step(Message{Kind: Vote, From: 1, To: 2, Term: 3, Index: 1, LogTerm: 1})
-	drain(n)
+	drainMessages(n)
 	require.Equal(t, Follower, n.role)
 	require.Equal(t, ID(3), n.leader)
 	require.Equal(t, uint64(2), n.hard.Term)
 }
 
-// TestLeaderIsOnDiskBeforeItsLeaseIsConfirmed: what a restart must know.
-func TestLeaderIsOnDiskBeforeItsLeaseIsConfirmed(t *testing.T) {
-	n := testNode(1, three()...)
+// A restarted node must know whose lease it has confirmed, so the leader is
+// synced before the heartbeat reply leaves.
+func TestLeaderIsPersistedBeforeHeartbeatReply(t *testing.T) {
+	n := testNode(1, threeVoters()...)
 	n.Step(Message{Kind: Heartbeat, From: 2, To: 1, Term: 1, Sequence: 4})
 	e := n.Effects()
 	require.Equal(t, &Hard{Term: 1, Leader: 2}, e.Hard)
@@ -152,7 +154,7 @@
 	require.Len(t, e.Late, 1)
 }
 
-func TestHardStateOfTheVersionBeforeIsRead(t *testing.T) {
+func TestDecodesHardStateWithoutLeader(t *testing.T) {
 	data := EncodeHard(Hard{Term: 7, Vote: 3, Leader: 2})
 	h, err := DecodeHard(data)
 	require.NoError(t, err)
@@ -162,24 +164,24 @@
 	require.Equal(t, Hard{Term: 7, Vote: 3}, h)
 }
 
-func TestLeaseEndsBeforeAnotherLeaderCanBe(t *testing.T) {
-	n := testNode(1, three()...)
-	elect(t, n)
+func TestLeaseExpiresBeforeNextElection(t *testing.T) {
+	n := testNode(1, threeVoters()...)
+	electLeader(t, n)
 	n.Step(Message{Kind: AppendReply, From: 2, To: 1, Term: 2, Index: 2})
 	n.Step(Message{Kind: HeartbeatReply, From: 2, To: 1, Term: 2, Sequence: 1})
-	drain(n)
+	drainMessages(n)
 	require.True(t, n.Leased())
 	n.Advance(108)
 	require.True(t, n.Leased())
 	n.Advance(109)
 	require.False(t, n.Leased())
 	n.Advance(112)
-	require.Equal(t, Follower, n.role, "check-quorum")
+	require.Equal(t, Follower, n.role, "a leader without a quorum must step down")
 }
 
-func TestTransferEndsTheLeaseForTheTerm(t *testing.T) {
-	n := testNode(1, three()...)
-	elect(t, n)
+func TestTransferDisablesLeaseForTerm(t *testing.T) {
+	n := testNode(1, threeVoters()...)
+	electLeader(t, n)
 	n.Step(Message{Kind: AppendReply, From: 2, To: 1, Term: 2, Index: 2})
 	n.Step(Message{Kind: HeartbeatReply, From: 2, To: 1, Term: 2, Sequence: 1})
 	require.NoError(t, n.Transfer(2))
@@ -190,60 +192,60 @@
 }
 
 func TestMembershipChangesOneVoterAtATime(t *testing.T) {
-	n := testNode(1, three()...)
-	elect(t, n)
+	n := testNode(1, threeVoters()...)
+	electLeader(t, n)
 	change := (*ChangeError)(nil)
-	_, err := n.ProposeMembers(three()[:2])
-	require.ErrorAs(t, err, &change, "the term's first entry is not committed")
+	_, err := n.ProposeMembers(threeVoters()[:2])
+	require.ErrorAs(t, err, &change, "the first entry of the term is not committed")
 	n.Step(Message{Kind: AppendReply, From: 2, To: 1, Term: 2, Index: 2})
-	drain(n)
-	_, err = n.ProposeMembers(three()[:1])
-	require.ErrorAs(t, err, &change, "two voters")
-	_, err = n.ProposeMembers(three()[1:])
-	require.ErrorAs(t, err, &change, "the leader itself")
-	_, err = n.ProposeMembers(three()[:2])
+	drainMessages(n)
+	_, err = n.ProposeMembers(threeVoters()[:1])
+	require.ErrorAs(t, err, &change, "the change removes two voters")
+	_, err = n.ProposeMembers(threeVoters()[1:])
+	require.ErrorAs(t, err, &change, "the change removes the leader")
+	_, err = n.ProposeMembers(threeVoters()[:2])
 	require.NoError(t, err)
-	_, err = n.ProposeMembers(three())
-	require.ErrorAs(t, err, &change, "the change before is not committed")
+	_, err = n.ProposeMembers(threeVoters())
+	require.ErrorAs(t, err, &change, "the previous change is not committed")
 }
 
-func TestLearnerNeitherVotesNorCounts(t *testing.T) {
+func TestLearnerIsNotInQuorum(t *testing.T) {
 	learner := Member{ID: 2, Name: "b", Learner: true}
 	n := testNode(2, Member{ID: 1, Name: "a"}, learner)
 	n.Advance(500)
-	require.Empty(t, drain(n))
+	require.Empty(t, drainMessages(n))
 	lead := testNode(1, Member{ID: 1, Name: "a"}, learner)
 	lead.Advance(500)
-	drain(lead)
+	drainMessages(lead)
 	require.Equal(t, Leader, lead.role)
-	require.Equal(t, uint64(2), lead.log.commit)
+	require.Equal(t, uint64(2), lead.log.commitIndex)
 }
 
-func TestFlowControlRefusesAndResumes(t *testing.T) {
-	n := testNode(1, three()...)
-	elect(t, n)
+func TestUncommittedBytesLimitRejectsAndRecovers(t *testing.T) {
+	n := testNode(1, threeVoters()...)
+	electLeader(t, n)
 	_, _, err := n.Propose([][]byte{make([]byte, 101)})
 	require.NoError(t, err)
 	busy := (*BusyError)(nil)
 	_, _, err = n.Propose([][]byte{[]byte("x")})
 	require.ErrorAs(t, err, &busy)
 	n.Step(Message{Kind: AppendReply, From: 2, To: 1, Term: 2, Index: 2})
-	drain(n)
+	drainMessages(n)
 	n.Step(Message{Kind: AppendReply, From: 2, To: 1, Term: 2, Index: 3})
-	drain(n)
+	drainMessages(n)
 	_, _, err = n.Propose([][]byte{[]byte("x")})
 	require.NoError(t, err)
 }
 
-func TestOldTermIsNotCommittedByCounting(t *testing.T) {
-	n := testNode(1, three()...)
+func TestEarlierTermIsNotCommittedByCountingReplicas(t *testing.T) {
+	n := testNode(1, threeVoters()...)
 	n.log.entries = []Entry{{Term: 1, Index: 2}}
-	n.log.handed, n.log.persisted = 2, 2
-	elect(t, n)
+	n.log.emitted, n.log.persisted = 2, 2
+	electLeader(t, n)
 	n.Step(Message{Kind: AppendReply, From: 2, To: 1, Term: 2, Index: 2})
-	drain(n)
-	require.Equal(t, uint64(1), n.log.commit)
+	drainMessages(n)
+	require.Equal(t, uint64(1), n.log.commitIndex)
 	n.Step(Message{Kind: AppendReply, From: 2, To: 1, Term: 2, Index: 3})
-	drain(n)
-	require.Equal(t, uint64(3), n.log.commit)
+	drainMessages(n)
+	require.Equal(t, uint64(3), n.log.commitIndex)
 }
--- a/core/consensus/replicate.go
+++ b/core/consensus/replicate.go
@@ -1,82 +1,83 @@
 package consensus
 
 func (n *Node) broadcastAppend() {
-	n.eachPeer(n.sendAppends)
+	n.forEachPeer(n.sendAppends)
 }
 
-// sendAppends sends what the replica lacks, as far as the window allows.
+// sendAppends sends the entries that a replica lacks, up to the limit of
+// unanswered messages.
 func (n *Node) sendAppends(to ID, p *peer) {
-	for !p.paused && p.state != installing && len(p.inflight) < n.opt.Inflight && p.next <= n.log.last() {
+	for !p.isPaused && p.state != installing && len(p.inflight) < n.options.Inflight && p.nextIndex <= n.log.lastIndex() {
 		n.sendAppend(to, p)
 	}
 }
 
 func (n *Node) sendAppend(to ID, p *peer) {
-	term, ok := n.log.term(p.next - 1)
+	term, ok := n.log.term(p.nextIndex - 1)
 	if !ok {
 		n.startInstall(to, p)
 		return
 	}
-	entries := n.log.slice(p.next, n.log.last(), n.opt.AppendBytes)
-	n.send(Message{Kind: Append, To: to, Index: p.next - 1, LogTerm: term, Commit: n.log.commit, Entries: entries})
+	entries := n.log.slice(p.nextIndex, n.log.lastIndex(), n.options.AppendBytes)
+	n.send(Message{Kind: Append, To: to, Index: p.nextIndex - 1, LogTerm: term, Commit: n.log.commitIndex, Entries: entries})
 	if p.state == probing {
-		p.paused = true
+		p.isPaused = true
 		return
 	}
-	p.next += uint64(len(entries))
-	p.inflight = append(p.inflight, p.next-1)
+	p.nextIndex += uint64(len(entries))
+	p.inflight = append(p.inflight, p.nextIndex-1)
 }
 
-// sendCommit tells a replica that is up to date of a new commit index.
+// sendCommit sends the new commit index to a replica whose log is in sync.
 func (n *Node) sendCommit(to ID, p *peer) {
 	if p.state != streaming {
 		return
 	}
-	term, ok := n.log.term(p.next - 1)
+	term, ok := n.log.term(p.nextIndex - 1)
 	if ok {
-		n.send(Message{Kind: Append, To: to, Index: p.next - 1, LogTerm: term, Commit: n.log.commit})
+		n.send(Message{Kind: Append, To: to, Index: p.nextIndex - 1, LogTerm: term, Commit: n.log.commitIndex})
 	}
 }
 
-func (n *Node) onFollower(m Message) {
-	p := n.lead.peers[m.From]
+func (n *Node) handleFollowerMessage(m Message) {
+	p := n.leaderState.peers[m.From]
 	if p == nil {
 		return
 	}
-	p.heard = n.now
+	p.lastReplyAt = n.now
 	switch m.Kind {
 	case AppendReply:
-		n.onAppendReply(m, p)
+		n.handleAppendReply(m, p)
 	case HeartbeatReply:
-		p.answered = max(p.answered, m.Sequence)
-		n.settleRounds()
+		p.ackedHeartbeat = max(p.ackedHeartbeat, m.Sequence)
+		n.handleHeartbeatAcks()
 		n.resend(m.From, p)
 	case InstallReply:
-		n.onInstallReply(m, p)
+		n.handleInstallReply(m, p)
 	case ReadIndex:
-		n.leaderRead(pendingRead{id: m.Sequence, from: m.From})
+		n.startRead(pendingRead{id: m.Sequence, from: m.From})
 	}
 }
 
-func (n *Node) onAppendReply(m Message, p *peer) {
+func (n *Node) handleAppendReply(m Message, p *peer) {
 	if m.Reject {
-		n.onRefused(m, p)
+		n.handleAppendRejection(m, p)
 		return
 	}
-	p.paused = false
-	if m.Index > p.match {
-		p.match = m.Index
-		p.progressed = n.now
+	p.isPaused = false
+	if m.Index > p.matchIndex {
+		p.matchIndex = m.Index
+		p.lastProgressAt = n.now
 	}
-	if p.state == installing && p.match < p.installMeta.Index {
+	if p.state == installing && p.matchIndex < p.installMeta.Index {
 		return
 	}
 	if p.state != streaming {
 		p.state = streaming
-		p.next = p.match + 1
+		p.nextIndex = p.matchIndex + 1
 		p.inflight = nil
 	}
-	p.next = max(p.next, p.match+1)
+	p.nextIndex = max(p.nextIndex, p.matchIndex+1)
 	for len(p.inflight) > 0 && p.inflight[0] <= m.Index {
 		p.inflight = p.inflight[1:]
 	}
@@ -85,92 +86,93 @@
 	n.sendAppends(m.From, p)
 }
 
-func (n *Node) onRefused(m Message, p *peer) {
-	if p.state == installing || m.Index <= p.match {
+func (n *Node) handleAppendRejection(m Message, p *peer) {
+	if p.state == installing || m.Index <= p.matchIndex {
 		return
 	}
 	p.state = probing
 	p.inflight = nil
-	p.paused = false
-	p.next = max(min(m.Index, m.Hint+1), p.match+1)
+	p.isPaused = false
+	p.nextIndex = max(min(m.Index, m.Hint+1), p.matchIndex+1)
 	n.sendAppends(m.From, p)
 }
 
-// resend goes back to probing where something sent must have been lost.
+// resend returns to probing, or repeats the snapshot chunk, if there has been
+// no progress for ResendTicks: a message must have been lost.
 func (n *Node) resend(to ID, p *peer) {
-	if p.match >= n.log.last() || n.now < p.progressed+n.opt.ResendTicks {
+	if p.matchIndex >= n.log.lastIndex() || n.now < p.lastProgressAt+n.options.ResendTicks {
 		n.sendAppends(to, p)
 		return
 	}
-	p.progressed = n.now
+	p.lastProgressAt = n.now
 	if p.state == installing {
 		n.sendChunk(to, p)
 		return
 	}
 	p.state = probing
 	p.inflight = nil
-	p.paused = false
-	p.next = p.match + 1
+	p.isPaused = false
+	p.nextIndex = p.matchIndex + 1
 	n.sendAppends(to, p)
 }
 
 func (n *Node) startInstall(to ID, p *peer) {
 	p.state = installing
-	p.installMeta = n.log.base
-	p.offset = 0
-	p.progressed = n.now
+	p.installMeta = n.log.snapshot
+	p.installOffset = 0
+	p.lastProgressAt = n.now
 	n.sendChunk(to, p)
 }
 
 func (n *Node) sendChunk(to ID, p *peer) {
-	if p.installMeta.Index != n.log.base.Index {
-		p.installMeta = n.log.base
-		p.offset = 0
+	if p.installMeta.Index != n.log.snapshot.Index {
+		p.installMeta = n.log.snapshot
+		p.installOffset = 0
 	}
-	size := min(n.opt.ChunkBytes, p.installMeta.Size-p.offset)
-	n.send(Message{Kind: InstallChunk, To: to, Chunk: &Chunk{Meta: p.installMeta, Offset: p.offset, Length: size}})
+	size := min(n.options.ChunkBytes, p.installMeta.Size-p.installOffset)
+	n.send(Message{Kind: InstallChunk, To: to, Chunk: &Chunk{Meta: p.installMeta, Offset: p.installOffset, Length: size}})
 }
 
-func (n *Node) onInstallReply(m Message, p *peer) {
-	if p.state != installing || m.Index != p.installMeta.Index || m.Hint > p.installMeta.Size || m.Hint == p.offset {
+func (n *Node) handleInstallReply(m Message, p *peer) {
+	if p.state != installing || m.Index != p.installMeta.Index || m.Hint > p.installMeta.Size || m.Hint == p.installOffset {
 		return
 	}
-	p.offset = m.Hint
-	p.progressed = n.now
+	p.installOffset = m.Hint
+	p.lastProgressAt = n.now
 	n.sendChunk(m.From, p)
 }
 
-// incoming is a snapshot that arrives in chunks.
-type incoming struct {
+// incomingSnapshot is a snapshot that is being received in chunks.
+type incomingSnapshot struct {
 	from ID
 	term uint64
 	meta Meta
 	data []byte
 }
 
-func (n *Node) onChunk(m Message) {
+func (n *Node) handleChunk(m Message) {
 	c := m.Chunk
 	if c == nil || uint64(len(c.Data)) != c.Length {
 		return
 	}
-	if c.Meta.Index <= n.log.commit {
-		n.send(Message{Kind: AppendReply, To: m.From, Index: n.log.commit})
+	if c.Meta.Index <= n.log.commitIndex {
+		n.send(Message{Kind: AppendReply, To: m.From, Index: n.log.commitIndex})
 		return
 	}
-	in := &n.incoming
-	if in.from != m.From || in.term != m.Term || in.meta.Index != c.Meta.Index {
-		*in = incoming{from: m.From, term: m.Term, meta: c.Meta}
+	incoming := &n.incomingSnapshot
+	if incoming.from != m.From || incoming.term != m.Term || incoming.meta.Index != c.Meta.Index {
+		*incoming = incomingSnapshot{from: m.From, term: m.Term, meta: c.Meta}
 	}
-	if c.Offset == uint64(len(in.data)) {
-		in.data = append(in.data, c.Data...)
+	if c.Offset == uint64(len(incoming.data)) {
+		incoming.data = append(incoming.data, c.Data...)
 	}
-	if uint64(len(in.data)) < in.meta.Size {
-		n.send(Message{Kind: InstallReply, To: m.From, Index: in.meta.Index, Hint: uint64(len(in.data))})
+	if uint64(len(incoming.data)) < incoming.meta.Size {
+		n.send(Message{Kind: InstallReply, To: m.From, Index: incoming.meta.Index, Hint: uint64(len(incoming.data))})
 		return
 	}
-	n.install = &Snapshot{Meta: in.meta, Data: in.data}
-	*in = incoming{}
-	n.log.restore(n.install.Meta)
-	n.conf.reset(n.install.Meta)
-	n.send(Message{Kind: AppendReply, To: m.From, Index: n.log.commit})
+	n.receivedSnapshot = &Snapshot{Meta: incoming.meta, Data: incoming.data}
+	*incoming = incomingSnapshot{}
+	n.log.restore(n.receivedSnapshot.Meta)
+	n.membership.reset(n.receivedSnapshot.Meta)
+	n.send(Message{Kind: AppendReply, To: m.From, Index: n.log.commitIndex})
 }
--- a/core/consensus/types.go
+++ b/core/consensus/types.go
@@ -1,41 +1,46 @@
-// Package consensus is the replicated log as a pure state machine.
+// Package consensus implements the replicated log of a control group as a
+// deterministic state machine. internal/replica drives it; internal/wal stores
+// its entries.
 //
-// A Node is driven by ticks of a monotonic clock, by messages and by calls;
-// what it wants done it returns as Effects. It reads no clock and does no I/O.
-// The algorithm is Raft with pre-vote, check-quorum, leader leases, learners,
-// single-server membership changes and leadership transfer.
+// A Node takes ticks of a monotonic clock, messages and calls, and returns the
+// required writes, messages and committed entries as Effects. It reads no clock
+// and does no I/O. The algorithm is Raft with pre-vote, check-quorum, leader
+// leases, learners, single-server membership changes and leadership transfer.
 //
-// Invariants: a node votes once a term; a leader only appends; a committed
-// entry is on a majority of the voters' disks; nothing that promises a write
-// or a vote leaves the node before that write or vote is synced.
+// Invariants: a node votes at most once per term; a leader only appends to its
+// own log; a committed entry is on the disks of a majority of the voters; a
+// message that acknowledges a write or grants a vote leaves the node only after
+// that write or vote is synced.
 package consensus
 
 import "fmt"
 
-// ID identifies one data folder of a replica. A replica whose disk was lost
-// gets a new ID, so votes and acknowledgements of the lost disk never count
-// for the new one. Zero means none.
+// ID identifies one data folder of a replica. A replica that lost its disk
+// gets a new ID, so that votes and acknowledgements from the lost disk never
+// count for the new one. Zero means none.
 type ID uint64
 
-// Member is one replica of a group.
+// Member describes one replica of a group.
 type Member struct {
 	ID      ID     `json:"id"`
 	Name    string `json:"name"`
 	Address string `json:"address"`
-	// Learner receives the log but neither votes nor counts for commits.
+	// Learner marks a member that receives the log but is not counted in
+	// elections or commits.
 	Learner bool `json:"learner,omitempty"`
 }
 
-// EntryKind says what an entry's data holds.
+// EntryKind is the type of an entry's data.
 type EntryKind uint8
 
 // Kinds of entries.
 const (
-	// EntryCommand holds a command of the state machine.
+	// EntryCommand holds a command for the replicated state machine.
 	EntryCommand EntryKind = iota
-	// EntryEmpty is a new leader's first entry.
+	// EntryEmpty is the first entry of a new leader's term and holds no data.
 	EntryEmpty
-	// EntryMembers holds the encoded members from this entry on.
+	// EntryMembers holds the encoded member list that applies from this entry
+	// on.
 	EntryMembers
 )
 
@@ -47,38 +52,39 @@
 	Data  []byte
 }
 
-// Hard is what a node must never forget.
+// Hard is the state that a node must persist before it answers messages
+// (Raft's hard state, without the log).
 type Hard struct {
 	Term uint64
 	Vote ID
-	// Leader is the leader of Term once it was heard of: the one whose lease this
-	// node may have confirmed.
+	// Leader is the leader of Term, zero until it is known. This node may have
+	// confirmed its lease.
 	Leader ID
 }
 
-// Meta describes a snapshot: it holds the state after the entry at Index.
+// Meta describes a snapshot of the state after the entry at Index.
 type Meta struct {
 	Index   uint64
 	Term    uint64
 	Members []Member
-	// Size is the length of the snapshot's data in bytes.
+	// Size is the length of the data in bytes.
 	Size uint64
 }
 
-// Snapshot is a whole snapshot.
+// Snapshot is a complete snapshot with its data.
 type Snapshot struct {
 	Meta Meta
 	Data []byte
 }
 
-// Saved is what the disk gave back at start.
+// Saved is the state read from disk when a node starts.
 type Saved struct {
 	Hard    Hard
 	Meta    Meta
 	Entries []Entry
 }
 
-// MessageKind is a message's purpose.
+// MessageKind is the type of a message.
 type MessageKind uint8
 
 // Kinds of messages.
@@ -98,33 +104,36 @@
 	ReadIndexReply
 )
 
-// Message is what two nodes of a group tell each other.
+// Message is a message between two nodes of a group. Its fields are used
+// depending on Kind.
 type Message struct {
 	Kind MessageKind
 	From ID
 	To   ID
 	Term uint64
-	// Index and LogTerm name the entry before Entries, a candidate's last
-	// entry, or in a reply the last entry that matches.
+	// Index and LogTerm identify the entry before Entries, a candidate's last
+	// entry, or, in a reply, the last matching entry.
 	Index   uint64
 	LogTerm uint64
-	// Commit is the sender's commit index, as far as the receiver has it.
+	// Commit is the sender's commit index, limited to the entries that the
+	// receiver has.
 	Commit uint64
-	// Hint is, in a refused AppendReply, where to try next; in an
-	// InstallReply the next offset wanted.
+	// Hint is the next index to try in a rejecting AppendReply, and the next
+	// offset expected in an InstallReply.
 	Hint   uint64
 	Reject bool
-	// Force marks an election that the leader asked for.
+	// Force marks a vote request of a leadership transfer. It is granted even
+	// while the leader's lease may be valid.
 	Force bool
-	// Sequence numbers heartbeats, and reads of a follower.
+	// Sequence identifies a heartbeat round, or a follower's read.
 	Sequence uint64
 	Entries  []Entry
-	// Chunk is set in InstallChunk only.
+	// Chunk is set in InstallChunk messages only.
 	Chunk *Chunk
 }
 
-// Chunk is a part of a snapshot. A node leaves Data empty; the shell fills it
-// from disk before sending.
+// Chunk is a part of a snapshot. A node leaves Data empty; the caller fills it
+// from disk before it sends the message.
 type Chunk struct {
 	Meta   Meta
 	Offset uint64
@@ -132,37 +141,39 @@
 	Data   []byte
 }
 
-// Read is a confirmed read: the state at Index or later answers it.
+// Read is a confirmed read. Any state at Index or later may answer it.
 type Read struct {
 	ID    uint64
 	Index uint64
 }
 
-// Effects is what the shell must do, in the order of the fields, before it
-// calls Persisted and then anything else.
+// Effects lists what the caller must do, in the order of the fields, before it
+// calls Persisted. No other call to the node may come in between.
 type Effects struct {
-	// Early messages may leave before the writes below.
+	// Early holds messages that may be sent before the writes below.
 	Early []Message
-	// Hard is written where it changed.
+	// Hard is the state to write, nil if it has not changed.
 	Hard *Hard
-	// Snapshot replaces log and state.
+	// Snapshot replaces the log and the applied state.
 	Snapshot *Snapshot
-	// Entries are appended; they replace what the disk has from the first
-	// one's index on.
+	// Entries are appended to the log. They replace all entries on disk from
+	// the index of the first one on.
 	Entries []Entry
-	// Late messages leave only after all of the above is synced.
+	// Late holds messages that must be sent only after all of the above is
+	// synced.
 	Late []Message
-	// Committed entries are applied in order.
+	// Committed entries are applied to the state machine in order.
 	Committed []Entry
-	Reads     []Read
+	// Reads are reads confirmed since the last call.
+	Reads []Read
 }
 
-// Writes tells whether something must be written and synced.
+// Writes reports whether something must be written and synced.
 func (e *Effects) Writes() bool {
 	return e.Hard != nil || e.Snapshot != nil || len(e.Entries) > 0
 }
 
-// Role is a node's part in its term.
+// Role is a node's role in its current term.
 type Role uint8
 
 // Roles.
@@ -172,14 +183,15 @@
 	Leader
 )
 
-// String names the role.
+// String returns the role in lower case.
 func (r Role) String() string {
 	return [...]string{"follower", "candidate", "leader"}[r]
 }
 
-// NotLeaderError says that a call needs the leader. Nothing was appended.
+// NotLeaderError reports that a call must go to the leader. Nothing was
+// appended.
 type NotLeaderError struct {
-	// Leader is zero where none is known.
+	// Leader is zero if none is known.
 	Leader ID
 }
 
@@ -188,8 +200,10 @@
 	return fmt.Sprintf("this replica is not the leader (known leader: %x); ask the leader", uint64(e.Leader))
 }
 
-// BusyError says that too much is uncommitted. Nothing was appended.
+// BusyError reports that the leader's uncommitted entries exceed their limit.
+// Nothing was appended.
 type BusyError struct {
+	// Bytes is the size of the uncommitted entries.
 	Bytes int
 }
 
@@ -198,7 +212,8 @@
 	return fmt.Sprintf("%d bytes wait to be committed; retry after a pause", e.Bytes)
 }
 
-// ChangeError says why a membership change is refused. Nothing was appended.
+// ChangeError reports why a membership change or a leadership transfer was
+// rejected. Nothing was appended.
 type ChangeError struct {
 	Reason string
 	Remedy string
