--- a/core/member/gossip.go
+++ b/core/member/gossip.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// updates chooses what a message carries: this daemon's own state, what the
-// receiver must know of itself, the freshest news, and one random state, which
-// repairs what got lost.
-func (m *Machine) updates(receiver string) []State {
+// selectUpdates chooses the states of a message: this daemon's own, that of the
+// receiver unless it is alive, so that it can refute, the least transmitted
+// updates, and one random state, which repairs losses.
+func (m *Machine) selectUpdates(receiver string) []State {
 	out := []State{m.self}
 	taken := map[string]bool{}
-	add := func(e *entry) {
-		if len(out) < m.opt.Updates && !taken[e.state.Name] {
+	add := func(e *memberRecord) {
+		if len(out) < m.options.Updates && !taken[e.state.Name] {
 			taken[e.state.Name] = true
 			out = append(out, e.state)
 		}
@@ -20,9 +20,9 @@
 	if e, ok := m.known[receiver]; ok && e.state.Status != Alive {
 		add(e)
 	}
-	for _, e := range m.news() {
+	for _, e := range m.pendingUpdates() {
 		add(e)
-		e.spread--
+		e.transmitsLeft--
 	}
 	if len(m.names) > 0 {
 		add(m.known[m.names[m.rng.IntN(len(m.names))]])
@@ -30,31 +30,32 @@
 	return out
 }
 
-// news lists the states to pass on, those told least often first.
-func (m *Machine) news() []*entry {
-	out := []*entry{}
+// pendingUpdates returns the states to send, the least transmitted ones first.
+func (m *Machine) pendingUpdates() []*memberRecord {
+	out := []*memberRecord{}
 	for _, n := range m.names {
-		if e := m.known[n]; e.spread > 0 {
+		if e := m.known[n]; e.transmitsLeft > 0 {
 			out = append(out, e)
 		}
 	}
-	slices.SortStableFunc(out, func(a, b *entry) int { return b.spread - a.spread })
-	return out[:min(len(out), m.opt.Updates-2)]
+	slices.SortStableFunc(out, func(a, b *memberRecord) int { return b.transmitsLeft - a.transmitsLeft })
+	return out[:min(len(out), m.options.Updates-2)]
 }
 
-func (m *Machine) learnAll(now time.Duration, states []State) {
+func (m *Machine) mergeAll(now time.Duration, states []State) {
 	for _, s := range states {
 		if s.Name == m.self.Name {
-			m.learnSelf(s)
+			m.refute(s)
 			continue
 		}
-		m.learn(now, s)
+		m.merge(now, s)
 	}
 }
 
-// learnSelf refutes what others say of this daemon, unless another daemon uses
-// its name.
-func (m *Machine) learnSelf(s State) {
+// refute answers a wrong state of this daemon with a higher incarnation. A
+// state with another peer address is a name conflict: it is reported and not
+// refuted, so that the two daemons do not outbid each other.
+func (m *Machine) refute(s State) {
 	if s.Info.Peers != m.self.Info.Peers {
 		m.changes = append(m.changes, Change{State: s, Conflict: s.Status.Live(), Known: true})
 		return
@@ -64,26 +65,26 @@
 	}
 	stale := s.Incarnation == m.self.Incarnation && s.Status == Alive
 	if s.Incarnation >= m.self.Incarnation && !stale {
-		m.raise(s.Incarnation)
+		m.raiseIncarnation(s.Incarnation)
 	}
 }
 
-// learn takes a state that is newer than the known one.
-func (m *Machine) learn(now time.Duration, s State) {
+// merge stores a state if it is newer than the known one.
+func (m *Machine) merge(now time.Duration, s State) {
 	e, ok := m.known[s.Name]
 	if !ok {
 		m.insert(now, s)
 		return
 	}
-	if s.overrides(e.state) {
+	if s.supersedes(e.state) {
 		if s.Status != e.state.Status || s.Info.Peers != e.state.Info.Peers {
 			m.changes = append(m.changes, Change{State: s, Before: e.state.Status, Known: true})
 		}
 		if s.Status != e.state.Status {
-			e.since = now
+			e.statusSince = now
 		}
 		e.state = s
-		e.spread = Spread(len(m.names) + 1)
+		e.transmitsLeft = Spread(len(m.names) + 1)
 		return
 	}
 	if s.Incarnation == e.state.Incarnation && s.Beat > e.state.Beat {
@@ -97,6 +98,6 @@
 	}
 	i, _ := slices.BinarySearch(m.names, s.Name)
 	m.names = slices.Insert(m.names, i, s.Name)
-	m.known[s.Name] = &entry{state: s, since: now, spread: Spread(len(m.names) + 1)}
+	m.known[s.Name] = &memberRecord{state: s, statusSince: now, transmitsLeft: Spread(len(m.names) + 1)}
 	m.changes = append(m.changes, Change{State: s})
 }
--- a/core/member/machine.go
+++ b/core/member/machine.go
@@ -6,109 +6,116 @@
 	"time"
 )
 
-// entry is a known daemon.
-type entry struct {
+// memberRecord is what this daemon knows of another.
+type memberRecord struct {
 	state State
-	// since is when its status began.
-	since time.Duration
-	// spread is how often its news must still be passed on.
-	spread int
+	// statusSince is when the current status was learned.
+	statusSince time.Duration
+	// transmitsLeft is how often the state must still be sent.
+	transmitsLeft int
 }
 
-// probe is a check of one daemon, first direct, then through others.
+// probe is a check of one daemon, first direct, then through relays.
 type probe struct {
-	target  string
-	waiting int
-	relayed bool
+	target string
+	// outstanding counts the requests without an outcome.
+	outstanding int
+	isIndirect  bool
 }
 
-// walksAfterJoin is how often a daemon reads the list again after joining.
-const walksAfterJoin = 3
+// listingsAfterJoin is how often a daemon reads the member list again after it
+// has joined.
+const listingsAfterJoin = 3
 
-// pending is a request on its way.
-type pending struct {
+// pendingRequest is a request without an outcome.
+type pendingRequest struct {
 	// probe is nil for a join.
-	probe *probe
-	join  bool
+	probe  *probe
+	isJoin bool
 }
 
-// Machine is one daemon's view of the fleet. It isn't safe for concurrent use.
+// Machine holds one daemon's view of the fleet. It is not safe for concurrent
+// use. Times are on a monotonic clock, since any fixed origin.
 type Machine struct {
-	opt   Options
-	rng   *rand.Rand
-	self  State
-	seeds []string
-
-	known map[string]*entry
-	// names are those of known, sorted.
-	names   []string
-	order   []string
-	pending map[uint64]pending
-	nextID  uint64
-	changes []Change
-
-	joined bool
-	// walks is how often the list is still read again after joining, for what
-	// the seed itself didn't know when many daemons start at once.
-	walks      int
-	after      string
-	paging     bool
-	nextRound  time.Duration
-	nextRejoin time.Duration
+	options Options
+	rng     *rand.Rand
+	self    State
+	seeds   []string
+
+	known map[string]*memberRecord
+	// names holds the keys of known, sorted.
+	names      []string
+	probeOrder []string
+	pending    map[uint64]pendingRequest
+	nextID     uint64
+	changes    []Change
+
+	hasJoined bool
+	// listingsLeft is how often the list is still to be read again after
+	// joining. When many daemons start at once, the seed may not know all of
+	// them yet.
+	listingsLeft int
+	pageAfter    string
+	hasNextPage  bool
+	nextProbeAt  time.Duration
+	nextRejoinAt time.Duration
 }
 
-// New returns the machine of a daemon that knows only itself and its seeds'
-// addresses.
+// New returns the machine of a daemon that knows only its own state and the
+// peer addresses of its seeds.
 func New(self State, seeds []string, opt Options, rng *rand.Rand) *Machine {
 	others := slices.DeleteFunc(slices.Clone(seeds), func(a string) bool { return a == self.Info.Peers })
 	return &Machine{
-		opt: opt, rng: rng, self: self, seeds: others, joined: len(others) == 0,
-		walks: walksAfterJoin,
-		known: map[string]*entry{}, pending: map[uint64]pending{},
+		options: opt, rng: rng, self: self, seeds: others, hasJoined: len(others) == 0,
+		listingsLeft: listingsAfterJoin,
+		known:        map[string]*memberRecord{}, pending: map[uint64]pendingRequest{},
 	}
 }
 
 // Self returns the daemon's own state.
 func (m *Machine) Self() State { return m.self }
 
-// Update replaces what the daemon says of itself. Leaving is news for all; the
-// rest spreads with ordinary messages.
+// Update replaces the daemon's own Info. A change of Leaving raises the
+// incarnation, so that all daemons pass it on; other changes spread with the
+// daemon's own messages only.
 func (m *Machine) Update(i Info) {
 	if i == m.self.Info {
 		return
 	}
 	if i.Leaving != m.self.Info.Leaving {
-		m.raise(m.self.Incarnation)
+		m.raiseIncarnation(m.self.Incarnation)
 	}
 	m.self.Beat++
 	m.self.Info = i
 }
 
-// Leave marks the daemon as gone; its last messages tell the others.
+// Leave sets the daemon's own status to Left. Send the requests of Farewell to
+// announce it.
 func (m *Machine) Leave() {
-	m.raise(m.self.Incarnation)
+	m.raiseIncarnation(m.self.Incarnation)
 	m.self.Status = Left
 }
 
-// Farewell returns the last requests of a daemon that left; their replies
-// don't matter.
+// Farewell returns the last requests of a daemon that has left. Their outcomes
+// need not be reported.
 func (m *Machine) Farewell() []Request {
 	out := []Request{}
-	for range m.opt.Relays {
-		if n, ok := m.random(); ok {
-			out = append(out, m.direct(n))
+	for range m.options.Relays {
+		if n, ok := m.nextRandom(); ok {
+			out = append(out, m.newDirectProbe(n))
 		}
 	}
 	return out
 }
 
-// raise takes an incarnation above one.
-func (m *Machine) raise(above uint64) {
+// raiseIncarnation sets an incarnation above both the current and the given
+// one.
+func (m *Machine) raiseIncarnation(above uint64) {
 	m.self.Incarnation = max(m.self.Incarnation, above) + 1
 	m.self.Beat = 0
 }
 
-// Members returns the known daemons by name, without this one.
+// Members returns the known daemons, sorted by name, without this one.
 func (m *Machine) Members() []State {
 	out := make([]State, 0, len(m.names))
 	for _, n := range m.names {
@@ -117,7 +124,7 @@
 	return out
 }
 
-// Find returns a known daemon.
+// Find returns a known daemon's state by name.
 func (m *Machine) Find(name string) (State, bool) {
 	e, ok := m.known[name]
 	if !ok {
@@ -126,74 +133,76 @@
 	return e.state, true
 }
 
-// Changes returns what happened since the last call.
+// Changes returns the events since the last call.
 func (m *Machine) Changes() []Change {
 	out := m.changes
 	m.changes = nil
 	return out
 }
 
-// Tick returns the requests that are due.
+// Tick applies timeouts and returns the requests that are due.
 func (m *Machine) Tick(now time.Duration) []Request {
-	m.expire(now)
+	m.expireStates(now)
 	out := []Request{}
-	if now >= m.nextRound {
-		m.nextRound = now + m.opt.Period
-		out = append(out, m.round()...)
+	if now >= m.nextProbeAt {
+		m.nextProbeAt = now + m.options.Period
+		out = append(out, m.probeRound()...)
 	}
-	if now >= m.nextRejoin {
-		m.nextRejoin = now + m.opt.Rejoin
+	if now >= m.nextRejoinAt {
+		m.nextRejoinAt = now + m.options.Rejoin
 		out = append(out, m.rejoin()...)
 	}
 	return out
 }
 
-// expire declares suspects dead and forgets the dead.
-func (m *Machine) expire(now time.Duration) {
+// expireStates declares suspects dead and removes daemons that have been dead
+// for long.
+func (m *Machine) expireStates(now time.Duration) {
 	for _, n := range slices.Clone(m.names) {
 		e := m.known[n]
-		age := now - e.since
+		age := now - e.statusSince
 		switch {
-		case e.state.Status == Suspect && age >= m.opt.Suspicion:
+		case e.state.Status == Suspect && age >= m.options.Suspicion:
 			s := e.state
 			s.Status = Dead
-			m.learn(now, s)
-		case !e.state.Status.Live() && age >= m.opt.Forget:
-			m.forget(n)
+			m.merge(now, s)
+		case !e.state.Status.Live() && age >= m.options.Forget:
+			m.remove(n)
 		}
 	}
 }
 
-func (m *Machine) forget(name string) {
+func (m *Machine) remove(name string) {
 	delete(m.known, name)
 	i, _ := slices.BinarySearch(m.names, name)
 	m.names = slices.Delete(m.names, i, i+1)
 }
 
-// round probes the next daemon on the ring of names, so that each death is
-// noticed within one period, and a random one, so that any broken link is.
-func (m *Machine) round() []Request {
+// probeRound probes the next daemon on the ring of names, so that each death is
+// noticed within one period, and a random one, so that any broken link is
+// noticed eventually.
+func (m *Machine) probeRound() []Request {
 	out := []Request{}
-	if !m.joined && len(m.seeds) > 0 {
-		out = append(out, m.join(m.seeds[m.rng.IntN(len(m.seeds))], ""))
-	} else if m.paging {
-		m.paging = false
-		if n, ok := m.random(); ok {
-			out = append(out, m.join(m.known[n].state.Info.Peers, m.after))
+	if !m.hasJoined && len(m.seeds) > 0 {
+		out = append(out, m.newJoin(m.seeds[m.rng.IntN(len(m.seeds))], ""))
+	} else if m.hasNextPage {
+		m.hasNextPage = false
+		if n, ok := m.nextRandom(); ok {
+			out = append(out, m.newJoin(m.known[n].state.Info.Peers, m.pageAfter))
 		}
 	}
-	next, ok := m.successor()
+	next, ok := m.nextOnRing()
 	if ok {
-		out = append(out, m.direct(next))
+		out = append(out, m.newDirectProbe(next))
 	}
-	if other, found := m.random(); found && other != next {
-		out = append(out, m.direct(other))
+	if other, found := m.nextRandom(); found && other != next {
+		out = append(out, m.newDirectProbe(other))
 	}
 	return out
 }
 
-// successor is the live daemon whose name follows this one's.
-func (m *Machine) successor() (string, bool) {
+// nextOnRing returns the live daemon whose name follows this one's.
+func (m *Machine) nextOnRing() (string, bool) {
 	start, _ := slices.BinarySearch(m.names, m.self.Name)
 	for i := range m.names {
 		n := m.names[(start+i)%len(m.names)]
@@ -204,76 +213,79 @@
 	return "", false
 }
 
-// random walks through the live daemons in an order shuffled anew each time.
-func (m *Machine) random() (string, bool) {
+// nextRandom visits the live daemons in an order that is shuffled for each
+// pass.
+func (m *Machine) nextRandom() (string, bool) {
 	for range 2 {
-		for len(m.order) > 0 {
-			n := m.order[len(m.order)-1]
-			m.order = m.order[:len(m.order)-1]
+		for len(m.probeOrder) > 0 {
+			n := m.probeOrder[len(m.probeOrder)-1]
+			m.probeOrder = m.probeOrder[:len(m.probeOrder)-1]
 			if e, ok := m.known[n]; ok && e.state.Status.Live() {
 				return n, true
 			}
 		}
-		m.order = slices.Clone(m.names)
-		m.rng.Shuffle(len(m.order), func(i, j int) { m.order[i], m.order[j] = m.order[j], m.order[i] })
+		m.probeOrder = slices.Clone(m.names)
+		m.rng.Shuffle(len(m.probeOrder), func(i, j int) { m.probeOrder[i], m.probeOrder[j] = m.probeOrder[j], m.probeOrder[i] })
 	}
 	return "", false
 }
 
-// rejoin tries one lost seed and one daemon believed dead.
+// rejoin contacts one seed that is not live and one dead daemon, which heals
+// partitions.
 func (m *Machine) rejoin() []Request {
 	out := []Request{}
-	if !m.joined {
+	if !m.hasJoined {
 		return out
 	}
-	if m.walks > 0 {
-		m.walks--
-		m.after, m.paging = "", true
+	if m.listingsLeft > 0 {
+		m.listingsLeft--
+		m.pageAfter, m.hasNextPage = "", true
 	}
-	lost := slices.DeleteFunc(slices.Clone(m.seeds), m.reached)
+	lost := slices.DeleteFunc(slices.Clone(m.seeds), m.isReachable)
 	if len(lost) > 0 {
-		out = append(out, m.join(lost[m.rng.IntN(len(lost))], ""))
+		out = append(out, m.newJoin(lost[m.rng.IntN(len(lost))], ""))
 	}
 	dead := slices.DeleteFunc(slices.Clone(m.names), func(n string) bool { return m.known[n].state.Status != Dead })
 	if len(dead) > 0 {
-		out = append(out, m.direct(dead[m.rng.IntN(len(dead))]))
+		out = append(out, m.newDirectProbe(dead[m.rng.IntN(len(dead))]))
 	}
 	return out
 }
 
-// reached tells whether a live daemon has a peers' address.
-func (m *Machine) reached(address string) bool {
+// isReachable reports whether a live daemon has the peer address.
+func (m *Machine) isReachable(address string) bool {
 	return slices.ContainsFunc(m.names, func(n string) bool {
 		s := m.known[n].state
 		return s.Status.Live() && s.Info.Peers == address
 	})
 }
 
-func (m *Machine) join(address, after string) Request {
-	r := m.request(address, m.opt.Direct, "", pending{join: true})
+func (m *Machine) newJoin(address, after string) Request {
+	r := m.newRequest(address, m.options.Direct, "", pendingRequest{isJoin: true})
 	r.Join = true
 	r.After = after
 	return r
 }
 
-func (m *Machine) direct(name string) Request {
-	p := pending{probe: &probe{target: name, waiting: 1}}
-	return m.request(m.known[name].state.Info.Peers, m.opt.Direct, name, p)
+func (m *Machine) newDirectProbe(name string) Request {
+	p := pendingRequest{probe: &probe{target: name, outstanding: 1}}
+	return m.newRequest(m.known[name].state.Info.Peers, m.options.Direct, name, p)
 }
 
-func (m *Machine) request(address string, timeout time.Duration, receiver string, p pending) Request {
+func (m *Machine) newRequest(address string, timeout time.Duration, receiver string, p pendingRequest) Request {
 	m.nextID++
 	m.pending[m.nextID] = p
-	return Request{ID: m.nextID, To: address, Timeout: timeout, Updates: m.updates(receiver)}
+	return Request{ID: m.nextID, To: address, Timeout: timeout, Updates: m.selectUpdates(receiver)}
 }
 
-// Receive answers a request. Where the second result isn't nil, the caller
-// sends it first and sets the reply's Alive to whether it was answered.
+// Receive processes a request and returns its reply. If the second result is
+// not nil, the caller must send that request first and set the reply's Alive to
+// whether it was answered.
 func (m *Machine) Receive(now time.Duration, r Request) (Reply, *Request) {
-	m.learnAll(now, r.Updates)
-	reply := Reply{Alive: true, Updates: m.updates(sender(r.Updates))}
+	m.mergeAll(now, r.Updates)
+	reply := Reply{Alive: true, Updates: m.selectUpdates(senderName(r.Updates))}
 	if r.Join {
-		m.page(&reply, r.After)
+		m.addPage(&reply, r.After)
 	}
 	if r.Target == "" || r.Target == m.self.Name {
 		return reply, nil
@@ -283,23 +295,23 @@
 	if !ok {
 		return reply, nil
 	}
-	return reply, &Request{To: e.state.Info.Peers, Timeout: m.opt.Direct, Updates: m.updates(r.Target)}
+	return reply, &Request{To: e.state.Info.Peers, Timeout: m.options.Direct, Updates: m.selectUpdates(r.Target)}
 }
 
-func sender(updates []State) string {
+func senderName(updates []State) string {
 	if len(updates) == 0 {
 		return ""
 	}
 	return updates[0].Name
 }
 
-// page adds the members after a name.
-func (m *Machine) page(reply *Reply, after string) {
+// addPage adds the members after a name.
+func (m *Machine) addPage(reply *Reply, after string) {
 	i, found := slices.BinarySearch(m.names, after)
 	if found {
 		i++
 	}
-	end := min(len(m.names), i+m.opt.Page)
+	end := min(len(m.names), i+m.options.Page)
 	for _, n := range m.names[i:end] {
 		reply.Updates = append(reply.Updates, m.known[n].state)
 	}
@@ -308,75 +320,77 @@
 	}
 }
 
-// Acked takes the reply to a request and returns what to send next. A reply
-// that another daemon than the one probed gave counts as none.
+// Acked processes the reply to a request and returns the requests to send next.
+// A reply to a direct probe from a daemon with another name counts as a
+// failure.
 func (m *Machine) Acked(now time.Duration, id uint64, r Reply) []Request {
 	p, ok := m.pending[id]
 	if !ok {
 		return nil
 	}
-	if p.join {
+	if p.isJoin {
 		delete(m.pending, id)
-		m.learnAll(now, r.Updates)
-		m.joined = true
-		m.after = r.Next
-		m.paging = r.Next != ""
+		m.mergeAll(now, r.Updates)
+		m.hasJoined = true
+		m.pageAfter = r.Next
+		m.hasNextPage = r.Next != ""
 		return nil
 	}
-	m.learnAll(now, r.Updates)
-	other := !p.probe.relayed && sender(r.Updates) != p.probe.target
-	if !r.Alive || other {
+	m.mergeAll(now, r.Updates)
+	isOtherDaemon := !p.probe.isIndirect && senderName(r.Updates) != p.probe.target
+	if !r.Alive || isOtherDaemon {
 		return m.Failed(now, id)
 	}
 	delete(m.pending, id)
-	p.probe.waiting = 0
+	p.probe.outstanding = 0
 	return nil
 }
 
-// Failed reports that a request had no reply in time and returns what to send
-// next: questions to others about a daemon that didn't answer.
+// Failed records that a request was not answered within its timeout and returns
+// the requests to send next: indirect probes of a daemon that did not answer a
+// direct one.
 func (m *Machine) Failed(now time.Duration, id uint64) []Request {
 	p, ok := m.pending[id]
 	delete(m.pending, id)
-	if !ok || p.join || p.probe.waiting == 0 {
+	if !ok || p.isJoin || p.probe.outstanding == 0 {
 		return nil
 	}
-	p.probe.waiting--
-	if p.probe.waiting > 0 {
+	p.probe.outstanding--
+	if p.probe.outstanding > 0 {
 		return nil
 	}
-	if !p.probe.relayed {
-		p.probe.relayed = true
-		if out := m.relay(p.probe); len(out) > 0 {
+	if !p.probe.isIndirect {
+		p.probe.isIndirect = true
+		if out := m.newIndirectProbes(p.probe); len(out) > 0 {
 			return out
 		}
 	}
-	m.suspect(now, p.probe.target)
+	m.markSuspect(now, p.probe.target)
 	return nil
 }
 
-// relay asks a few random daemons to probe the target.
-func (m *Machine) relay(p *probe) []Request {
-	helpers := slices.DeleteFunc(slices.Clone(m.names), func(n string) bool {
+// newIndirectProbes asks a few random live daemons to probe the target.
+func (m *Machine) newIndirectProbes(p *probe) []Request {
+	relays := slices.DeleteFunc(slices.Clone(m.names), func(n string) bool {
 		return n == p.target || m.known[n].state.Status != Alive
 	})
-	m.rng.Shuffle(len(helpers), func(i, j int) { helpers[i], helpers[j] = helpers[j], helpers[i] })
+	m.rng.Shuffle(len(relays), func(i, j int) { relays[i], relays[j] = relays[j], relays[i] })
 	out := []Request{}
-	for _, n := range helpers[:min(len(helpers), m.opt.Relays)] {
-		r := m.request(m.known[n].state.Info.Peers, m.opt.Indirect, n, pending{probe: p})
+	for _, n := range relays[:min(len(relays), m.options.Relays)] {
+		r := m.newRequest(m.known[n].state.Info.Peers, m.options.Indirect, n, pendingRequest{probe: p})
 		r.Target = p.target
 		out = append(out, r)
 	}
-	p.waiting = len(out)
+	p.outstanding = len(out)
 	return out
 }
 
-func (m *Machine) suspect(now time.Duration, name string) {
+func (m *Machine) markSuspect(now time.Duration, name string) {
 	e, ok := m.known[name]
 	if !ok || e.state.Status != Alive {
 		return
 	}
 	s := e.state
 	s.Status = Suspect
-	m.learn(now, s)
+	m.merge(now, s)
 }
--- a/core/member/machine_test.go
+++ b/core/member/machine_test.go
@@ -13,7 +13,7 @@
 	"pgregory.net/rapid"
 )
 
-// TestMain fixes the seed of the schedules, unless one is given.
+// TestMain sets a fixed seed for rapid unless one is given.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	if f := flag.Lookup("rapid.seed"); f.Value.String() == "0" {
@@ -22,33 +22,34 @@
 	os.Exit(m.Run())
 }
 
-const step = 100 * time.Millisecond
+const tickInterval = 100 * time.Millisecond
 
-// late is a request that will fail.
-type late struct {
-	at   time.Duration
-	from string
-	id   uint64
+// failingRequest is a request that fails at its timeout.
+type failingRequest struct {
+	failsAt   time.Duration
+	from      string
+	requestID uint64
 }
 
-// wire joins machines: a request is answered at once or fails at its timeout.
-type wire struct {
-	now      time.Duration
-	opt      Options
-	machines map[string]*Machine
-	names    []string
-	failing  []late
-	// cut tells whether messages from one address to another are lost.
-	cut      func(from, to string) bool
+// testNetwork connects machines in virtual time. A request is answered at once
+// or fails at its timeout.
+type testNetwork struct {
+	now             time.Duration
+	opt             Options
+	machines        map[string]*Machine
+	names           []string
+	failingRequests []failingRequest
+	// isLost reports whether messages from one address to another are lost.
+	isLost   func(from, to string) bool
 	messages int
 	states   int
 }
 
-func newWire() *wire {
-	return &wire{opt: Defaults(), machines: map[string]*Machine{}, cut: func(string, string) bool { return false }}
+func newTestNetwork() *testNetwork {
+	return &testNetwork{opt: Defaults(), machines: map[string]*Machine{}, isLost: func(string, string) bool { return false }}
 }
 
-func (w *wire) start(name string, incarnation uint64, seeds ...string) *Machine {
+func (w *testNetwork) start(name string, incarnation uint64, seeds ...string) *Machine {
 	rng := rand.New(rand.NewPCG(incarnation, uint64(len(name)+len(w.names))))
 	m := New(State{Name: name, Incarnation: incarnation, Info: Info{Peers: name}}, seeds, w.opt, rng)
 	if !slices.Contains(w.names, name) {
@@ -58,20 +59,20 @@
 	return m
 }
 
-// fleet starts n machines that know each other.
-func fleet(t testing.TB, n int) *wire {
-	w := newWire()
+// newConvergedNetwork starts n machines and runs until all know each other.
+func newConvergedNetwork(t testing.TB, n int) *testNetwork {
+	w := newTestNetwork()
 	for i := range n {
 		w.start(fmt.Sprintf("d%03d", i), uint64(100+i), "d000")
 	}
 	w.run(w.opt.SpreadBound(n) + 3*w.opt.Rejoin)
 	for _, name := range w.names {
-		require.Len(t, w.live(name), n-1, "%s", name)
+		require.Len(t, w.liveNames(name), n-1, "%s", name)
 	}
 	return w
 }
 
-func (w *wire) live(at string) []string {
+func (w *testNetwork) liveNames(at string) []string {
 	out := []string{}
 	for _, s := range w.machines[at].Members() {
 		if s.Status.Live() {
@@ -81,17 +82,17 @@
 	return out
 }
 
-func (w *wire) run(d time.Duration) {
-	for end := w.now + d; w.now < end; w.now += step {
-		failing := w.failing
-		w.failing = nil
+func (w *testNetwork) run(d time.Duration) {
+	for end := w.now + d; w.now < end; w.now += tickInterval {
+		failing := w.failingRequests
+		w.failingRequests = nil
 		for _, f := range failing {
 			if m := w.machines[f.from]; m == nil {
 				continue
-			} else if f.at > w.now {
-				w.failing = append(w.failing, f)
+			} else if f.failsAt > w.now {
+				w.failingRequests = append(w.failingRequests, f)
 			} else {
-				w.send(f.from, m.Failed(w.now, f.id))
+				w.send(f.from, m.Failed(w.now, f.requestID))
 			}
 		}
 		for _, n := range w.names {
@@ -102,37 +103,37 @@
 	}
 }
 
-func (w *wire) send(from string, requests []Request) {
+func (w *testNetwork) send(from string, requests []Request) {
 	for _, r := range requests {
-		reply, ok := w.ask(from, r)
+		reply, ok := w.call(from, r)
 		if !ok {
-			w.failing = append(w.failing, late{at: w.now + r.Timeout, from: from, id: r.ID})
+			w.failingRequests = append(w.failingRequests, failingRequest{failsAt: w.now + r.Timeout, from: from, requestID: r.ID})
 			continue
 		}
 		w.send(from, w.machines[from].Acked(w.now, r.ID, reply))
 	}
 }
 
-func (w *wire) ask(from string, r Request) (Reply, bool) {
+func (w *testNetwork) call(from string, r Request) (Reply, bool) {
 	w.messages++
 	w.states += len(r.Updates)
 	m := w.machines[r.To]
-	if m == nil || w.cut(from, r.To) {
+	if m == nil || w.isLost(from, r.To) {
 		return Reply{}, false
 	}
 	reply, relay := m.Receive(w.now, r)
 	if relay != nil {
-		answer, ok := w.ask(r.To, *relay)
+		answer, ok := w.call(r.To, *relay)
 		reply.Alive = ok && answer.Alive
 	}
 	w.messages++
 	w.states += len(reply.Updates)
-	return reply, !w.cut(r.To, from)
+	return reply, !w.isLost(r.To, from)
 }
 
-func TestDeadDaemonIsFoundWithinTheBound(t *testing.T) {
+func TestDeadDaemonIsDetectedWithinBound(t *testing.T) {
 	for _, n := range []int{2, 9, 100} {
-		w := fleet(t, n)
+		w := newConvergedNetwork(t, n)
 		victim := w.names[n/2]
 		w.machines[victim] = nil
 		w.run(w.opt.SpreadBound(n))
@@ -148,75 +149,75 @@
 }
 
 func TestLiveDaemonsStayLive(t *testing.T) {
-	w := fleet(t, 9)
+	w := newConvergedNetwork(t, 9)
 	w.run(time.Minute)
 	for _, name := range w.names {
-		require.Len(t, w.live(name), 8)
+		require.Len(t, w.liveNames(name), 8)
 		require.EqualValues(t, 0, w.machines[name].Self().Beat)
 	}
 }
 
-func TestOneWayLinkKillsNobody(t *testing.T) {
-	w := fleet(t, 5)
-	w.cut = func(from, to string) bool { return from == "d000" && to == "d001" }
+func TestOneWayLinkFailureDoesNotCauseFalseDeath(t *testing.T) {
+	w := newConvergedNetwork(t, 5)
+	w.isLost = func(from, to string) bool { return from == "d000" && to == "d001" }
 	w.run(time.Minute)
 	for _, name := range w.names {
-		require.Len(t, w.live(name), 4, "%s", name)
+		require.Len(t, w.liveNames(name), 4, "%s", name)
 	}
 }
 
-func TestSuspectRefutes(t *testing.T) {
-	w := fleet(t, 2)
-	w.cut = func(string, string) bool { return true }
-	w.run(w.opt.Period + w.opt.Direct + step)
+func TestSuspectRefutesSuspicion(t *testing.T) {
+	w := newConvergedNetwork(t, 2)
+	w.isLost = func(string, string) bool { return true }
+	w.run(w.opt.Period + w.opt.Direct + tickInterval)
 	s, _ := w.machines["d000"].Find("d001")
 	require.Equal(t, Suspect, s.Status)
-	w.cut = func(string, string) bool { return false }
+	w.isLost = func(string, string) bool { return false }
 	w.run(w.opt.Suspicion)
 	s, _ = w.machines["d000"].Find("d001")
 	require.Equal(t, Alive, s.Status)
 	require.Greater(t, s.Incarnation, uint64(101))
 }
 
-func TestCutOffDaemonComesBack(t *testing.T) {
-	w := fleet(t, 9)
-	w.cut = func(from, to string) bool { return (from == "d004") != (to == "d004") }
+func TestPartitionedDaemonRejoins(t *testing.T) {
+	w := newConvergedNetwork(t, 9)
+	w.isLost = func(from, to string) bool { return (from == "d004") != (to == "d004") }
 	w.run(2 * time.Hour)
-	require.Empty(t, w.live("d004"))
-	require.Len(t, w.live("d000"), 7)
-	w.cut = func(string, string) bool { return false }
+	require.Empty(t, w.liveNames("d004"))
+	require.Len(t, w.liveNames("d000"), 7)
+	w.isLost = func(string, string) bool { return false }
 	w.run(w.opt.Rejoin + w.opt.SpreadBound(9))
 	for _, name := range w.names {
-		require.Len(t, w.live(name), 8, "%s", name)
+		require.Len(t, w.liveNames(name), 8, "%s", name)
 	}
 }
 
-func TestRestartTakesAHigherIncarnation(t *testing.T) {
-	w := fleet(t, 3)
+func TestRestartRaisesIncarnation(t *testing.T) {
+	w := newConvergedNetwork(t, 3)
 	w.start("d002", 900, "d000")
 	w.run(w.opt.SpreadBound(3))
 	for _, name := range []string{"d000", "d001"} {
 		s, _ := w.machines[name].Find("d002")
 		require.EqualValues(t, 900, s.Incarnation)
 	}
-	// A clock that was set back gives a lower one.
+	// A clock that was set back gives a lower incarnation at the next start.
 	w.start("d002", 50, "d000")
 	w.run(w.opt.SpreadBound(3))
 	s, _ := w.machines["d001"].Find("d002")
 	require.Greater(t, s.Incarnation, uint64(900))
 }
 
-func TestSameNameIsReported(t *testing.T) {
-	w := fleet(t, 3)
-	twin := New(State{Name: "d002", Incarnation: 900, Info: Info{Peers: "x"}}, []string{"d000"}, w.opt, rand.New(rand.NewPCG(1, 1)))
-	w.machines["x"] = twin
+func TestDuplicateNameIsReported(t *testing.T) {
+	w := newConvergedNetwork(t, 3)
+	duplicate := New(State{Name: "d002", Incarnation: 900, Info: Info{Peers: "x"}}, []string{"d000"}, w.opt, rand.New(rand.NewPCG(1, 1)))
+	w.machines["x"] = duplicate
 	w.names = append(w.names, "x")
 	w.run(w.opt.SpreadBound(3))
-	require.Condition(t, func() bool { return conflict(twin) || conflict(w.machines["d002"]) })
-	require.Less(t, twin.Self().Incarnation, uint64(910), "the two must not outbid each other")
+	require.Condition(t, func() bool { return hasConflict(duplicate) || hasConflict(w.machines["d002"]) })
+	require.Less(t, duplicate.Self().Incarnation, uint64(910), "daemons with the same name must not outbid each other")
 }
 
-func conflict(m *Machine) bool {
+func hasConflict(m *Machine) bool {
 	for _, c := range m.Changes() {
 		if c.Conflict {
 			return true
@@ -225,17 +226,17 @@
 	return false
 }
 
-func TestSeedThatIsDown(t *testing.T) {
-	w := newWire()
+func TestJoinsWhileOneSeedIsDown(t *testing.T) {
+	w := newTestNetwork()
 	w.start("a", 1, "gone", "b")
 	w.start("b", 2, "gone")
 	w.run(w.opt.SpreadBound(2) + w.opt.Rejoin)
-	require.Equal(t, []string{"b"}, w.live("a"))
-	require.Equal(t, []string{"a"}, w.live("b"))
+	require.Equal(t, []string{"b"}, w.liveNames("a"))
+	require.Equal(t, []string{"a"}, w.liveNames("b"))
 }
 
-func TestLeavingAndLeft(t *testing.T) {
-	w := fleet(t, 9)
+func TestLeavingAndLeftSpread(t *testing.T) {
+	w := newConvergedNetwork(t, 9)
 	m := w.machines["d003"]
 	i := m.Self().Info
 	i.Leaving = true
@@ -255,27 +256,27 @@
 	require.Equal(t, Left, s.Status)
 }
 
-func TestJoinTakesPages(t *testing.T) {
-	w := fleet(t, 20)
+func TestJoinReadsAllPages(t *testing.T) {
+	w := newConvergedNetwork(t, 20)
 	w.opt.Page = 7
 	for _, m := range w.machines {
-		m.opt.Page = 7
+		m.options.Page = 7
 	}
 	w.start("new", 1, "d000")
 	w.run(4 * w.opt.Period)
-	require.Len(t, w.live("new"), 20)
+	require.Len(t, w.liveNames("new"), 20)
 }
 
-func TestCostIsConstant(t *testing.T) {
-	per := func(n int) (messages, states float64) {
-		w := fleet(t, n)
+func TestCostPerDaemonDoesNotGrowWithFleet(t *testing.T) {
+	costPerDaemon := func(n int) (messages, states float64) {
+		w := newConvergedNetwork(t, n)
 		w.run(time.Minute)
 		w.messages, w.states = 0, 0
 		w.run(time.Minute)
 		return float64(w.messages) / float64(n) / 60, float64(w.states) / float64(n) / 60
 	}
-	m9, s9 := per(9)
-	m100, s100 := per(100)
+	m9, s9 := costPerDaemon(9)
+	m100, s100 := costPerDaemon(100)
 	require.InEpsilon(t, m9, m100, 0.15)
 	require.InEpsilon(t, s9, s100, 0.25)
 	o := Defaults()
@@ -284,12 +285,12 @@
 	require.LessOrEqual(t, s100, bound*float64(o.Updates))
 }
 
-// Whatever links break for a while, afterwards each live daemon knows exactly
-// the live ones.
+// After any sequence of partitions, one-way failures, restarts and deaths, each
+// live daemon must know exactly the live ones.
 func TestAnyFaultHeals(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(2, 7).Draw(t, "daemons")
-		w := newWire()
+		w := newTestNetwork()
 		for i := range n {
 			w.start(fmt.Sprintf("d%d", i), uint64(i+1), "d0", "d1")
 		}
@@ -299,9 +300,9 @@
 			other := rapid.SampledFrom(w.names).Draw(t, "other")
 			switch rapid.SampledFrom([]string{"cut", "one way", "restart", "die"}).Draw(t, "fault") {
 			case "cut":
-				w.cut = func(from, to string) bool { return (from == victim) != (to == victim) }
+				w.isLost = func(from, to string) bool { return (from == victim) != (to == victim) }
 			case "one way":
-				w.cut = func(from, to string) bool { return from == victim && to == other }
+				w.isLost = func(from, to string) bool { return from == victim && to == other }
 			case "restart":
 				w.start(victim, uint64(w.now), "d0", "d1")
 			case "die":
@@ -309,9 +310,9 @@
 					w.machines[victim] = nil
 				}
 			}
-			w.run(time.Duration(rapid.IntRange(1, 100).Draw(t, "steps")) * step)
+			w.run(time.Duration(rapid.IntRange(1, 100).Draw(t, "steps")) * tickInterval)
 		}
-		w.cut = func(string, string) bool { return false }
+		w.isLost = func(string, string) bool { return false }
 		w.run(time.Duration(n)*w.opt.Rejoin + w.opt.SpreadBound(n))
 		want := []string{}
 		for _, name := range w.names {
@@ -320,7 +321,7 @@
 			}
 		}
 		for _, name := range want {
-			require.ElementsMatch(t, want, append(w.live(name), name), "at %s", name)
+			require.ElementsMatch(t, want, append(w.liveNames(name), name), "at %s", name)
 		}
 	})
 }
--- a/core/member/member.go
+++ b/core/member/member.go
@@ -1,11 +1,12 @@
-// Package member decides which daemons are live: each daemon probes a few
-// others, asks third ones about those that don't answer, suspects them before
-// it declares them dead, and passes news on in the same messages.
+// Package member implements failure detection and membership dissemination for
+// a fleet of daemons, after the SWIM protocol. Each daemon probes a few others,
+// directly and then through relays, suspects a daemon that does not answer
+// before it declares it dead, and piggybacks state updates on these messages.
+// internal/member carries the messages.
 //
-// The state machine is driven by Tick, Receive, Acked and Failed. The caller
-// carries out the requests that they return and reports how each ended, within
-// the request's timeout. Messages and bytes of one daemon don't grow with the
-// number of daemons.
+// Tick, Receive, Acked and Failed drive the state machine. The caller sends the
+// requests that they return and reports the outcome of each within its timeout.
+// The messages and bytes per daemon do not grow with the number of daemons.
 package member
 
 import (
@@ -13,11 +14,10 @@
 	"time"
 )
 
-// Status is what is known of a daemon's life.
+// Status is the liveness of a daemon as seen by another.
 type Status uint8
 
-// Statuses, in the order in which one overrides another of the same
-// incarnation.
+// Statuses, in ascending precedence within one incarnation.
 const (
 	Alive Status = iota
 	Suspect
@@ -25,109 +25,116 @@
 	Left
 )
 
-// String gives the status as a word.
+// String returns the status in lower case.
 func (s Status) String() string {
 	return [...]string{"alive", "suspect", "dead", "left"}[min(s, Left)]
 }
 
-// Live tells whether a daemon of the status counts as running.
+// Live reports whether a daemon with the status counts as running.
 func (s Status) Live() bool { return s == Alive || s == Suspect }
 
-// Info is what a daemon says of itself.
+// Info is what a daemon reports about itself.
 type Info struct {
 	Region     string
 	DataCentre string
-	// Peers, Callers and Upstreams are addresses, each IP:port.
+	// Peers, Callers and Upstreams are the addresses on which the daemon serves
+	// them, each IP:port.
 	Peers     string
 	Callers   string
 	Upstreams string
-	// Version is the configuration in force.
+	// Version is the version of the configuration in force.
 	Version uint64
-	// Load is in thousandths of what the daemon can carry.
-	Load    uint32
+	// Load is in thousandths of the daemon's capacity.
+	Load uint32
+	// Replica marks a daemon that holds a replica of the control groups.
 	Replica bool
-	// Leaving says that the daemon drains: it serves, but takes no new callers.
+	// Leaving marks a daemon that drains: it still serves but accepts no new
+	// callers.
 	Leaving bool
 }
 
-// State is one daemon as known to another.
+// State is one daemon's state as known to another.
 type State struct {
 	Name string
-	// Incarnation orders a daemon's runs, and its refutations within one run.
+	// Incarnation grows with each start of the daemon, each refutation and
+	// each change of Leaving.
 	Incarnation uint64
-	// Beat orders what a daemon says of itself within one incarnation.
+	// Beat is the version of Info within one incarnation.
 	Beat   uint64
 	Status Status
 	Info   Info
 }
 
-// overrides tells whether s is news to whoever knows k.
-func (s State) overrides(k State) bool {
-	if s.Incarnation != k.Incarnation {
-		return s.Incarnation > k.Incarnation
+// supersedes reports whether s is newer than known by incarnation or, within
+// one incarnation, has the higher status. Dead and Left are final.
+func (s State) supersedes(known State) bool {
+	if s.Incarnation != known.Incarnation {
+		return s.Incarnation > known.Incarnation
 	}
-	return s.Status > k.Status && k.Status.Live()
+	return s.Status > known.Status && known.Status.Live()
 }
 
 // Request is a message that expects a reply.
 type Request struct {
-	// ID is the sender's, to match the reply.
+	// ID is chosen by the sender to match the reply.
 	ID uint64
-	// To is the peers' address to send to.
+	// To is the receiver's peer address.
 	To string
-	// Timeout bounds the wait for the reply.
+	// Timeout limits the wait for the reply.
 	Timeout time.Duration
-	// Target names a daemon that the receiver shall probe; empty for itself.
+	// Target names the daemon that the receiver must probe; empty for the
+	// receiver itself.
 	Target string
-	// Join asks for a page of the members whose names come after After.
+	// Join requests a page of the members whose names sort after After.
 	Join  bool
 	After string
-	// Updates begin with the sender's own state.
+	// Updates starts with the sender's own state.
 	Updates []State
 }
 
 // Reply answers a request.
 type Reply struct {
-	// Alive says that the target answered.
+	// Alive is set if the target answered.
 	Alive bool
-	// Next is where the next page begins; empty at the end of the list.
+	// Next is the After of the next page; empty at the end of the list.
 	Next string
-	// Updates begin with the replying daemon's own state.
+	// Updates starts with the replying daemon's own state.
 	Updates []State
 }
 
-// Change is news for the daemon's log.
+// Change is an event for the daemon's log.
 type Change struct {
 	State State
-	// Before is the status until now; Known is false for a new daemon.
+	// Before is the previous status; Known is false for a new daemon.
 	Before Status
 	Known  bool
-	// Conflict says that another daemon uses this daemon's name.
+	// Conflict is set if another daemon uses this daemon's name.
 	Conflict bool
 }
 
-// Options are the detector's times and bounds.
+// Options holds the intervals, timeouts and limits of a Machine.
 type Options struct {
-	// Period is the time between two rounds of probes.
+	// Period is the interval between probe rounds.
 	Period time.Duration
-	// Direct bounds a direct probe, Indirect one through another daemon.
+	// Direct is the timeout of a direct probe, Indirect of one through a relay.
 	Direct   time.Duration
 	Indirect time.Duration
-	// Suspicion is how long a suspect may refute.
+	// Suspicion is the time a suspect has to refute before it is declared dead.
 	Suspicion time.Duration
-	// Rejoin is the time between two tries to reach lost seeds and daemons.
+	// Rejoin is the interval between attempts to reach lost seeds and dead
+	// daemons.
 	Rejoin time.Duration
-	// Forget is how long a dead daemon is remembered.
+	// Forget is how long a dead daemon is kept in the list.
 	Forget time.Duration
-	// Relays is how many daemons are asked about one that doesn't answer.
+	// Relays is the number of daemons asked to probe one that does not answer.
 	Relays int
-	// Updates is the most states in a message.
+	// Updates limits the states in a message.
 	Updates int
-	// Page is the most states in the answer to a join.
+	// Page limits the members in the reply to a join.
 	Page int
 }
 
-// Defaults returns the options of the running system.
+// Defaults returns the options that daemons use.
 func Defaults() Options {
 	return Options{
 		Period:    500 * time.Millisecond,
@@ -142,22 +149,22 @@
 	}
 }
 
-// spreadFactor multiplies the logarithm of the fleet's size.
-const spreadFactor = 3
+// retransmitMultiplier scales the logarithm of the fleet's size.
+const retransmitMultiplier = 3
 
-// Spread is how often each daemon passes on one piece of news in a fleet of n.
+// Spread returns how often each daemon of a fleet of n sends one update.
 func Spread(n int) int {
-	return spreadFactor * bits.Len(uint(n))
+	return retransmitMultiplier * bits.Len(uint(n))
 }
 
-// DetectBound is the longest time from a daemon's death until another daemon
-// of the fleet declares it dead, where that daemon's ring neighbour lives.
+// DetectBound returns the maximum time from a daemon's death until another
+// daemon declares it dead, if the dead daemon's ring neighbour is live.
 func (o Options) DetectBound() time.Duration {
 	return o.Period + o.Direct + o.Indirect + o.Suspicion + o.Period
 }
 
-// SpreadBound is the time within which all daemons of a fleet of n know, from
-// the daemon's death on.
+// SpreadBound returns the time from a daemon's death within which all daemons
+// of a fleet of n know of it.
 func (o Options) SpreadBound(n int) time.Duration {
 	return o.DetectBound() + time.Duration(bits.Len(uint(n)))*o.Period
 }
--- a/internal/member/codec.go
+++ b/internal/member/codec.go
@@ -8,10 +8,10 @@
 	"github.com/verbenastep/verbenastep/internal/port"
 )
 
-// loadUnits are the parts of a daemon's capacity in which load travels.
-const loadUnits = 1000
+// loadScale is the number of units in a daemon's capacity as sent on the wire.
+const loadScale = 1000
 
-// EncodeRequest gives a request's form on the wire.
+// EncodeRequest converts a request of the named sender to its RPC message.
 func EncodeRequest(self string, r member.Request) *rpc.ProbeRequest {
 	return &rpc.ProbeRequest{From: self, Target: r.Target, Join: r.Join, After: r.After, Updates: encodeStates(r.Updates)}
 }
@@ -20,7 +20,7 @@
 	return member.Request{Target: r.Target, Join: r.Join, After: r.After, Updates: decodeStates(r.Updates)}
 }
 
-// EncodeReply gives a reply's form on the wire.
+// EncodeReply converts a reply to its RPC message.
 func EncodeReply(r member.Reply) *rpc.ProbeReply {
 	return &rpc.ProbeReply{Alive: r.Alive, Next: r.Next, Updates: encodeStates(r.Updates)}
 }
@@ -42,7 +42,7 @@
 	return out
 }
 
-// decodeStates drops states that no daemon of this version sends.
+// decodeStates skips states without a name or with an unknown status.
 func decodeStates(states []*rpc.MemberState) []member.State {
 	out := make([]member.State, 0, len(states))
 	for _, s := range states {
@@ -60,13 +60,13 @@
 	return out
 }
 
-// elapsed is the machine's clock, which no step of the wall clock moves.
-func elapsed(began time.Time) time.Duration { return time.Since(began) }
+// elapsedSince reads the machine's clock, which is monotonic.
+func elapsedSince(start time.Time) time.Duration { return time.Since(start) }
 
-func publish(s member.State) port.Member {
+func toPortMember(s member.State) port.Member {
 	i := s.Info
 	return port.Member{
 		Name: s.Name, Region: i.Region, DataCentre: i.DataCentre, Peers: i.Peers, Callers: i.Callers, Upstreams: i.Upstreams,
-		Version: i.Version, Load: float64(i.Load) / loadUnits, Replica: i.Replica, Leaving: i.Leaving,
+		Version: i.Version, Load: float64(i.Load) / loadScale, Replica: i.Replica, Leaving: i.Leaving,
 	}
 }
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -1,5 +1,6 @@
-// Package member knows which daemons are live. It carries the messages of
-// core/member over drpc, on the monotonic clock.
+// Package member provides the "member.list" service: the list of live daemons.
+// It runs the failure detector of core/member on the monotonic clock and
+// carries its messages over drpc.
 package member
 
 import (
@@ -22,51 +23,52 @@
 )
 
 const (
-	// tick is how often the machine is asked what is due.
-	tick = 100 * time.Millisecond
-	// conflictPause is the shortest time between two warnings of one name used
-	// twice, and how long the service counts as unhealthy after one.
-	conflictPause = time.Minute
+	// tickInterval is the interval between two calls of Machine.Tick.
+	tickInterval = 100 * time.Millisecond
+	// conflictWarningInterval is the minimum interval between two warnings of a
+	// duplicate name. The service is unhealthy for twice this time after one.
+	conflictWarningInterval = time.Minute
 )
 
-// Service is the "member.list" service.
+// Service is the "member.list" service. Its methods are safe for concurrent
+// use.
 type Service struct {
 	rpc.DRPCMembersUnimplementedServer
-	set     *settings.Settings
-	log     *zap.Logger
-	link    port.Link
-	view    port.View
-	kernel  *kernel.Kernel
-	metrics metrics
-	began   time.Time
-	ctx     context.Context
-	cancel  context.CancelFunc
-	done    sync.WaitGroup
+	settings   *settings.Settings
+	log        *zap.Logger
+	link       port.Link
+	view       port.View
+	kernel     *kernel.Kernel
+	metrics    metrics
+	startedAt  time.Time
+	ctx        context.Context
+	cancel     context.CancelFunc
+	goroutines sync.WaitGroup
 
-	mu       sync.Mutex
-	machine  *member.Machine
-	leaving  bool
-	conflict time.Time
-	twin     string
+	mu              sync.Mutex
+	machine         *member.Machine
+	isLeaving       bool
+	lastConflictAt  time.Time
+	conflictAddress string
 }
 
-// New returns the service.
+// New returns the service of the daemon that self names.
 func New(set *settings.Settings, log *zap.Logger, self port.Holder) *Service {
-	s := &Service{set: set, log: log.Named("member"), metrics: newMetrics(), began: time.Now()}
+	s := &Service{settings: set, log: log.Named("member"), metrics: newMetrics(), startedAt: time.Now()}
 	rng := rand.New(rand.NewPCG(self.Incarnation, uint64(len(set.Name))))
-	s.machine = member.New(member.State{Name: set.Name, Incarnation: self.Incarnation, Info: s.info(0, 0)}, set.Seeds, member.Defaults(), rng)
+	s.machine = member.New(member.State{Name: set.Name, Incarnation: self.Incarnation, Info: s.localInfo(0, 0)}, set.Seeds, member.Defaults(), rng)
 	return s
 }
 
 // Name returns the service's name.
 func (s *Service) Name() string { return port.NameMembers }
 
-// Needs returns the link, the view and the metrics.
+// Needs returns the names of the link, view and metrics services.
 func (s *Service) Needs() []string {
 	return []string{port.NameLink, port.NameView, port.NameMetrics}
 }
 
-// Start begins to probe.
+// Start registers the RPC server and the metrics and starts to probe.
 func (s *Service) Start(_ context.Context, k *kernel.Kernel) error {
 	err := error(nil)
 	if s.link, err = kernel.Find[port.Link](k, port.NameLink); err != nil {
@@ -84,15 +86,15 @@
 	}
 	s.kernel = k
 	s.ctx, s.cancel = context.WithCancel(context.Background())
-	s.done.Go(s.run)
+	s.goroutines.Go(s.run)
 	return rpc.DRPCRegisterMembers(s.link.Mux(), s)
 }
 
 func (s *Service) run() {
-	ticker := time.NewTicker(tick)
+	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	for {
-		s.send(s.due())
+		s.sendAll(s.dueRequests())
 		select {
 		case <-s.ctx.Done():
 			return
@@ -101,22 +103,23 @@
 	}
 }
 
-// due brings this daemon's own state up to date and asks the machine.
-func (s *Service) due() []member.Request {
-	version := s.version()
-	load := s.load()
+// dueRequests updates this daemon's own state and returns the requests that are
+// due.
+func (s *Service) dueRequests() []member.Request {
+	version := s.localVersion()
+	load := s.localLoad()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.machine.Update(s.info(version, load))
-	out := s.machine.Tick(elapsed(s.began))
-	s.report()
+	s.machine.Update(s.localInfo(version, load))
+	out := s.machine.Tick(elapsedSince(s.startedAt))
+	s.logChanges()
 	return out
 }
 
-// version is that of the configuration, or of the route table where the daemon
-// serves one.
-func (s *Service) version() uint64 {
-	if s.set.Routing == nil {
+// localVersion returns the version of the configuration in force or, if the
+// settings have routing, of the route table; zero if there is none yet.
+func (s *Service) localVersion() uint64 {
+	if s.settings.Routing == nil {
 		return s.view.Snapshot().Version
 	}
 	tables, ok := s.view.(port.TableView)
@@ -126,30 +129,31 @@
 	return tables.Routes().Table.Version
 }
 
-func (s *Service) info(version uint64, load uint32) member.Info {
+func (s *Service) localInfo(version uint64, load uint32) member.Info {
 	return member.Info{
-		Region: s.set.Region, DataCentre: s.set.DataCentre, Peers: s.set.Addresses.Peers, Callers: s.set.Addresses.Callers,
-		Upstreams: s.set.Addresses.Upstreams, Replica: s.set.HasRole(settings.Replica), Version: version, Load: load, Leaving: s.leaving,
+		Region: s.settings.Region, DataCentre: s.settings.DataCentre, Peers: s.settings.Addresses.Peers, Callers: s.settings.Addresses.Callers,
+		Upstreams: s.settings.Addresses.Upstreams, Replica: s.settings.HasRole(settings.Replica), Version: version, Load: load, Leaving: s.isLeaving,
 	}
 }
 
-// load asks the entry, which starts after this service.
-func (s *Service) load() uint32 {
+// localLoad returns the entry's load in units of 1/loadScale, zero until the
+// entry, which starts after this service, is registered.
+func (s *Service) localLoad() uint32 {
 	l, err := kernel.Find[port.Loader](s.kernel, port.NameEntry)
 	if err != nil {
 		return 0
 	}
-	return uint32(min(1, max(0, l.Load())) * loadUnits)
+	return uint32(min(1, max(0, l.Load())) * loadScale)
 }
 
-func (s *Service) send(requests []member.Request) {
+func (s *Service) sendAll(requests []member.Request) {
 	for _, r := range requests {
-		s.done.Go(func() { s.ask(r) })
+		s.goroutines.Go(func() { s.sendRequest(r) })
 	}
 }
 
-// ask sends one request and gives the machine its outcome.
-func (s *Service) ask(r member.Request) {
+// sendRequest sends one request and reports its outcome to the machine.
+func (s *Service) sendRequest(r member.Request) {
 	reply, err := s.call(s.ctx, r)
 	if s.ctx.Err() != nil {
 		return
@@ -157,46 +161,46 @@
 	s.mu.Lock()
 	next := []member.Request(nil)
 	if err == nil {
-		next = s.machine.Acked(elapsed(s.began), r.ID, reply)
+		next = s.machine.Acked(elapsedSince(s.startedAt), r.ID, reply)
 	} else {
-		next = s.machine.Failed(elapsed(s.began), r.ID)
+		next = s.machine.Failed(elapsedSince(s.startedAt), r.ID)
 	}
-	s.report()
+	s.logChanges()
 	s.mu.Unlock()
-	s.send(next)
+	s.sendAll(next)
 }
 
 func (s *Service) call(ctx context.Context, r member.Request) (member.Reply, error) {
 	ctx, cancel := context.WithTimeout(ctx, r.Timeout)
 	defer cancel()
-	in := EncodeRequest(s.set.Name, r)
-	s.metrics.sent(proto.Size(in))
+	in := EncodeRequest(s.settings.Name, r)
+	s.metrics.recordSent(proto.Size(in))
 	out, err := rpc.NewDRPCMembersClient(s.link.Conn(r.To)).Probe(ctx, in)
 	if err != nil {
 		return member.Reply{}, err
 	}
-	s.metrics.received(proto.Size(out))
+	s.metrics.recordReceived(proto.Size(out))
 	return decodeReply(out), nil
 }
 
-// Probe answers another daemon.
+// Probe handles a probe or join request of another daemon.
 func (s *Service) Probe(ctx context.Context, in *rpc.ProbeRequest) (*rpc.ProbeReply, error) {
-	s.metrics.received(proto.Size(in))
+	s.metrics.recordReceived(proto.Size(in))
 	s.mu.Lock()
-	reply, relay := s.machine.Receive(elapsed(s.began), decodeRequest(in))
-	s.report()
+	reply, relay := s.machine.Receive(elapsedSince(s.startedAt), decodeRequest(in))
+	s.logChanges()
 	s.mu.Unlock()
 	if relay != nil {
 		answer, err := s.call(ctx, *relay)
 		reply.Alive = err == nil && answer.Alive
 	}
 	out := EncodeReply(reply)
-	s.metrics.sent(proto.Size(out))
+	s.metrics.recordSent(proto.Size(out))
 	return out, nil
 }
 
-// report logs what changed.
-func (s *Service) report() {
+// logChanges logs membership changes. The caller holds mu.
+func (s *Service) logChanges() {
 	for _, c := range s.machine.Changes() {
 		if c.Conflict {
 			s.reportConflict(c.State.Info.Peers)
@@ -217,22 +221,22 @@
 }
 
 func (s *Service) reportConflict(address string) {
-	if time.Since(s.conflict) < conflictPause {
+	if time.Since(s.lastConflictAt) < conflictWarningInterval {
 		return
 	}
-	s.conflict = time.Now()
-	s.twin = address
+	s.lastConflictAt = time.Now()
+	s.conflictAddress = address
 	s.log.Error("another daemon uses this daemon's name; give each its own name in its settings", zap.String("address", address))
 }
 
-// Live returns the live daemons by name, this one included.
+// Live returns the live daemons including this one, sorted by name.
 func (s *Service) Live() []port.Member {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	out := []port.Member{publish(s.machine.Self())}
+	out := []port.Member{toPortMember(s.machine.Self())}
 	for _, m := range s.machine.Members() {
 		if m.Status.Live() {
-			out = append(out, publish(m))
+			out = append(out, toPortMember(m))
 		}
 	}
 	slices.SortFunc(out, func(a, b port.Member) int { return strings.Compare(a.Name, b.Name) })
@@ -243,50 +247,51 @@
 func (s *Service) Find(name string) (port.Member, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if name == s.set.Name {
-		return publish(s.machine.Self()), true
+	if name == s.settings.Name {
+		return toPortMember(s.machine.Self()), true
 	}
 	m, ok := s.machine.Find(name)
-	return publish(m), ok && m.Status.Live()
+	return toPortMember(m), ok && m.Status.Live()
 }
 
-// Announce tells the other daemons that this one takes no new callers.
+// Announce tells the other daemons that this one drains and accepts no new
+// callers.
 func (s *Service) Announce() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.leaving = true
+	s.isLeaving = true
 	i := s.machine.Self().Info
 	i.Leaving = true
 	s.machine.Update(i)
 }
 
-// Stop tells a few daemons that this one is gone and ends the probes.
+// Stop stops probing and tells a few daemons that this one has left.
 func (s *Service) Stop(context.Context) error {
 	s.cancel()
-	s.done.Wait()
+	s.goroutines.Wait()
 	s.mu.Lock()
 	s.machine.Leave()
-	farewell := s.machine.Farewell()
+	requests := s.machine.Farewell()
 	s.mu.Unlock()
-	last := sync.WaitGroup{}
-	for _, r := range farewell {
-		last.Go(func() { _, _ = s.call(context.Background(), r) })
+	leaving := sync.WaitGroup{}
+	for _, r := range requests {
+		leaving.Go(func() { _, _ = s.call(context.Background(), r) })
 	}
-	last.Wait()
+	leaving.Wait()
 	return nil
 }
 
-// Health fails while another daemon uses this daemon's name.
+// Health returns an error while another daemon uses this daemon's name.
 func (s *Service) Health() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.twin == "" || time.Since(s.conflict) > 2*conflictPause {
+	if s.conflictAddress == "" || time.Since(s.lastConflictAt) > 2*conflictWarningInterval {
 		return nil
 	}
-	return fmt.Errorf("the daemon at %s has the name %q too; give each its own name in its settings", s.twin, s.set.Name)
+	return fmt.Errorf("the daemon at %s has the name %q too; give each its own name in its settings", s.conflictAddress, s.settings.Name)
 }
 
-// memberDump is one daemon as this one knows it.
+// memberDump is one known daemon in a dump.
 type memberDump struct {
 	Name        string `json:"name"`
 	Status      string `json:"status"`
@@ -295,7 +300,7 @@
 	Leaving     bool   `json:"leaving,omitempty"`
 }
 
-// Dump lists the known daemons, the dead ones too.
+// Dump returns all known daemons, including dead ones.
 func (s *Service) Dump() any {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/member/member_test.go
+++ b/internal/member/member_test.go
@@ -22,33 +22,33 @@
 	"github.com/verbenastep/verbenastep/internal/settings"
 )
 
-// fixedView has no configuration.
-type fixedView struct{}
-
-func (fixedView) Name() string                                { return port.NameView }
-func (fixedView) Needs() []string                             { return nil }
-func (fixedView) Start(context.Context, *kernel.Kernel) error { return nil }
-func (fixedView) Stop(context.Context) error                  { return nil }
-func (fixedView) Health() error                               { return nil }
-func (fixedView) Dump() any                                   { return nil }
-func (fixedView) Snapshot() port.Snapshot                     { return port.Snapshot{Version: 7} }
-func (fixedView) Lease(string) state.Lease                    { return state.Lease{} }
-func (fixedView) Suspects(string) map[uint64]int              { return nil }
-func (fixedView) Changed() <-chan struct{}                    { return nil }
-
-// node is a daemon with nothing but membership.
-type node struct {
+// stubView is a view with a fixed version and no configuration.
+type stubView struct{}
+
+func (stubView) Name() string                                { return port.NameView }
+func (stubView) Needs() []string                             { return nil }
+func (stubView) Start(context.Context, *kernel.Kernel) error { return nil }
+func (stubView) Stop(context.Context) error                  { return nil }
+func (stubView) Health() error                               { return nil }
+func (stubView) Dump() any                                   { return nil }
+func (stubView) Snapshot() port.Snapshot                     { return port.Snapshot{Version: 7} }
+func (stubView) Lease(string) state.Lease                    { return state.Lease{} }
+func (stubView) Suspects(string) map[uint64]int              { return nil }
+func (stubView) Changed() <-chan struct{}                    { return nil }
+
+// testNode is a daemon that runs only the membership service and what it needs.
+type testNode struct {
 	kernel  *kernel.Kernel
 	members *Service
 	metrics *metricsvc.Service
 }
 
-func startNode(t *testing.T, name, address string, seeds ...string) node {
+func startNode(t *testing.T, name, address string, seeds ...string) testNode {
 	t.Helper()
 	set := &settings.Settings{Name: name, Addresses: settings.Addresses{Peers: address, Callers: "callers-of-" + name}, Seeds: seeds}
 	l := link.New(set, zap.NewNop())
-	n := node{kernel: kernel.New(), members: New(set, zap.NewNop(), port.Holder{Name: name, Incarnation: uint64(time.Now().UnixNano())}), metrics: metricsvc.New()}
-	for _, s := range []kernel.Service{l, fixedView{}, n.metrics, n.members} {
+	n := testNode{kernel: kernel.New(), members: New(set, zap.NewNop(), port.Holder{Name: name, Incarnation: uint64(time.Now().UnixNano())}), metrics: metricsvc.New()}
+	for _, s := range []kernel.Service{l, stubView{}, n.metrics, n.members} {
 		require.NoError(t, n.kernel.Register(s))
 	}
 	require.NoError(t, n.kernel.Start(t.Context()))
@@ -56,9 +56,9 @@
 	return n
 }
 
-func (n node) stop() { _ = n.kernel.Stop(context.Background()) }
+func (n testNode) stop() { _ = n.kernel.Stop(context.Background()) }
 
-// freeAddress returns an address that stays free for a daemon's restart too.
+// freeAddress returns an address that stays free while a daemon restarts.
 func freeAddress(t *testing.T) string {
 	t.Helper()
 	list, err := freeport.Addresses(1)
@@ -90,14 +90,14 @@
 	eventually(t, func() bool { return len(first.members.Live()) == 2 && len(second.members.Live()) == 2 })
 }
 
-func TestTwinIsUnhealthy(t *testing.T) {
+func TestDuplicateNameIsUnhealthy(t *testing.T) {
 	a, b, c := freeAddress(t), freeAddress(t), freeAddress(t)
 	first := startNode(t, "a", a, a)
 	defer first.stop()
 	second := startNode(t, "b", b, a)
 	defer second.stop()
-	twin := startNode(t, "b", c, a)
-	defer twin.stop()
+	duplicate := startNode(t, "b", c, a)
+	defer duplicate.stop()
 	eventually(t, func() bool {
 		err := second.members.Health()
 		return err != nil && strings.Contains(err.Error(), "its own name")
@@ -107,18 +107,18 @@
 var measure = flag.String("measure", "", "measure the cost of membership and write it to `FILE`")
 
 const (
-	measureBase = 7900
-	settleTime  = 90 * time.Second
-	measureTime = 30 * time.Second
+	measureBasePort = 7900
+	measureWarmup   = 90 * time.Second
+	measureDuration = 30 * time.Second
 )
 
-// cost is one daemon's share, by the second.
-type cost struct {
-	daemons  int
-	messages float64
-	bytes    float64
-	cpu      float64
-	allKnown bool
+// daemonCost is the cost per daemon and second.
+type daemonCost struct {
+	daemons   int
+	messages  float64
+	bytes     float64
+	cpuMillis float64
+	allKnown  bool
 }
 
 func TestMeasureCost(t *testing.T) {
@@ -130,33 +130,33 @@
 	page.WriteString("# What membership costs\n\nWritten by `go test ./internal/member -run TestMeasureCost -measure ../../docs/MEASUREMENTS-MEMBERS.md`:\nservices of that many daemons in one process, joined by drpc over loopback, at rest\nand all known to each other. By the second and daemon; bytes are the messages'\nwithout framing, sent and received; the CPU time is of the whole process, shared\namong the daemons.\n\n| daemons | all known | messages/s | bytes/s | CPU ms/s |\n|---|---|---|---|---|\n")
 	for _, n := range []int{9, 100} {
 		c := measureFleet(t, n)
-		fmt.Fprintf(&page, "| %d | %v | %.1f | %.0f | %.2f |\n", c.daemons, c.allKnown, c.messages, c.bytes, c.cpu)
+		fmt.Fprintf(&page, "| %d | %v | %.1f | %.0f | %.2f |\n", c.daemons, c.allKnown, c.messages, c.bytes, c.cpuMillis)
 	}
 	require.NoError(t, os.WriteFile(*measure, []byte(page.String()), 0o600))
 }
 
-func measureFleet(t *testing.T, n int) cost {
+func measureFleet(t *testing.T, n int) daemonCost {
 	address := func(i int) string {
-		return fmt.Sprintf("127.0.0.1:%d", measureBase+i)
+		return fmt.Sprintf("127.0.0.1:%d", measureBasePort+i)
 	}
-	nodes := []node{}
+	nodes := []testNode{}
 	for i := range n {
 		nodes = append(nodes, startNode(t, fmt.Sprintf("d%03d", i), address(i), address(0), address(1)))
 		defer nodes[i].stop()
 	}
-	time.Sleep(settleTime)
+	time.Sleep(measureWarmup)
 	known := true
 	for _, x := range nodes {
 		known = known && len(x.members.Live()) == n
 	}
-	messages, bytes, cpu := total(t, nodes)
-	time.Sleep(measureTime)
-	messages2, bytes2, cpu2 := total(t, nodes)
-	share := float64(n) * measureTime.Seconds()
-	return cost{daemons: n, allKnown: known, messages: (messages2 - messages) / share, bytes: (bytes2 - bytes) / share, cpu: float64((cpu2 - cpu).Milliseconds()) / share}
+	messages, bytes, cpu := sumCosts(t, nodes)
+	time.Sleep(measureDuration)
+	messages2, bytes2, cpu2 := sumCosts(t, nodes)
+	daemonSeconds := float64(n) * measureDuration.Seconds()
+	return daemonCost{daemons: n, allKnown: known, messages: (messages2 - messages) / daemonSeconds, bytes: (bytes2 - bytes) / daemonSeconds, cpuMillis: float64((cpu2 - cpu).Milliseconds()) / daemonSeconds}
 }
 
-func total(t *testing.T, nodes []node) (messages, bytes float64, cpu time.Duration) {
+func sumCosts(t *testing.T, nodes []testNode) (messages, bytes float64, cpu time.Duration) {
 	for _, n := range nodes {
 		families, err := n.metrics.Gatherer().Gather()
 		require.NoError(t, err)
--- a/internal/member/metrics.go
+++ b/internal/member/metrics.go
@@ -6,7 +6,7 @@
 	"github.com/verbenastep/verbenastep/core/member"
 )
 
-// metrics count the cost of membership.
+// metrics holds the metrics of the membership protocol.
 type metrics struct {
 	messages *prometheus.CounterVec
 	bytes    *prometheus.CounterVec
@@ -29,7 +29,7 @@
 		all = append(all, prometheus.NewGaugeFunc(prometheus.GaugeOpts{
 			Name: "verbenastep_members", Help: "Other daemons by status.",
 			ConstLabels: prometheus.Labels{"status": status.String()},
-		}, func() float64 { return s.count(status) }))
+		}, func() float64 { return s.countMembers(status) }))
 	}
 	for _, c := range all {
 		if err := r.Register(c); err != nil {
@@ -39,17 +39,17 @@
 	return nil
 }
 
-func (m metrics) sent(bytes int) {
+func (m metrics) recordSent(bytes int) {
 	m.messages.WithLabelValues("sent").Inc()
 	m.bytes.WithLabelValues("sent").Add(float64(bytes))
 }
 
-func (m metrics) received(bytes int) {
+func (m metrics) recordReceived(bytes int) {
 	m.messages.WithLabelValues("received").Inc()
 	m.bytes.WithLabelValues("received").Add(float64(bytes))
 }
 
-func (s *Service) count(status member.Status) float64 {
+func (s *Service) countMembers(status member.Status) float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	n := 0
