--- a/internal/wal/disk.go
+++ b/internal/wal/disk.go
@@ -8,25 +8,27 @@
 	"syscall"
 )
 
-// File is a file open for appending.
+// File is a file opened for appending.
 type File interface {
 	io.Writer
-	// Sync returns once all written bytes are on the disk.
+	// Sync returns after all written bytes are on disk.
 	Sync() error
 	Close() error
 }
 
-// Disk is one folder. It is small so that a test can lose or tear writes.
+// Disk is the file operations on one folder. Tests implement it to lose or tear
+// writes.
 type Disk interface {
-	// Path gives a file's name for messages.
+	// Path returns a file's full path for messages.
 	Path(name string) string
-	// Lock keeps other processes out until unlock is called.
+	// Lock excludes other processes until unlock is called. It returns a
+	// *LockedError if another process holds the lock.
 	Lock() (unlock func() error, err error)
-	// List returns the sorted names.
+	// List returns the file names in ascending order.
 	List() ([]string, error)
-	// Create makes an empty file, or empties one.
+	// Create creates an empty file or truncates an existing one.
 	Create(name string) (File, error)
-	// Append opens a file to write at its end.
+	// Append opens an existing file to write at its end.
 	Append(name string) (File, error)
 	Read(name string) ([]byte, error)
 	// ReadAt reads exactly size bytes from an offset.
@@ -37,13 +39,13 @@
 	SyncFolder() error
 }
 
-// lockName is the file that carries the lock.
+// lockName is the name of the file that is locked.
 const lockName = "lock"
 
-// Folder is a Disk of the operating system.
+// Folder is a Disk on the operating system's file system.
 type Folder string
 
-// OpenFolder makes the folder where it is missing.
+// OpenFolder creates the folder if it is missing and syncs its parent.
 func OpenFolder(path string) (Folder, error) {
 	if err := os.MkdirAll(path, 0o700); err != nil {
 		return "", err
@@ -51,10 +53,10 @@
 	return Folder(path), Folder(filepath.Dir(path)).SyncFolder()
 }
 
-// Path gives a file's name.
+// Path returns a file's full path.
 func (f Folder) Path(name string) string { return filepath.Join(string(f), name) }
 
-// Lock takes the folder's lock.
+// Lock takes an exclusive advisory lock on the folder without waiting.
 func (f Folder) Lock() (func() error, error) {
 	file, err := os.OpenFile(f.Path(lockName), os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
@@ -67,7 +69,7 @@
 	return file.Close, nil
 }
 
-// List returns the sorted names.
+// List returns the file names in ascending order.
 func (f Folder) List() ([]string, error) {
 	entries, err := os.ReadDir(string(f))
 	names := []string{}
@@ -78,12 +80,12 @@
 	return names, err
 }
 
-// Create makes an empty file.
+// Create creates an empty file or truncates an existing one.
 func (f Folder) Create(name string) (File, error) {
 	return os.OpenFile(f.Path(name), os.O_CREATE|os.O_TRUNC|os.O_WRONLY, 0o600)
 }
 
-// Append opens a file to write at its end.
+// Append opens an existing file to write at its end.
 func (f Folder) Append(name string) (File, error) {
 	return os.OpenFile(f.Path(name), os.O_APPEND|os.O_WRONLY, 0o600)
 }
@@ -91,7 +93,7 @@
 // Read returns a file's content.
 func (f Folder) Read(name string) ([]byte, error) { return os.ReadFile(f.Path(name)) }
 
-// ReadAt reads a part of a file.
+// ReadAt reads exactly size bytes from an offset.
 func (f Folder) ReadAt(name string, offset int64, size int) ([]byte, error) {
 	file, err := os.Open(f.Path(name))
 	if err != nil {
@@ -103,13 +105,13 @@
 	return out, err
 }
 
-// Rename replaces a file by another.
+// Rename moves a file, replacing any file at the new name.
 func (f Folder) Rename(from, to string) error { return os.Rename(f.Path(from), f.Path(to)) }
 
 // Remove deletes a file.
 func (f Folder) Remove(name string) error { return os.Remove(f.Path(name)) }
 
-// SyncFolder makes changes of names durable.
+// SyncFolder makes creations, renames and removals durable.
 func (f Folder) SyncFolder() error {
 	dir, err := os.Open(string(f))
 	if err != nil {
--- a/internal/wal/errors.go
+++ b/internal/wal/errors.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// CorruptError says that a file holds something that a crash can't explain.
+// CorruptError reports damage to a file that a crash cannot have caused.
 type CorruptError struct {
 	File string
 	// Offset is in bytes from the file's start.
@@ -15,7 +15,8 @@
 	return fmt.Sprintf("%s at offset %d: %s; move the folder away and start the daemon again: it rejoins from the other replicas; a single replica needs a backup, see docs/operations/replicas.md", e.File, e.Offset, e.Reason)
 }
 
-// ForeignError says that a data folder belongs to something else.
+// ForeignError reports that a data folder belongs to another daemon or group,
+// or holds other files.
 type ForeignError struct {
 	File   string
 	Reason string
@@ -26,7 +27,7 @@
 	return fmt.Sprintf("%s: %s; point data_folder at this daemon's own folder, or at an empty one", e.File, e.Reason)
 }
 
-// LockedError says that another process uses the data folder.
+// LockedError reports that another process uses the data folder.
 type LockedError struct {
 	File  string
 	Cause error
@@ -40,8 +41,8 @@
 // Unwrap returns the cause.
 func (e *LockedError) Unwrap() error { return e.Cause }
 
-// DiskError says that a write or sync failed. Nothing after it was
-// acknowledged; the log must be opened anew.
+// DiskError reports that a write or sync failed. The log accepts no further
+// writes and must be opened again.
 type DiskError struct {
 	File  string
 	Cause error
--- a/internal/wal/frame.go
+++ b/internal/wal/frame.go
@@ -7,20 +7,20 @@
 	"hash/crc32"
 )
 
-// A frame is what one write puts on disk, so that a torn write spoils exactly
-// one frame, and the last:
+// A frame is the unit of one write, so that a torn write damages only the last
+// frame. Its layout is:
 //
-//	magic    4 bytes, with the format's version
+//	magic    4 bytes, including the format version
 //	length   4 bytes, of the payload
-//	sequence 8 bytes, one more than the frame before
+//	sequence 8 bytes, one more than that of the previous frame
 //	checksum 4 bytes, CRC-32C over length, sequence and payload
 //	payload
 //
 // Numbers are little endian.
 const (
-	frameHeader = 20
-	// maxFrame bounds a payload in bytes.
-	maxFrame = 1 << 30
+	frameHeaderBytes = 20
+	// maxPayloadBytes limits the payload of a frame.
+	maxPayloadBytes = 1 << 30
 )
 
 var (
@@ -29,51 +29,53 @@
 )
 
 func appendFrame(b []byte, sequence uint64, payload []byte) []byte {
-	head := make([]byte, frameHeader)
+	head := make([]byte, frameHeaderBytes)
 	copy(head, frameMagic)
 	binary.LittleEndian.PutUint32(head[4:], uint32(len(payload)))
 	binary.LittleEndian.PutUint64(head[8:], sequence)
-	binary.LittleEndian.PutUint32(head[16:], frameSum(head, payload))
+	binary.LittleEndian.PutUint32(head[16:], frameChecksum(head, payload))
 	return append(append(b, head...), payload...)
 }
 
-func frameSum(head, payload []byte) uint32 {
+func frameChecksum(head, payload []byte) uint32 {
 	return crc32.Update(crc32.Checksum(head[4:16], castagnoli), castagnoli, payload)
 }
 
-// frame is one decoded frame.
+// frame is a decoded frame.
 type frame struct {
 	sequence uint64
 	payload  []byte
-	// end is the offset after it.
+	// end is the offset after the frame.
 	end int
 }
 
-// readFrame returns false where no whole valid frame begins at the offset.
+// readFrame decodes the frame at an offset. It returns false if no complete
+// valid frame starts there.
 func readFrame(b []byte, offset int) (frame, bool) {
-	if len(b)-offset < frameHeader || !bytes.Equal(b[offset:offset+len(frameMagic)], frameMagic) {
+	if len(b)-offset < frameHeaderBytes || !bytes.Equal(b[offset:offset+len(frameMagic)], frameMagic) {
 		return frame{}, false
 	}
-	head := b[offset : offset+frameHeader]
+	head := b[offset : offset+frameHeaderBytes]
 	length := int(binary.LittleEndian.Uint32(head[4:]))
-	if length > maxFrame || length > len(b)-offset-frameHeader {
+	if length > maxPayloadBytes || length > len(b)-offset-frameHeaderBytes {
 		return frame{}, false
 	}
-	f := frame{sequence: binary.LittleEndian.Uint64(head[8:]), end: offset + frameHeader + length}
-	f.payload = b[offset+frameHeader : f.end]
-	return f, binary.LittleEndian.Uint32(head[16:]) == frameSum(head, f.payload)
+	f := frame{sequence: binary.LittleEndian.Uint64(head[8:]), end: offset + frameHeaderBytes + length}
+	f.payload = b[offset+frameHeaderBytes : f.end]
+	return f, binary.LittleEndian.Uint32(head[16:]) == frameChecksum(head, f.payload)
 }
 
-// readFrames returns the valid frames and the offset after the last. What
-// follows that offset is a torn write, unless a later valid frame shows that
-// the damage lies in the middle: then the error is a *CorruptError.
+// readFrames returns the leading valid frames and the offset after the last of
+// them. Any bytes after that offset are a torn write, unless a valid frame
+// follows later: then the file is damaged in the middle and the error is a
+// *CorruptError.
 func readFrames(path string, b []byte) ([]frame, int, error) {
 	out := []frame{}
 	offset := 0
 	for offset < len(b) {
 		f, ok := readFrame(b, offset)
 		if !ok {
-			return out, offset, findLater(path, b, offset)
+			return out, offset, checkNoLaterFrame(path, b, offset)
 		}
 		out = append(out, f)
 		offset = f.end
@@ -81,15 +83,15 @@
 	return out, offset, nil
 }
 
-func findLater(path string, b []byte, bad int) error {
-	for at := bad + 1; at < len(b); at++ {
+func checkNoLaterFrame(path string, b []byte, damagedAt int) error {
+	for at := damagedAt + 1; at < len(b); at++ {
 		next := bytes.Index(b[at:], frameMagic)
 		if next < 0 {
 			return nil
 		}
 		at += next
 		if _, ok := readFrame(b, at); ok {
-			return &CorruptError{File: path, Offset: int64(bad), Reason: fmt.Sprintf("the record is damaged, yet a valid one follows at %d", at)}
+			return &CorruptError{File: path, Offset: int64(damagedAt), Reason: fmt.Sprintf("the record is damaged, yet a valid one follows at %d", at)}
 		}
 	}
 	return nil
--- a/internal/wal/load.go
+++ b/internal/wal/load.go
@@ -15,14 +15,14 @@
 	return append(b, data...)
 }
 
-// records is what a frame's payload holds.
-type records struct {
+// frameRecords is the decoded payload of a frame.
+type frameRecords struct {
 	hard    *consensus.Hard
 	entries []consensus.Entry
 }
 
-func decodeRecords(b []byte) (records, error) {
-	out := records{}
+func decodeRecords(b []byte) (frameRecords, error) {
+	out := frameRecords{}
 	for len(b) > 0 {
 		kind := b[0]
 		size, n := binary.Uvarint(b[1:])
@@ -51,7 +51,8 @@
 	return out, nil
 }
 
-// loadSegments reads all segments and returns the entries that stand.
+// loadSegments reads all segments in order and returns the entries that have
+// not been overwritten by later ones.
 func (l *Log) loadSegments(names []string) ([]consensus.Entry, error) {
 	entries := []consensus.Entry{}
 	segments := []string{}
@@ -101,7 +102,7 @@
 			l.hard = *rec.hard
 		}
 		for _, e := range rec.entries {
-			entries = place(entries, e)
+			entries = applyEntry(entries, e)
 			l.tail().highest = max(l.tail().highest, e.Index)
 		}
 		offset = f.end
@@ -110,9 +111,10 @@
 	return entries, nil
 }
 
-// place appends an entry: it replaces what was there from its index on. After
-// a gap, which a snapshot from the leader leaves, the older ones go.
-func place(entries []consensus.Entry, e consensus.Entry) []consensus.Entry {
+// applyEntry appends an entry and drops all entries from its index on. After a
+// gap, which the installation of a leader's snapshot leaves, it drops all
+// earlier entries.
+func applyEntry(entries []consensus.Entry, e consensus.Entry) []consensus.Entry {
 	if len(entries) == 0 {
 		return append(entries, e)
 	}
@@ -123,12 +125,13 @@
 	return append(entries[:e.Index-first], e)
 }
 
-// openTail cuts a torn write off the last segment. The segment is written
-// anew: after a failed sync the system may show bytes that are not on disk.
-func (l *Log) openTail() error {
+// rewriteTail removes a torn write from the last segment and opens the segment
+// for appending. It rewrites the whole segment because, after a failed sync, the
+// operating system may return bytes that are not on disk.
+func (l *Log) rewriteTail() error {
 	if len(l.segments) == 0 {
 		l.segments = []segment{{number: 1}}
-		if err := l.replace(l.tail().name(), nil); err != nil {
+		if err := l.writeFile(l.tail().name(), nil); err != nil {
 			return err
 		}
 		return l.openFile()
@@ -137,7 +140,7 @@
 	if err != nil {
 		return err
 	}
-	if err := l.replace(l.tail().name(), b[:l.tail().size]); err != nil {
+	if err := l.writeFile(l.tail().name(), b[:l.tail().size]); err != nil {
 		return err
 	}
 	return l.openFile()
--- a/internal/wal/snapshot.go
+++ b/internal/wal/snapshot.go
@@ -8,16 +8,19 @@
 	"github.com/verbenastep/verbenastep/core/consensus"
 )
 
-// A snapshot file is two frames: the encoded consensus.Meta and the data.
+// A snapshot file consists of two frames: the encoded consensus.Meta and the
+// data.
 
 func snapshotName(index uint64) string { return fmt.Sprintf("%016d%s", index, snapshotSuffix) }
 
-// EncodeSnapshot gives the form on disk, which is a backup's form too.
+// EncodeSnapshot returns the on-disk encoding of a snapshot, which backups use
+// too.
 func EncodeSnapshot(s consensus.Snapshot) []byte {
 	return appendFrame(appendFrame(nil, 0, consensus.EncodeMeta(s.Meta)), 1, s.Data)
 }
 
-// DecodeSnapshot reads the form on disk; the path is for messages.
+// DecodeSnapshot decodes EncodeSnapshot's output. It returns a *CorruptError for
+// other input; path is used in its message only.
 func DecodeSnapshot(path string, b []byte) (consensus.Snapshot, error) {
 	head, ok := readFrame(b, 0)
 	if !ok {
@@ -34,7 +37,7 @@
 	return consensus.Snapshot{Meta: meta, Data: bytes.Clone(body.payload)}, nil
 }
 
-// WriteSnapshot puts a snapshot into a folder.
+// WriteSnapshot writes a snapshot file into a folder, atomically and durably.
 func WriteSnapshot(disk Disk, s consensus.Snapshot) error {
 	return WriteFile(disk, snapshotName(s.Meta.Index), EncodeSnapshot(s))
 }
@@ -42,7 +45,7 @@
 func (l *Log) loadSnapshot(names []string) (consensus.Meta, []byte, error) {
 	newest := ""
 	for _, n := range names {
-		if strings.HasSuffix(n, newSuffix) {
+		if strings.HasSuffix(n, tempSuffix) {
 			_ = l.disk.Remove(n)
 		}
 		if strings.HasSuffix(n, snapshotSuffix) {
@@ -69,8 +72,8 @@
 	return s.Meta, s.Data, nil
 }
 
-// ReadSnapshot reads a part of a snapshot's data, for a chunk.
+// ReadSnapshot reads length bytes of a snapshot's data from an offset.
 func (l *Log) ReadSnapshot(meta consensus.Meta, offset, length uint64) ([]byte, error) {
-	head := 2*frameHeader + len(consensus.EncodeMeta(meta))
+	head := 2*frameHeaderBytes + len(consensus.EncodeMeta(meta))
 	return l.disk.ReadAt(snapshotName(meta.Index), int64(head)+int64(offset), int(length))
 }
--- a/internal/wal/wal.go
+++ b/internal/wal/wal.go
@@ -1,9 +1,10 @@
-// Package wal keeps one group's replicated log on a disk.
+// Package wal implements the write-ahead log of one replicated group. It stores
+// the entries, hard state and snapshots of core/consensus for internal/replica.
 //
-// The folder holds an identity, the newest snapshot, and segments of frames.
-// Invariants: Save returns only after a sync; a frame is written only after the
-// one before it is synced, so a crash can spoil the last frame alone; a file
-// other than the last segment appears under its name only once it is synced.
+// A data folder holds an identity file, the newest snapshot, and segments of
+// frames. Invariants: Save returns only after a sync; a frame is written only
+// after the previous one is synced, so a crash can damage the last frame only; a
+// file other than the last segment gets its final name only after it is synced.
 package wal
 
 import (
@@ -16,22 +17,22 @@
 )
 
 const (
-	// defaultSegmentBytes is the size at which a new segment begins.
+	// defaultSegmentBytes is the default of Log.SegmentBytes.
 	defaultSegmentBytes = 8 << 20
 
 	identityName   = "identity"
 	segmentSuffix  = ".log"
 	snapshotSuffix = ".snapshot"
-	newSuffix      = ".new"
+	tempSuffix     = ".new"
 )
 
-// Kinds of records in a frame's payload.
+// Record kinds in a frame's payload.
 const (
 	recordHard  = 1
 	recordEntry = 2
 )
 
-// Identity says whose folder it is.
+// Identity identifies the owner of a data folder.
 type Identity struct {
 	Version int          `json:"version"`
 	Group   string       `json:"group"`
@@ -39,23 +40,24 @@
 	ID      consensus.ID `json:"id"`
 }
 
-// identityVersion is the layout's version.
+// identityVersion is the version of the folder's layout.
 const identityVersion = 1
 
-// segment is one file of frames.
+// segment describes one file of frames.
 type segment struct {
 	number uint64
-	// highest is the largest index of an entry in it.
+	// highest is the largest entry index in the segment.
 	highest uint64
-	size    int
+	// size is the length of the valid frames in bytes.
+	size int
 }
 
 func (s segment) name() string { return fmt.Sprintf("%016d%s", s.number, segmentSuffix) }
 
-// Log is one group's log on disk. It is not safe for concurrent use.
+// Log is one group's write-ahead log. It is not safe for concurrent use.
 type Log struct {
-	// SegmentBytes is the size at which a new segment begins; it may be changed
-	// after Open.
+	// SegmentBytes is the size at which Save starts a new segment. It may be
+	// changed after Open.
 	SegmentBytes int
 
 	disk     Disk
@@ -66,18 +68,20 @@
 	file     File
 	sequence uint64
 	snapshot consensus.Meta
-	broken   error
+	failure  error
 }
 
-// Open locks and reads a folder; an empty one becomes this daemon's, under the
-// given new ID. It returns what the log holds and the snapshot's data.
-func Open(disk Disk, group, daemon string, fresh consensus.ID) (*Log, consensus.Saved, []byte, error) {
+// Open locks and reads a data folder. An empty folder is initialized for the
+// group and daemon with newID. Open returns the log, the stored state and the
+// snapshot's data. The error may be a *LockedError, *ForeignError,
+// *CorruptError or *DiskError.
+func Open(disk Disk, group, daemon string, newID consensus.ID) (*Log, consensus.Saved, []byte, error) {
 	unlock, err := disk.Lock()
 	if err != nil {
 		return nil, consensus.Saved{}, nil, err
 	}
 	l := &Log{SegmentBytes: defaultSegmentBytes, disk: disk, unlock: unlock}
-	saved, data, err := l.load(group, daemon, fresh)
+	saved, data, err := l.load(group, daemon, newID)
 	if err != nil {
 		_ = unlock()
 		return nil, consensus.Saved{}, nil, err
@@ -85,12 +89,12 @@
 	return l, saved, data, nil
 }
 
-func (l *Log) load(group, daemon string, fresh consensus.ID) (consensus.Saved, []byte, error) {
+func (l *Log) load(group, daemon string, newID consensus.ID) (consensus.Saved, []byte, error) {
 	names, err := l.disk.List()
 	if err != nil {
 		return consensus.Saved{}, nil, err
 	}
-	if err := l.loadIdentity(names, Identity{Version: identityVersion, Group: group, Daemon: daemon, ID: fresh}); err != nil {
+	if err := l.loadIdentity(names, Identity{Version: identityVersion, Group: group, Daemon: daemon, ID: newID}); err != nil {
 		return consensus.Saved{}, nil, err
 	}
 	meta, data, err := l.loadSnapshot(names)
@@ -101,13 +105,13 @@
 	if err != nil {
 		return consensus.Saved{}, nil, err
 	}
-	saved := consensus.Saved{Hard: l.hard, Meta: meta, Entries: after(entries, meta)}
-	return saved, data, l.openTail()
+	saved := consensus.Saved{Hard: l.hard, Meta: meta, Entries: entriesAfter(entries, meta)}
+	return saved, data, l.rewriteTail()
 }
 
-// after drops what the snapshot covers, and everything where the log is not
-// the one that the snapshot was taken of.
-func after(entries []consensus.Entry, meta consensus.Meta) []consensus.Entry {
+// entriesAfter returns the entries after a snapshot. It returns none if the log
+// conflicts with the snapshot or does not reach it.
+func entriesAfter(entries []consensus.Entry, meta consensus.Meta) []consensus.Entry {
 	for i, e := range entries {
 		if e.Index == meta.Index && e.Term != meta.Term {
 			return nil
@@ -144,7 +148,7 @@
 
 func (l *Log) writeIdentity(names []string, id Identity) error {
 	for _, n := range names {
-		if n != lockName && !strings.HasSuffix(n, newSuffix) {
+		if n != lockName && !strings.HasSuffix(n, tempSuffix) {
 			return &ForeignError{File: l.disk.Path(n), Reason: "the folder is not empty, yet has no identity"}
 		}
 	}
@@ -153,17 +157,17 @@
 		return err
 	}
 	l.identity = id
-	return l.replace(identityName, appendFrame(nil, 0, payload))
+	return l.writeFile(identityName, appendFrame(nil, 0, payload))
 }
 
-func (l *Log) replace(name string, content []byte) error {
+func (l *Log) writeFile(name string, content []byte) error {
 	return WriteFile(l.disk, name, content)
 }
 
-// WriteFile puts a whole file in place of another: write, sync, rename, sync
-// the folder.
+// WriteFile replaces a file atomically and durably: it writes and syncs a
+// temporary file, renames it and syncs the folder. Errors are *DiskError.
 func WriteFile(disk Disk, name string, content []byte) error {
-	f, err := disk.Create(name + newSuffix)
+	f, err := disk.Create(name + tempSuffix)
 	if err != nil {
 		return &DiskError{File: disk.Path(name), Cause: err}
 	}
@@ -171,11 +175,11 @@
 	if err == nil {
 		err = f.Sync()
 	}
-	if closing := f.Close(); err == nil {
-		err = closing
+	if closeErr := f.Close(); err == nil {
+		err = closeErr
 	}
 	if err == nil {
-		err = disk.Rename(name+newSuffix, name)
+		err = disk.Rename(name+tempSuffix, name)
 	}
 	if err == nil {
 		err = disk.SyncFolder()
@@ -186,10 +190,10 @@
 	return nil
 }
 
-// Identity returns whose folder it is.
+// Identity returns the identity stored in the data folder.
 func (l *Log) Identity() Identity { return l.identity }
 
-// Bytes returns the size of all segments.
+// Bytes returns the total size of all segments.
 func (l *Log) Bytes() int {
 	n := 0
 	for _, s := range l.segments {
@@ -198,16 +202,17 @@
 	return n
 }
 
-// Save writes and syncs. After an error the log takes nothing more.
+// Save appends a hard state, if not nil, and entries, and syncs them. After an
+// error, a *DiskError, all further calls return the same error.
 func (l *Log) Save(hard *consensus.Hard, entries []consensus.Entry) error {
-	if l.broken != nil {
-		return l.broken
+	if l.failure != nil {
+		return l.failure
 	}
 	if hard == nil && len(entries) == 0 {
 		return nil
 	}
-	l.broken = l.save(hard, entries)
-	return l.broken
+	l.failure = l.save(hard, entries)
+	return l.failure
 }
 
 func (l *Log) save(hard *consensus.Hard, entries []consensus.Entry) error {
@@ -225,12 +230,12 @@
 		payload = appendRecord(payload, recordEntry, consensus.EncodeEntry(e))
 		l.tail().highest = max(l.tail().highest, e.Index)
 	}
-	return l.write(payload)
+	return l.appendPayload(payload)
 }
 
 func (l *Log) tail() *segment { return &l.segments[len(l.segments)-1] }
 
-func (l *Log) write(payload []byte) error {
+func (l *Log) appendPayload(payload []byte) error {
 	l.sequence++
 	b := appendFrame(nil, l.sequence, payload)
 	_, err := l.file.Write(b)
@@ -244,13 +249,13 @@
 	return nil
 }
 
-// rotate begins a segment, which repeats the hard state so that older ones can
-// go.
+// rotate starts a new segment. The segment repeats the hard state so that older
+// segments can be removed.
 func (l *Log) rotate() error {
 	next := segment{number: l.tail().number + 1}
 	l.sequence++
 	b := appendFrame(nil, l.sequence, appendRecord(nil, recordHard, consensus.EncodeHard(l.hard)))
-	if err := l.replace(next.name(), b); err != nil {
+	if err := l.writeFile(next.name(), b); err != nil {
 		return err
 	}
 	_ = l.file.Close()
@@ -268,8 +273,8 @@
 	return nil
 }
 
-// UseSnapshot says that WriteSnapshot has put a snapshot into the folder: an
-// older one goes, and segments whose entries all lie before keep.
+// UseSnapshot switches to a snapshot written with WriteSnapshot. It removes the
+// previous snapshot, and segments whose entries all have an index below keep.
 func (l *Log) UseSnapshot(m consensus.Meta, keep uint64) {
 	old := l.snapshot
 	l.snapshot = m
@@ -282,7 +287,7 @@
 	}
 }
 
-// Close releases the folder.
+// Close closes the last segment and unlocks the folder.
 func (l *Log) Close() error {
 	_ = l.file.Close()
 	return l.unlock()
--- a/internal/wal/wal_test.go
+++ b/internal/wal/wal_test.go
@@ -18,18 +18,18 @@
 	return out
 }
 
-func open(t *testing.T, folder string) (*Log, consensus.Saved) {
+func openLog(t *testing.T, folder string) (*Log, consensus.Saved) {
 	t.Helper()
 	l, saved, _, err := Open(Folder(folder), "main", "daemon-1", 7)
 	require.NoError(t, err)
 	return l, saved
 }
 
-// filled returns a folder with several segments.
-func filled(t *testing.T) string {
+// newFilledFolder returns a folder with several segments and 30 entries.
+func newFilledFolder(t *testing.T) string {
 	t.Helper()
 	folder := t.TempDir()
-	l, _ := open(t, folder)
+	l, _ := openLog(t, folder)
 	l.SegmentBytes = 200
 	for i := uint64(1); i <= 30; i++ {
 		require.NoError(t, l.Save(&consensus.Hard{Term: i, Vote: 7}, entries(1, i, i)))
@@ -45,52 +45,52 @@
 	return names
 }
 
-func damage(t *testing.T, file string, change func([]byte) []byte) {
+func modifyFile(t *testing.T, file string, change func([]byte) []byte) {
 	t.Helper()
 	b, err := os.ReadFile(file)
 	require.NoError(t, err)
 	require.NoError(t, os.WriteFile(file, change(b), 0o600))
 }
 
-func TestReadsBackWhatWasSaved(t *testing.T) {
-	folder := filled(t)
+func TestReopenReturnsSavedState(t *testing.T) {
+	folder := newFilledFolder(t)
 	require.Greater(t, len(segments(t, folder)), 3)
-	l, saved := open(t, folder)
+	l, saved := openLog(t, folder)
 	require.Equal(t, consensus.Hard{Term: 30, Vote: 7}, saved.Hard)
 	require.Equal(t, entries(1, 1, 30), saved.Entries)
 	require.NoError(t, l.Save(nil, entries(2, 20, 21)))
 	require.NoError(t, l.Close())
-	_, saved = open(t, folder)
+	_, saved = openLog(t, folder)
 	require.Equal(t, append(entries(1, 1, 19), entries(2, 20, 21)...), saved.Entries)
 }
 
-func TestCutsATornTail(t *testing.T) {
-	folder := filled(t)
+func TestOpenTruncatesTornTail(t *testing.T) {
+	folder := newFilledFolder(t)
 	names := segments(t, folder)
-	damage(t, names[len(names)-1], func(b []byte) []byte { return b[:len(b)-3] })
-	_, saved := open(t, folder)
+	modifyFile(t, names[len(names)-1], func(b []byte) []byte { return b[:len(b)-3] })
+	_, saved := openLog(t, folder)
 	require.Equal(t, entries(1, 1, 29), saved.Entries)
 }
 
-func TestRefusesDamageThatNoCrashExplains(t *testing.T) {
+func TestOpenRejectsCorruption(t *testing.T) {
 	cases := map[string]func(t *testing.T, names []string){
 		"an early segment": func(t *testing.T, names []string) {
-			damage(t, names[1], func(b []byte) []byte { b[30] ^= 1; return b })
+			modifyFile(t, names[1], func(b []byte) []byte { b[30] ^= 1; return b })
 		},
 		"the last segment's first record": func(t *testing.T, names []string) {
-			damage(t, names[len(names)-1], func(b []byte) []byte { b[25] ^= 1; return b })
+			modifyFile(t, names[len(names)-1], func(b []byte) []byte { b[25] ^= 1; return b })
 		},
 		"a missing segment": func(t *testing.T, names []string) {
 			require.NoError(t, os.Remove(names[1]))
 		},
 	}
-	for name, spoil := range cases {
+	for name, corruptFiles := range cases {
 		t.Run(name, func(t *testing.T) {
-			folder := filled(t)
-			l, _ := open(t, folder)
+			folder := newFilledFolder(t)
+			l, _ := openLog(t, folder)
 			require.NoError(t, l.Save(nil, entries(1, 31, 31)))
 			require.NoError(t, l.Close())
-			spoil(t, segments(t, folder))
+			corruptFiles(t, segments(t, folder))
 			_, _, _, err := Open(Folder(folder), "main", "daemon-1", 7)
 			corrupt := (*CorruptError)(nil)
 			require.ErrorAs(t, err, &corrupt)
@@ -100,8 +100,8 @@
 	}
 }
 
-func TestRefusesAForeignFolder(t *testing.T) {
-	folder := filled(t)
+func TestOpenRejectsForeignFolder(t *testing.T) {
+	folder := newFilledFolder(t)
 	foreign := (*ForeignError)(nil)
 	_, _, _, err := Open(Folder(folder), "main", "daemon-2", 7)
 	require.ErrorAs(t, err, &foreign)
@@ -113,20 +113,20 @@
 	require.ErrorAs(t, err, &foreign)
 }
 
-func TestLockKeepsASecondDaemonOut(t *testing.T) {
+func TestLockExcludesSecondProcess(t *testing.T) {
 	folder := t.TempDir()
-	l, _ := open(t, folder)
+	l, _ := openLog(t, folder)
 	locked := (*LockedError)(nil)
 	_, _, _, err := Open(Folder(folder), "main", "daemon-1", 8)
 	require.ErrorAs(t, err, &locked)
 	require.NoError(t, l.Close())
-	again, _ := open(t, folder)
+	again, _ := openLog(t, folder)
 	require.Equal(t, consensus.ID(7), again.Identity().ID)
 }
 
-func TestSnapshotReplacesTheLogBeforeIt(t *testing.T) {
-	folder := filled(t)
-	l, _ := open(t, folder)
+func TestSnapshotReplacesEarlierEntries(t *testing.T) {
+	folder := newFilledFolder(t)
+	l, _ := openLog(t, folder)
 	meta := consensus.Meta{Index: 25, Term: 1, Size: 5, Members: []consensus.Member{{ID: 7, Name: "daemon-1"}}}
 	require.NoError(t, WriteSnapshot(Folder(folder), consensus.Snapshot{Meta: meta, Data: []byte("state")}))
 	l.UseSnapshot(meta, 20)
@@ -141,25 +141,25 @@
 	require.Equal(t, entries(1, 26, 30), saved.Entries)
 }
 
-// fullDisk refuses writes after a number of bytes.
-type fullDisk struct {
+// limitedDisk fails writes after a number of bytes.
+type limitedDisk struct {
 	Folder
-	left *int
+	bytesLeft *int
 }
 
-func (d fullDisk) Append(name string) (File, error) {
+func (d limitedDisk) Append(name string) (File, error) {
 	f, err := d.Folder.Append(name)
-	return fullFile{File: f, left: d.left}, err
+	return limitedFile{File: f, bytesLeft: d.bytesLeft}, err
 }
 
-type fullFile struct {
+type limitedFile struct {
 	File
-	left *int
+	bytesLeft *int
 }
 
-func (f fullFile) Write(b []byte) (int, error) {
-	n := min(len(b), *f.left)
-	*f.left -= n
+func (f limitedFile) Write(b []byte) (int, error) {
+	n := min(len(b), *f.bytesLeft)
+	*f.bytesLeft -= n
 	_, err := f.File.Write(b[:n])
 	if n < len(b) {
 		err = os.ErrInvalid
@@ -167,10 +167,10 @@
 	return n, err
 }
 
-func TestFullDiskStopsTheLogAndLosesNothing(t *testing.T) {
+func TestWriteFailureStopsLogWithoutDataLoss(t *testing.T) {
 	folder := t.TempDir()
 	left := 1000
-	l, _, _, err := Open(fullDisk{Folder: Folder(folder), left: &left}, "main", "daemon-1", 7)
+	l, _, _, err := Open(limitedDisk{Folder: Folder(folder), bytesLeft: &left}, "main", "daemon-1", 7)
 	require.NoError(t, err)
 	saved := uint64(0)
 	for err == nil {
@@ -183,7 +183,7 @@
 	left = 1 << 20
 	require.ErrorAs(t, l.Save(nil, entries(1, saved+1, saved+1)), &failed)
 	require.NoError(t, l.Close())
-	_, read := open(t, folder)
+	_, read := openLog(t, folder)
 	require.Equal(t, entries(1, 1, saved), read.Entries)
 }
 
