--- a/core/consensus/codec.go
+++ b/core/consensus/codec.go
@@ -135,20 +135,20 @@
 	return e, r.checkComplete()
 }
 
-// EncodeHard returns the on-disk encoding of a hard state.
-func EncodeHard(h Hard) []byte {
+// EncodeHardState returns the on-disk encoding of a hard state.
+func EncodeHardState(h Hard) []byte {
 	w := encoder{}
 	w.uvarint(h.Term)
-	w.uvarint(uint64(h.Vote))
+	w.uvarint(uint64(h.VotedFor))
 	w.uvarint(uint64(h.Leader))
 	return w.buf
 }
 
-// DecodeHard decodes EncodeHard's output, and that of the version before, which
+// DecodeHardState decodes EncodeHardState's output, and that of the version before, which
 // has no leader. It returns ErrMalformed for other input.
-func DecodeHard(b []byte) (Hard, error) {
+func DecodeHardState(b []byte) (Hard, error) {
 	r := decoder{buf: b}
-	h := Hard{Term: r.uvarint(), Vote: ID(r.uvarint())}
+	h := Hard{Term: r.uvarint(), VotedFor: ID(r.uvarint())}
 	if len(r.buf) > 0 {
 		// Records of the version before end here, without a leader.
 		h.Leader = ID(r.uvarint())
@@ -156,16 +156,16 @@
 	return h, r.checkComplete()
 }
 
-// EncodeMeta returns the on-disk encoding of a snapshot description.
-func EncodeMeta(m Meta) []byte {
+// EncodeSnapshotMeta returns the on-disk encoding of a snapshot description.
+func EncodeSnapshotMeta(m Meta) []byte {
 	w := encoder{}
 	w.meta(m)
 	return w.buf
 }
 
-// DecodeMeta decodes EncodeMeta's output. It returns ErrMalformed for other
+// DecodeSnapshotMeta decodes EncodeSnapshotMeta's output. It returns ErrMalformed for other
 // input.
-func DecodeMeta(b []byte) (Meta, error) {
+func DecodeSnapshotMeta(b []byte) (Meta, error) {
 	r := decoder{buf: b}
 	m := r.meta()
 	return m, r.checkComplete()
--- a/core/consensus/codec_test.go
+++ b/core/consensus/codec_test.go
@@ -39,11 +39,11 @@
 func FuzzDecodeRecords(f *testing.F) {
 	f.Add(EncodeEntry(Entry{Term: 1, Index: 2, Data: []byte("x")}))
 	f.Add(EncodeMembers([]Member{{ID: 1, Name: "a"}}))
-	f.Add(EncodeMeta(Meta{Index: 1}))
+	f.Add(EncodeSnapshotMeta(Meta{Index: 1}))
 	f.Fuzz(func(_ *testing.T, b []byte) {
 		_, _ = DecodeEntry(b)
-		_, _ = DecodeHard(b)
-		_, _ = DecodeMeta(b)
+		_, _ = DecodeHardState(b)
+		_, _ = DecodeSnapshotMeta(b)
 		_, _ = DecodeMembers(b)
 	})
 }
--- a/core/consensus/election.go
+++ b/core/consensus/election.go
@@ -36,7 +36,7 @@
 func (n *Node) startElection(force bool) {
 	n.isPreVote = false
 	n.votes = map[ID]bool{}
-	n.hard = Hard{Term: n.hard.Term + 1, Vote: n.options.ID}
+	n.hard = Hard{Term: n.hard.Term + 1, VotedFor: n.options.ID}
 	n.resetElectionDeadline()
 	n.requestVotes(Message{Kind: Vote, Force: force})
 }
@@ -55,7 +55,7 @@
 
 func (n *Node) handleVoteRequest(m Message) {
 	reply := Message{Kind: VoteReply, To: m.From}
-	canVote := n.hard.Vote == 0 || n.hard.Vote == m.From
+	canVote := n.hard.VotedFor == 0 || n.hard.VotedFor == m.From
 	if n.mustNotVote() && !m.Force {
 		return
 	}
@@ -69,7 +69,7 @@
 		reply.Term = m.Term
 	}
 	if m.Kind == Vote && !reply.Reject {
-		n.hard.Vote = m.From
+		n.hard.VotedFor = m.From
 		n.resetElectionDeadline()
 	}
 	n.send(reply)
--- a/core/consensus/log.go
+++ b/core/consensus/log.go
@@ -16,7 +16,7 @@
 	appliedIndex uint64
 }
 
-func newEntryLog(s Saved) entryLog {
+func newEntryLog(s StoredState) entryLog {
 	l := entryLog{snapshot: s.Meta, prevIndex: s.Meta.Index, prevTerm: s.Meta.Term, commitIndex: s.Meta.Index, appliedIndex: s.Meta.Index}
 	for _, e := range s.Entries {
 		if e.Index == l.lastIndex()+1 {
--- a/core/consensus/node.go
+++ b/core/consensus/node.go
@@ -64,8 +64,8 @@
 // just before it stopped. A node that was the last leader itself has confirmed
 // no other lease and campaigns after restartedLeaderRetryTicks: no other node
 // can be elected that early.
-func New(opt Options, saved Saved, now uint64) *Node {
-	n := &Node{options: opt, now: now, noVoteUntil: now + opt.ElectionTicks, hard: saved.Hard, emittedHard: saved.Hard, log: newEntryLog(saved)}
+func New(opt Options, saved StoredState, now uint64) *Node {
+	n := &Node{options: opt, now: now, noVoteUntil: now + opt.ElectionTicks, hard: saved.HardState, emittedHard: saved.HardState, log: newEntryLog(saved)}
 	n.membership.reset(saved.Meta)
 	n.membership.recordChanges(n.log.entries)
 	// If all nodes start at the same time there is no leader, so the first
@@ -321,15 +321,15 @@
 
 // Status describes a node's role, its log and its group.
 type Status struct {
-	ID      ID
-	Role    Role
-	Term    uint64
-	Leader  ID
-	Last    uint64
-	Commit  uint64
-	Applied uint64
-	Base    Meta
-	Members []Member
+	ID           ID
+	Role         Role
+	Term         uint64
+	Leader       ID
+	Last         uint64
+	Commit       uint64
+	AppliedIndex uint64
+	Snapshot     Meta
+	Members      []Member
 	// Peers is set on a leader only.
 	Peers []PeerStatus
 }
@@ -339,7 +339,7 @@
 func (n *Node) Status() Status {
 	s := Status{
 		ID: n.options.ID, Role: n.role, Term: n.hard.Term, Leader: n.leader, Last: n.log.lastIndex(),
-		Commit: n.log.commitIndex, Applied: n.log.appliedIndex, Base: n.log.snapshot, Members: n.membership.members(),
+		Commit: n.log.commitIndex, AppliedIndex: n.log.appliedIndex, Snapshot: n.log.snapshot, Members: n.membership.members(),
 	}
 	for _, m := range s.Members {
 		if p := n.leaderState.peers[m.ID]; p != nil {
--- a/core/consensus/node_test.go
+++ b/core/consensus/node_test.go
@@ -11,7 +11,7 @@
 		ID: id, ElectionTicks: 12, HeartbeatTicks: 2, LeaseTicks: 9, ResendTicks: 6, AppendBytes: 1 << 10,
 		Inflight: 4, UncommittedBytes: 100, ChunkBytes: 10, Random: func(uint64) uint64 { return 0 },
 	}
-	return New(opt, Saved{Hard: Hard{Term: 1}, Meta: Meta{Index: 1, Term: 1, Members: members}}, 0)
+	return New(opt, StoredState{HardState: Hard{Term: 1}, Meta: Meta{Index: 1, Term: 1, Members: members}}, 0)
 }
 
 func threeVoters() []Member {
@@ -55,7 +55,7 @@
 	n.Advance(13)
 	n.Step(Message{Kind: Vote, From: 2, To: 1, Term: 5, Index: 1, LogTerm: 1})
 	e := n.Effects()
-	require.Equal(t, &Hard{Term: 5, Vote: 2}, e.Hard)
+	require.Equal(t, &Hard{Term: 5, VotedFor: 2}, e.Hard)
 	require.Empty(t, e.Early)
 	require.Len(t, e.Late, 1)
 }
@@ -85,7 +85,7 @@
 func newRestartedNode(id, leader ID) *Node {
 	n := testNode(id, threeVoters()...)
 	n.hard.Leader = leader
-	return New(n.options, Saved{Hard: n.hard, Meta: Meta{Index: 1, Term: 1, Members: threeVoters()}}, 0)
+	return New(n.options, StoredState{HardState: n.hard, Meta: Meta{Index: 1, Term: 1, Members: threeVoters()}}, 0)
 }
 
 // All replicas restart at the same time. The others must not wait for the lease
@@ -155,13 +155,13 @@
 }
 
 func TestDecodesHardStateWithoutLeader(t *testing.T) {
-	data := EncodeHard(Hard{Term: 7, Vote: 3, Leader: 2})
-	h, err := DecodeHard(data)
+	data := EncodeHardState(Hard{Term: 7, VotedFor: 3, Leader: 2})
+	h, err := DecodeHardState(data)
 	require.NoError(t, err)
-	require.Equal(t, Hard{Term: 7, Vote: 3, Leader: 2}, h)
-	h, err = DecodeHard(data[:len(data)-1])
+	require.Equal(t, Hard{Term: 7, VotedFor: 3, Leader: 2}, h)
+	h, err = DecodeHardState(data[:len(data)-1])
 	require.NoError(t, err)
-	require.Equal(t, Hard{Term: 7, Vote: 3}, h)
+	require.Equal(t, Hard{Term: 7, VotedFor: 3}, h)
 }
 
 func TestLeaseExpiresBeforeNextElection(t *testing.T) {
--- a/core/consensus/types.go
+++ b/core/consensus/types.go
@@ -55,8 +55,8 @@
 // Hard is the state that a node must persist before it answers messages
 // (Raft's hard state, without the log).
 type Hard struct {
-	Term uint64
-	Vote ID
+	Term     uint64
+	VotedFor ID
 	// Leader is the leader of Term, zero until it is known. This node may have
 	// confirmed its lease.
 	Leader ID
@@ -77,11 +77,11 @@
 	Data []byte
 }
 
-// Saved is the state read from disk when a node starts.
-type Saved struct {
-	Hard    Hard
-	Meta    Meta
-	Entries []Entry
+// StoredState is the state read from disk when a node starts.
+type StoredState struct {
+	HardState Hard
+	Meta      Meta
+	Entries   []Entry
 }
 
 // MessageKind is the type of a message.
--- a/core/member/gossip.go
+++ b/core/member/gossip.go
@@ -12,7 +12,7 @@
 	out := []State{m.self}
 	taken := map[string]bool{}
 	add := func(e *memberRecord) {
-		if len(out) < m.options.Updates && !taken[e.state.Name] {
+		if len(out) < m.options.MaxUpdates && !taken[e.state.Name] {
 			taken[e.state.Name] = true
 			out = append(out, e.state)
 		}
@@ -39,7 +39,7 @@
 		}
 	}
 	slices.SortStableFunc(out, func(a, b *memberRecord) int { return b.transmitsLeft - a.transmitsLeft })
-	return out[:min(len(out), m.options.Updates-2)]
+	return out[:min(len(out), m.options.MaxUpdates-2)]
 }
 
 func (m *Machine) mergeAll(now time.Duration, states []State) {
@@ -57,7 +57,7 @@
 // refuted, so that the two daemons do not outbid each other.
 func (m *Machine) refute(s State) {
 	if s.Info.Peers != m.self.Info.Peers {
-		m.changes = append(m.changes, Change{State: s, Conflict: s.Status.Live(), Known: true})
+		m.events = append(m.events, Event{State: s, Conflict: s.Status.IsLive(), Known: true})
 		return
 	}
 	if m.self.Status == Left {
@@ -78,17 +78,17 @@
 	}
 	if s.supersedes(e.state) {
 		if s.Status != e.state.Status || s.Info.Peers != e.state.Info.Peers {
-			m.changes = append(m.changes, Change{State: s, Before: e.state.Status, Known: true})
+			m.events = append(m.events, Event{State: s, PreviousStatus: e.state.Status, Known: true})
 		}
 		if s.Status != e.state.Status {
 			e.statusSince = now
 		}
 		e.state = s
-		e.transmitsLeft = Spread(len(m.names) + 1)
+		e.transmitsLeft = TransmitLimit(len(m.names) + 1)
 		return
 	}
-	if s.Incarnation == e.state.Incarnation && s.Beat > e.state.Beat {
-		e.state.Beat, e.state.Info = s.Beat, s.Info
+	if s.Incarnation == e.state.Incarnation && s.InfoVersion > e.state.InfoVersion {
+		e.state.InfoVersion, e.state.Info = s.InfoVersion, s.Info
 	}
 }
 
@@ -98,6 +98,6 @@
 	}
 	i, _ := slices.BinarySearch(m.names, s.Name)
 	m.names = slices.Insert(m.names, i, s.Name)
-	m.known[s.Name] = &memberRecord{state: s, statusSince: now, transmitsLeft: Spread(len(m.names) + 1)}
-	m.changes = append(m.changes, Change{State: s})
+	m.known[s.Name] = &memberRecord{state: s, statusSince: now, transmitsLeft: TransmitLimit(len(m.names) + 1)}
+	m.events = append(m.events, Event{State: s})
 }
--- a/core/member/machine.go
+++ b/core/member/machine.go
@@ -48,7 +48,7 @@
 	probeOrder []string
 	pending    map[uint64]pendingRequest
 	nextID     uint64
-	changes    []Change
+	events     []Event
 
 	hasJoined bool
 	// listingsLeft is how often the list is still to be read again after
@@ -75,32 +75,32 @@
 // Self returns the daemon's own state.
 func (m *Machine) Self() State { return m.self }
 
-// Update replaces the daemon's own Info. A change of Leaving raises the
+// Update replaces the daemon's own Info. A change of IsLeaving raises the
 // incarnation, so that all daemons pass it on; other changes spread with the
 // daemon's own messages only.
 func (m *Machine) Update(i Info) {
 	if i == m.self.Info {
 		return
 	}
-	if i.Leaving != m.self.Info.Leaving {
+	if i.IsLeaving != m.self.Info.IsLeaving {
 		m.raiseIncarnation(m.self.Incarnation)
 	}
-	m.self.Beat++
+	m.self.InfoVersion++
 	m.self.Info = i
 }
 
-// Leave sets the daemon's own status to Left. Send the requests of Farewell to
+// Leave sets the daemon's own status to Left. Send the result of LeaveRequests to
 // announce it.
 func (m *Machine) Leave() {
 	m.raiseIncarnation(m.self.Incarnation)
 	m.self.Status = Left
 }
 
-// Farewell returns the last requests of a daemon that has left. Their outcomes
+// LeaveRequests returns the last requests of a daemon that has left. Their outcomes
 // need not be reported.
-func (m *Machine) Farewell() []Request {
+func (m *Machine) LeaveRequests() []Request {
 	out := []Request{}
-	for range m.options.Relays {
+	for range m.options.MaxRelays {
 		if n, ok := m.nextRandom(); ok {
 			out = append(out, m.newDirectProbe(n))
 		}
@@ -112,7 +112,7 @@
 // one.
 func (m *Machine) raiseIncarnation(above uint64) {
 	m.self.Incarnation = max(m.self.Incarnation, above) + 1
-	m.self.Beat = 0
+	m.self.InfoVersion = 0
 }
 
 // Members returns the known daemons, sorted by name, without this one.
@@ -133,10 +133,10 @@
 	return e.state, true
 }
 
-// Changes returns the events since the last call.
-func (m *Machine) Changes() []Change {
-	out := m.changes
-	m.changes = nil
+// Events returns the events since the last call.
+func (m *Machine) Events() []Event {
+	out := m.events
+	m.events = nil
 	return out
 }
 
@@ -145,11 +145,11 @@
 	m.expireStates(now)
 	out := []Request{}
 	if now >= m.nextProbeAt {
-		m.nextProbeAt = now + m.options.Period
+		m.nextProbeAt = now + m.options.ProbeInterval
 		out = append(out, m.probeRound()...)
 	}
 	if now >= m.nextRejoinAt {
-		m.nextRejoinAt = now + m.options.Rejoin
+		m.nextRejoinAt = now + m.options.RejoinInterval
 		out = append(out, m.rejoin()...)
 	}
 	return out
@@ -162,11 +162,11 @@
 		e := m.known[n]
 		age := now - e.statusSince
 		switch {
-		case e.state.Status == Suspect && age >= m.options.Suspicion:
+		case e.state.Status == Suspect && age >= m.options.SuspicionTimeout:
 			s := e.state
 			s.Status = Dead
 			m.merge(now, s)
-		case !e.state.Status.Live() && age >= m.options.Forget:
+		case !e.state.Status.IsLive() && age >= m.options.DeadRetention:
 			m.remove(n)
 		}
 	}
@@ -206,7 +206,7 @@
 	start, _ := slices.BinarySearch(m.names, m.self.Name)
 	for i := range m.names {
 		n := m.names[(start+i)%len(m.names)]
-		if m.known[n].state.Status.Live() {
+		if m.known[n].state.Status.IsLive() {
 			return n, true
 		}
 	}
@@ -220,7 +220,7 @@
 		for len(m.probeOrder) > 0 {
 			n := m.probeOrder[len(m.probeOrder)-1]
 			m.probeOrder = m.probeOrder[:len(m.probeOrder)-1]
-			if e, ok := m.known[n]; ok && e.state.Status.Live() {
+			if e, ok := m.known[n]; ok && e.state.Status.IsLive() {
 				return n, true
 			}
 		}
@@ -256,12 +256,12 @@
 func (m *Machine) isReachable(address string) bool {
 	return slices.ContainsFunc(m.names, func(n string) bool {
 		s := m.known[n].state
-		return s.Status.Live() && s.Info.Peers == address
+		return s.Status.IsLive() && s.Info.Peers == address
 	})
 }
 
 func (m *Machine) newJoin(address, after string) Request {
-	r := m.newRequest(address, m.options.Direct, "", pendingRequest{isJoin: true})
+	r := m.newRequest(address, m.options.DirectTimeout, "", pendingRequest{isJoin: true})
 	r.Join = true
 	r.After = after
 	return r
@@ -269,7 +269,7 @@
 
 func (m *Machine) newDirectProbe(name string) Request {
 	p := pendingRequest{probe: &probe{target: name, outstanding: 1}}
-	return m.newRequest(m.known[name].state.Info.Peers, m.options.Direct, name, p)
+	return m.newRequest(m.known[name].state.Info.Peers, m.options.DirectTimeout, name, p)
 }
 
 func (m *Machine) newRequest(address string, timeout time.Duration, receiver string, p pendingRequest) Request {
@@ -279,23 +279,23 @@
 }
 
 // Receive processes a request and returns its reply. If the second result is
-// not nil, the caller must send that request first and set the reply's Alive to
-// whether it was answered.
+// not nil, the caller must send that request first and set the reply's
+// TargetAlive to whether it was answered.
 func (m *Machine) Receive(now time.Duration, r Request) (Reply, *Request) {
 	m.mergeAll(now, r.Updates)
-	reply := Reply{Alive: true, Updates: m.selectUpdates(senderName(r.Updates))}
+	reply := Reply{TargetAlive: true, Updates: m.selectUpdates(senderName(r.Updates))}
 	if r.Join {
 		m.addPage(&reply, r.After)
 	}
 	if r.Target == "" || r.Target == m.self.Name {
 		return reply, nil
 	}
-	reply.Alive = false
+	reply.TargetAlive = false
 	e, ok := m.known[r.Target]
 	if !ok {
 		return reply, nil
 	}
-	return reply, &Request{To: e.state.Info.Peers, Timeout: m.options.Direct, Updates: m.selectUpdates(r.Target)}
+	return reply, &Request{To: e.state.Info.Peers, Timeout: m.options.DirectTimeout, Updates: m.selectUpdates(r.Target)}
 }
 
 func senderName(updates []State) string {
@@ -311,7 +311,7 @@
 	if found {
 		i++
 	}
-	end := min(len(m.names), i+m.options.Page)
+	end := min(len(m.names), i+m.options.MaxPageMembers)
 	for _, n := range m.names[i:end] {
 		reply.Updates = append(reply.Updates, m.known[n].state)
 	}
@@ -338,7 +338,7 @@
 	}
 	m.mergeAll(now, r.Updates)
 	isOtherDaemon := !p.probe.isIndirect && senderName(r.Updates) != p.probe.target
-	if !r.Alive || isOtherDaemon {
+	if !r.TargetAlive || isOtherDaemon {
 		return m.Failed(now, id)
 	}
 	delete(m.pending, id)
@@ -376,8 +376,8 @@
 	})
 	m.rng.Shuffle(len(relays), func(i, j int) { relays[i], relays[j] = relays[j], relays[i] })
 	out := []Request{}
-	for _, n := range relays[:min(len(relays), m.options.Relays)] {
-		r := m.newRequest(m.known[n].state.Info.Peers, m.options.Indirect, n, pendingRequest{probe: p})
+	for _, n := range relays[:min(len(relays), m.options.MaxRelays)] {
+		r := m.newRequest(m.known[n].state.Info.Peers, m.options.IndirectTimeout, n, pendingRequest{probe: p})
 		r.Target = p.target
 		out = append(out, r)
 	}
--- a/core/member/machine_test.go
+++ b/core/member/machine_test.go
@@ -65,7 +65,7 @@
 	for i := range n {
 		w.start(fmt.Sprintf("d%03d", i), uint64(100+i), "d000")
 	}
-	w.run(w.opt.SpreadBound(n) + 3*w.opt.Rejoin)
+	w.run(w.opt.MaxDisseminationTime(n) + 3*w.opt.RejoinInterval)
 	for _, name := range w.names {
 		require.Len(t, w.liveNames(name), n-1, "%s", name)
 	}
@@ -75,7 +75,7 @@
 func (w *testNetwork) liveNames(at string) []string {
 	out := []string{}
 	for _, s := range w.machines[at].Members() {
-		if s.Status.Live() {
+		if s.Status.IsLive() {
 			out = append(out, s.Name)
 		}
 	}
@@ -124,7 +124,7 @@
 	reply, relay := m.Receive(w.now, r)
 	if relay != nil {
 		answer, ok := w.call(r.To, *relay)
-		reply.Alive = ok && answer.Alive
+		reply.TargetAlive = ok && answer.TargetAlive
 	}
 	w.messages++
 	w.states += len(reply.Updates)
@@ -136,7 +136,7 @@
 		w := newConvergedNetwork(t, n)
 		victim := w.names[n/2]
 		w.machines[victim] = nil
-		w.run(w.opt.SpreadBound(n))
+		w.run(w.opt.MaxDisseminationTime(n))
 		for _, name := range w.names {
 			if w.machines[name] == nil {
 				continue
@@ -153,7 +153,7 @@
 	w.run(time.Minute)
 	for _, name := range w.names {
 		require.Len(t, w.liveNames(name), 8)
-		require.EqualValues(t, 0, w.machines[name].Self().Beat)
+		require.EqualValues(t, 0, w.machines[name].Self().InfoVersion)
 	}
 }
 
@@ -169,11 +169,11 @@
 func TestSuspectRefutesSuspicion(t *testing.T) {
 	w := newConvergedNetwork(t, 2)
 	w.isLost = func(string, string) bool { return true }
-	w.run(w.opt.Period + w.opt.Direct + tickInterval)
+	w.run(w.opt.ProbeInterval + w.opt.DirectTimeout + tickInterval)
 	s, _ := w.machines["d000"].Find("d001")
 	require.Equal(t, Suspect, s.Status)
 	w.isLost = func(string, string) bool { return false }
-	w.run(w.opt.Suspicion)
+	w.run(w.opt.SuspicionTimeout)
 	s, _ = w.machines["d000"].Find("d001")
 	require.Equal(t, Alive, s.Status)
 	require.Greater(t, s.Incarnation, uint64(101))
@@ -186,7 +186,7 @@
 	require.Empty(t, w.liveNames("d004"))
 	require.Len(t, w.liveNames("d000"), 7)
 	w.isLost = func(string, string) bool { return false }
-	w.run(w.opt.Rejoin + w.opt.SpreadBound(9))
+	w.run(w.opt.RejoinInterval + w.opt.MaxDisseminationTime(9))
 	for _, name := range w.names {
 		require.Len(t, w.liveNames(name), 8, "%s", name)
 	}
@@ -195,14 +195,14 @@
 func TestRestartRaisesIncarnation(t *testing.T) {
 	w := newConvergedNetwork(t, 3)
 	w.start("d002", 900, "d000")
-	w.run(w.opt.SpreadBound(3))
+	w.run(w.opt.MaxDisseminationTime(3))
 	for _, name := range []string{"d000", "d001"} {
 		s, _ := w.machines[name].Find("d002")
 		require.EqualValues(t, 900, s.Incarnation)
 	}
 	// A clock that was set back gives a lower incarnation at the next start.
 	w.start("d002", 50, "d000")
-	w.run(w.opt.SpreadBound(3))
+	w.run(w.opt.MaxDisseminationTime(3))
 	s, _ := w.machines["d001"].Find("d002")
 	require.Greater(t, s.Incarnation, uint64(900))
 }
@@ -212,13 +212,13 @@
 	duplicate := New(State{Name: "d002", Incarnation: 900, Info: Info{Peers: "x"}}, []string{"d000"}, w.opt, rand.New(rand.NewPCG(1, 1)))
 	w.machines["x"] = duplicate
 	w.names = append(w.names, "x")
-	w.run(w.opt.SpreadBound(3))
+	w.run(w.opt.MaxDisseminationTime(3))
 	require.Condition(t, func() bool { return hasConflict(duplicate) || hasConflict(w.machines["d002"]) })
 	require.Less(t, duplicate.Self().Incarnation, uint64(910), "daemons with the same name must not outbid each other")
 }
 
 func hasConflict(m *Machine) bool {
-	for _, c := range m.Changes() {
+	for _, c := range m.Events() {
 		if c.Conflict {
 			return true
 		}
@@ -230,7 +230,7 @@
 	w := newTestNetwork()
 	w.start("a", 1, "gone", "b")
 	w.start("b", 2, "gone")
-	w.run(w.opt.SpreadBound(2) + w.opt.Rejoin)
+	w.run(w.opt.MaxDisseminationTime(2) + w.opt.RejoinInterval)
 	require.Equal(t, []string{"b"}, w.liveNames("a"))
 	require.Equal(t, []string{"a"}, w.liveNames("b"))
 }
@@ -239,17 +239,17 @@
 	w := newConvergedNetwork(t, 9)
 	m := w.machines["d003"]
 	i := m.Self().Info
-	i.Leaving = true
+	i.IsLeaving = true
 	m.Update(i)
 	w.run(2 * time.Second)
 	for _, name := range w.names {
 		if s, ok := w.machines[name].Find("d003"); ok {
-			require.True(t, s.Info.Leaving, "%s", name)
+			require.True(t, s.Info.IsLeaving, "%s", name)
 			require.Equal(t, Alive, s.Status)
 		}
 	}
 	m.Leave()
-	w.send("d003", m.Farewell())
+	w.send("d003", m.LeaveRequests())
 	w.machines["d003"] = nil
 	w.run(2 * time.Second)
 	s, _ := w.machines["d000"].Find("d003")
@@ -258,12 +258,12 @@
 
 func TestJoinReadsAllPages(t *testing.T) {
 	w := newConvergedNetwork(t, 20)
-	w.opt.Page = 7
+	w.opt.MaxPageMembers = 7
 	for _, m := range w.machines {
-		m.options.Page = 7
+		m.options.MaxPageMembers = 7
 	}
 	w.start("new", 1, "d000")
-	w.run(4 * w.opt.Period)
+	w.run(4 * w.opt.ProbeInterval)
 	require.Len(t, w.liveNames("new"), 20)
 }
 
@@ -280,9 +280,9 @@
 	require.InEpsilon(t, m9, m100, 0.15)
 	require.InEpsilon(t, s9, s100, 0.25)
 	o := Defaults()
-	bound := 4 * float64(time.Second/o.Period)
+	bound := 4 * float64(time.Second/o.ProbeInterval)
 	require.LessOrEqual(t, m100, bound)
-	require.LessOrEqual(t, s100, bound*float64(o.Updates))
+	require.LessOrEqual(t, s100, bound*float64(o.MaxUpdates))
 }
 
 // After any sequence of partitions, one-way failures, restarts and deaths, each
@@ -294,7 +294,7 @@
 		for i := range n {
 			w.start(fmt.Sprintf("d%d", i), uint64(i+1), "d0", "d1")
 		}
-		w.run(w.opt.SpreadBound(n))
+		w.run(w.opt.MaxDisseminationTime(n))
 		for range rapid.IntRange(1, 4).Draw(t, "faults") {
 			victim := rapid.SampledFrom(w.names).Draw(t, "victim")
 			other := rapid.SampledFrom(w.names).Draw(t, "other")
@@ -313,7 +313,7 @@
 			w.run(time.Duration(rapid.IntRange(1, 100).Draw(t, "steps")) * tickInterval)
 		}
 		w.isLost = func(string, string) bool { return false }
-		w.run(time.Duration(n)*w.opt.Rejoin + w.opt.SpreadBound(n))
+		w.run(time.Duration(n)*w.opt.RejoinInterval + w.opt.MaxDisseminationTime(n))
 		want := []string{}
 		for _, name := range w.names {
 			if w.machines[name] != nil {
--- a/core/member/member.go
+++ b/core/member/member.go
@@ -30,8 +30,8 @@
 	return [...]string{"alive", "suspect", "dead", "left"}[min(s, Left)]
 }
 
-// Live reports whether a daemon with the status counts as running.
-func (s Status) Live() bool { return s == Alive || s == Suspect }
+// IsLive reports whether a daemon with the status counts as running.
+func (s Status) IsLive() bool { return s == Alive || s == Suspect }
 
 // Info is what a daemon reports about itself.
 type Info struct {
@@ -44,25 +44,25 @@
 	Upstreams string
 	// Version is the version of the configuration in force.
 	Version uint64
-	// Load is in thousandths of the daemon's capacity.
-	Load uint32
-	// Replica marks a daemon that holds a replica of the control groups.
-	Replica bool
-	// Leaving marks a daemon that drains: it still serves but accepts no new
+	// LoadPermille is the load in thousandths of the daemon's capacity.
+	LoadPermille uint32
+	// HasReplica marks a daemon that holds a replica of the control groups.
+	HasReplica bool
+	// IsLeaving marks a daemon that drains: it still serves but accepts no new
 	// callers.
-	Leaving bool
+	IsLeaving bool
 }
 
 // State is one daemon's state as known to another.
 type State struct {
 	Name string
 	// Incarnation grows with each start of the daemon, each refutation and
-	// each change of Leaving.
+	// each change of IsLeaving.
 	Incarnation uint64
-	// Beat is the version of Info within one incarnation.
-	Beat   uint64
-	Status Status
-	Info   Info
+	// InfoVersion is the version of Info within one incarnation.
+	InfoVersion uint64
+	Status      Status
+	Info        Info
 }
 
 // supersedes reports whether s is newer than known by incarnation or, within
@@ -71,7 +71,7 @@
 	if s.Incarnation != known.Incarnation {
 		return s.Incarnation > known.Incarnation
 	}
-	return s.Status > known.Status && known.Status.Live()
+	return s.Status > known.Status && known.Status.IsLive()
 }
 
 // Request is a message that expects a reply.
@@ -94,77 +94,78 @@
 
 // Reply answers a request.
 type Reply struct {
-	// Alive is set if the target answered.
-	Alive bool
+	// TargetAlive is set if the target answered.
+	TargetAlive bool
 	// Next is the After of the next page; empty at the end of the list.
 	Next string
 	// Updates starts with the replying daemon's own state.
 	Updates []State
 }
 
-// Change is an event for the daemon's log.
-type Change struct {
+// Event is a membership event for the daemon's log.
+type Event struct {
 	State State
-	// Before is the previous status; Known is false for a new daemon.
-	Before Status
-	Known  bool
+	// PreviousStatus is the status before; Known is false for a new daemon.
+	PreviousStatus Status
+	Known          bool
 	// Conflict is set if another daemon uses this daemon's name.
 	Conflict bool
 }
 
 // Options holds the intervals, timeouts and limits of a Machine.
 type Options struct {
-	// Period is the interval between probe rounds.
-	Period time.Duration
-	// Direct is the timeout of a direct probe, Indirect of one through a relay.
-	Direct   time.Duration
-	Indirect time.Duration
-	// Suspicion is the time a suspect has to refute before it is declared dead.
-	Suspicion time.Duration
-	// Rejoin is the interval between attempts to reach lost seeds and dead
+	// ProbeInterval is the interval between probe rounds.
+	ProbeInterval time.Duration
+	// DirectTimeout is the timeout of a direct probe, IndirectTimeout that of
+	// one through a relay.
+	DirectTimeout   time.Duration
+	IndirectTimeout time.Duration
+	// SuspicionTimeout is the time a suspect has to refute before it is declared dead.
+	SuspicionTimeout time.Duration
+	// RejoinInterval is the interval between attempts to reach lost seeds and dead
 	// daemons.
-	Rejoin time.Duration
-	// Forget is how long a dead daemon is kept in the list.
-	Forget time.Duration
-	// Relays is the number of daemons asked to probe one that does not answer.
-	Relays int
-	// Updates limits the states in a message.
-	Updates int
-	// Page limits the members in the reply to a join.
-	Page int
+	RejoinInterval time.Duration
+	// DeadRetention is how long a dead daemon is kept in the list.
+	DeadRetention time.Duration
+	// MaxRelays is the maximum number of daemons asked to probe one that does not answer.
+	MaxRelays int
+	// MaxUpdates limits the states in a message.
+	MaxUpdates int
+	// MaxPageMembers limits the members in the reply to a join.
+	MaxPageMembers int
 }
 
 // Defaults returns the options that daemons use.
 func Defaults() Options {
 	return Options{
-		Period:    500 * time.Millisecond,
-		Direct:    200 * time.Millisecond,
-		Indirect:  300 * time.Millisecond,
-		Suspicion: time.Second,
-		Rejoin:    5 * time.Second,
-		Forget:    time.Hour,
-		Relays:    3,
-		Updates:   6,
-		Page:      128,
+		ProbeInterval:    500 * time.Millisecond,
+		DirectTimeout:    200 * time.Millisecond,
+		IndirectTimeout:  300 * time.Millisecond,
+		SuspicionTimeout: time.Second,
+		RejoinInterval:   5 * time.Second,
+		DeadRetention:    time.Hour,
+		MaxRelays:        3,
+		MaxUpdates:       6,
+		MaxPageMembers:   128,
 	}
 }
 
 // retransmitMultiplier scales the logarithm of the fleet's size.
 const retransmitMultiplier = 3
 
-// Spread returns how often each daemon of a fleet of n sends one update.
-func Spread(n int) int {
+// TransmitLimit returns how often each daemon of a fleet of n sends one update.
+func TransmitLimit(n int) int {
 	return retransmitMultiplier * bits.Len(uint(n))
 }
 
 // DetectBound returns the maximum time from a daemon's death until another
 // daemon declares it dead, if the dead daemon's ring neighbour is live.
 func (o Options) DetectBound() time.Duration {
-	return o.Period + o.Direct + o.Indirect + o.Suspicion + o.Period
+	return o.ProbeInterval + o.DirectTimeout + o.IndirectTimeout + o.SuspicionTimeout + o.ProbeInterval
 }
 
-// SpreadBound returns the time from a daemon's death within which all daemons
+// MaxDisseminationTime returns the time from a daemon's death within which all daemons
 // of a fleet of n know of it.
-func (o Options) SpreadBound(n int) time.Duration {
-	return o.DetectBound() + time.Duration(bits.Len(uint(n)))*o.Period
+func (o Options) MaxDisseminationTime(n int) time.Duration {
+	return o.DetectBound() + time.Duration(bits.Len(uint(n)))*o.ProbeInterval
 }
--- a/internal/member/codec.go
+++ b/internal/member/codec.go
@@ -22,11 +22,11 @@
 
 // EncodeReply converts a reply to its RPC message.
 func EncodeReply(r member.Reply) *rpc.ProbeReply {
-	return &rpc.ProbeReply{Alive: r.Alive, Next: r.Next, Updates: encodeStates(r.Updates)}
+	return &rpc.ProbeReply{Alive: r.TargetAlive, Next: r.Next, Updates: encodeStates(r.Updates)}
 }
 
 func decodeReply(r *rpc.ProbeReply) member.Reply {
-	return member.Reply{Alive: r.Alive, Next: r.Next, Updates: decodeStates(r.Updates)}
+	return member.Reply{TargetAlive: r.Alive, Next: r.Next, Updates: decodeStates(r.Updates)}
 }
 
 func encodeStates(states []member.State) []*rpc.MemberState {
@@ -34,9 +34,9 @@
 	for _, s := range states {
 		i := s.Info
 		out = append(out, &rpc.MemberState{
-			Name: s.Name, Incarnation: s.Incarnation, Beat: s.Beat, Status: uint32(s.Status),
+			Name: s.Name, Incarnation: s.Incarnation, Beat: s.InfoVersion, Status: uint32(s.Status),
 			Region: i.Region, DataCentre: i.DataCentre, PeerAddress: i.Peers, CallerAddress: i.Callers, UpstreamAddress: i.Upstreams,
-			ConfigVersion: i.Version, LoadPermille: i.Load, Replica: i.Replica, Leaving: i.Leaving,
+			ConfigVersion: i.Version, LoadPermille: i.LoadPermille, Replica: i.HasReplica, Leaving: i.IsLeaving,
 		})
 	}
 	return out
@@ -50,10 +50,10 @@
 			continue
 		}
 		out = append(out, member.State{
-			Name: s.Name, Incarnation: s.Incarnation, Beat: s.Beat, Status: member.Status(s.Status),
+			Name: s.Name, Incarnation: s.Incarnation, InfoVersion: s.Beat, Status: member.Status(s.Status),
 			Info: member.Info{
 				Region: s.Region, DataCentre: s.DataCentre, Peers: s.PeerAddress, Callers: s.CallerAddress, Upstreams: s.UpstreamAddress,
-				Version: s.ConfigVersion, Load: s.LoadPermille, Replica: s.Replica, Leaving: s.Leaving,
+				Version: s.ConfigVersion, LoadPermille: s.LoadPermille, HasReplica: s.Replica, IsLeaving: s.Leaving,
 			},
 		})
 	}
@@ -67,6 +67,6 @@
 	i := s.Info
 	return port.Member{
 		Name: s.Name, Region: i.Region, DataCentre: i.DataCentre, Peers: i.Peers, Callers: i.Callers, Upstreams: i.Upstreams,
-		Version: i.Version, Load: float64(i.Load) / loadScale, Replica: i.Replica, Leaving: i.Leaving,
+		Version: i.Version, Load: float64(i.LoadPermille) / loadScale, Replica: i.HasReplica, Leaving: i.IsLeaving,
 	}
 }
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -132,7 +132,7 @@
 func (s *Service) localInfo(version uint64, load uint32) member.Info {
 	return member.Info{
 		Region: s.settings.Region, DataCentre: s.settings.DataCentre, Peers: s.settings.Addresses.Peers, Callers: s.settings.Addresses.Callers,
-		Upstreams: s.settings.Addresses.Upstreams, Replica: s.settings.HasRole(settings.Replica), Version: version, Load: load, Leaving: s.isLeaving,
+		Upstreams: s.settings.Addresses.Upstreams, HasReplica: s.settings.HasRole(settings.Replica), Version: version, LoadPermille: load, IsLeaving: s.isLeaving,
 	}
 }
 
@@ -192,7 +192,7 @@
 	s.mu.Unlock()
 	if relay != nil {
 		answer, err := s.call(ctx, *relay)
-		reply.Alive = err == nil && answer.Alive
+		reply.TargetAlive = err == nil && answer.TargetAlive
 	}
 	out := EncodeReply(reply)
 	s.metrics.recordSent(proto.Size(out))
@@ -201,7 +201,7 @@
 
 // logChanges logs membership changes. The caller holds mu.
 func (s *Service) logChanges() {
-	for _, c := range s.machine.Changes() {
+	for _, c := range s.machine.Events() {
 		if c.Conflict {
 			s.reportConflict(c.State.Info.Peers)
 			continue
@@ -235,7 +235,7 @@
 	defer s.mu.Unlock()
 	out := []port.Member{toPortMember(s.machine.Self())}
 	for _, m := range s.machine.Members() {
-		if m.Status.Live() {
+		if m.Status.IsLive() {
 			out = append(out, toPortMember(m))
 		}
 	}
@@ -251,7 +251,7 @@
 		return toPortMember(s.machine.Self()), true
 	}
 	m, ok := s.machine.Find(name)
-	return toPortMember(m), ok && m.Status.Live()
+	return toPortMember(m), ok && m.Status.IsLive()
 }
 
 // Announce tells the other daemons that this one drains and accepts no new
@@ -261,7 +261,7 @@
 	defer s.mu.Unlock()
 	s.isLeaving = true
 	i := s.machine.Self().Info
-	i.Leaving = true
+	i.IsLeaving = true
 	s.machine.Update(i)
 }
 
@@ -271,7 +271,7 @@
 	s.goroutines.Wait()
 	s.mu.Lock()
 	s.machine.Leave()
-	requests := s.machine.Farewell()
+	requests := s.machine.LeaveRequests()
 	s.mu.Unlock()
 	leaving := sync.WaitGroup{}
 	for _, r := range requests {
@@ -306,7 +306,7 @@
 	defer s.mu.Unlock()
 	out := []memberDump{}
 	for _, m := range append(s.machine.Members(), s.machine.Self()) {
-		out = append(out, memberDump{Name: m.Name, Status: m.Status.String(), Incarnation: m.Incarnation, Address: m.Info.Peers, Leaving: m.Info.Leaving})
+		out = append(out, memberDump{Name: m.Name, Status: m.Status.String(), Incarnation: m.Incarnation, Address: m.Info.Peers, Leaving: m.Info.IsLeaving})
 	}
 	return out
 }
--- a/internal/wal/errors.go
+++ b/internal/wal/errors.go
@@ -15,15 +15,15 @@
 	return fmt.Sprintf("%s at offset %d: %s; move the folder away and start the daemon again: it rejoins from the other replicas; a single replica needs a backup, see docs/operations/replicas.md", e.File, e.Offset, e.Reason)
 }
 
-// ForeignError reports that a data folder belongs to another daemon or group,
+// ForeignFolderError reports that a data folder belongs to another daemon or group,
 // or holds other files.
-type ForeignError struct {
+type ForeignFolderError struct {
 	File   string
 	Reason string
 }
 
 // Error names the remedy.
-func (e *ForeignError) Error() string {
+func (e *ForeignFolderError) Error() string {
 	return fmt.Sprintf("%s: %s; point data_folder at this daemon's own folder, or at an empty one", e.File, e.Reason)
 }
 
--- a/internal/wal/load.go
+++ b/internal/wal/load.go
@@ -33,7 +33,7 @@
 		b = b[1+n+int(size):]
 		switch kind {
 		case recordHard:
-			h, err := consensus.DecodeHard(data)
+			h, err := consensus.DecodeHardState(data)
 			if err != nil {
 				return out, err
 			}
@@ -64,7 +64,7 @@
 	for i, name := range segments {
 		number, err := strconv.ParseUint(strings.TrimSuffix(name, segmentSuffix), 10, 64)
 		if err != nil {
-			return nil, &ForeignError{File: l.disk.Path(name), Reason: "the segment's name is not a number"}
+			return nil, &ForeignFolderError{File: l.disk.Path(name), Reason: "the segment's name is not a number"}
 		}
 		l.segments = append(l.segments, segment{number: number})
 		entries, err = l.loadSegment(name, i == len(segments)-1, entries)
--- a/internal/wal/snapshot.go
+++ b/internal/wal/snapshot.go
@@ -16,7 +16,7 @@
 // EncodeSnapshot returns the on-disk encoding of a snapshot, which backups use
 // too.
 func EncodeSnapshot(s consensus.Snapshot) []byte {
-	return appendFrame(appendFrame(nil, 0, consensus.EncodeMeta(s.Meta)), 1, s.Data)
+	return appendFrame(appendFrame(nil, 0, consensus.EncodeSnapshotMeta(s.Meta)), 1, s.Data)
 }
 
 // DecodeSnapshot decodes EncodeSnapshot's output. It returns a *CorruptError for
@@ -30,7 +30,7 @@
 	if !ok || body.end != len(b) {
 		return consensus.Snapshot{}, &CorruptError{File: path, Offset: int64(head.end), Reason: "the snapshot's data is damaged"}
 	}
-	meta, err := consensus.DecodeMeta(head.payload)
+	meta, err := consensus.DecodeSnapshotMeta(head.payload)
 	if err != nil || meta.Size != uint64(len(body.payload)) {
 		return consensus.Snapshot{}, &CorruptError{File: path, Reason: "the snapshot's head is not readable"}
 	}
@@ -74,6 +74,6 @@
 
 // ReadSnapshot reads length bytes of a snapshot's data from an offset.
 func (l *Log) ReadSnapshot(meta consensus.Meta, offset, length uint64) ([]byte, error) {
-	head := 2*frameHeaderBytes + len(consensus.EncodeMeta(meta))
+	head := 2*frameHeaderBytes + len(consensus.EncodeSnapshotMeta(meta))
 	return l.disk.ReadAt(snapshotName(meta.Index), int64(head)+int64(offset), int(length))
 }
--- a/internal/wal/wal.go
+++ b/internal/wal/wal.go
@@ -73,39 +73,39 @@
 
 // Open locks and reads a data folder. An empty folder is initialized for the
 // group and daemon with newID. Open returns the log, the stored state and the
-// snapshot's data. The error may be a *LockedError, *ForeignError,
+// snapshot's data. The error may be a *LockedError, *ForeignFolderError,
 // *CorruptError or *DiskError.
-func Open(disk Disk, group, daemon string, newID consensus.ID) (*Log, consensus.Saved, []byte, error) {
+func Open(disk Disk, group, daemon string, newID consensus.ID) (*Log, consensus.StoredState, []byte, error) {
 	unlock, err := disk.Lock()
 	if err != nil {
-		return nil, consensus.Saved{}, nil, err
+		return nil, consensus.StoredState{}, nil, err
 	}
 	l := &Log{SegmentBytes: defaultSegmentBytes, disk: disk, unlock: unlock}
 	saved, data, err := l.load(group, daemon, newID)
 	if err != nil {
 		_ = unlock()
-		return nil, consensus.Saved{}, nil, err
+		return nil, consensus.StoredState{}, nil, err
 	}
 	return l, saved, data, nil
 }
 
-func (l *Log) load(group, daemon string, newID consensus.ID) (consensus.Saved, []byte, error) {
+func (l *Log) load(group, daemon string, newID consensus.ID) (consensus.StoredState, []byte, error) {
 	names, err := l.disk.List()
 	if err != nil {
-		return consensus.Saved{}, nil, err
+		return consensus.StoredState{}, nil, err
 	}
 	if err := l.loadIdentity(names, Identity{Version: identityVersion, Group: group, Daemon: daemon, ID: newID}); err != nil {
-		return consensus.Saved{}, nil, err
+		return consensus.StoredState{}, nil, err
 	}
 	meta, data, err := l.loadSnapshot(names)
 	if err != nil {
-		return consensus.Saved{}, nil, err
+		return consensus.StoredState{}, nil, err
 	}
 	entries, err := l.loadSegments(names)
 	if err != nil {
-		return consensus.Saved{}, nil, err
+		return consensus.StoredState{}, nil, err
 	}
-	saved := consensus.Saved{Hard: l.hard, Meta: meta, Entries: entriesAfter(entries, meta)}
+	saved := consensus.StoredState{HardState: l.hard, Meta: meta, Entries: entriesAfter(entries, meta)}
 	return saved, data, l.rewriteTail()
 }
 
@@ -141,7 +141,7 @@
 	}
 	have := l.identity
 	if have.Version != want.Version || have.Group != want.Group || have.Daemon != want.Daemon {
-		return &ForeignError{File: path, Reason: fmt.Sprintf("the folder is group %q of daemon %q in layout %d, not group %q of daemon %q in layout %d", have.Group, have.Daemon, have.Version, want.Group, want.Daemon, want.Version)}
+		return &ForeignFolderError{File: path, Reason: fmt.Sprintf("the folder is group %q of daemon %q in layout %d, not group %q of daemon %q in layout %d", have.Group, have.Daemon, have.Version, want.Group, want.Daemon, want.Version)}
 	}
 	return nil
 }
@@ -149,7 +149,7 @@
 func (l *Log) writeIdentity(names []string, id Identity) error {
 	for _, n := range names {
 		if n != lockName && !strings.HasSuffix(n, tempSuffix) {
-			return &ForeignError{File: l.disk.Path(n), Reason: "the folder is not empty, yet has no identity"}
+			return &ForeignFolderError{File: l.disk.Path(n), Reason: "the folder is not empty, yet has no identity"}
 		}
 	}
 	payload, err := json.Marshal(id)
@@ -224,7 +224,7 @@
 	payload := []byte{}
 	if hard != nil {
 		l.hard = *hard
-		payload = appendRecord(payload, recordHard, consensus.EncodeHard(*hard))
+		payload = appendRecord(payload, recordHard, consensus.EncodeHardState(*hard))
 	}
 	for _, e := range entries {
 		payload = appendRecord(payload, recordEntry, consensus.EncodeEntry(e))
@@ -254,7 +254,7 @@
 func (l *Log) rotate() error {
 	next := segment{number: l.tail().number + 1}
 	l.sequence++
-	b := appendFrame(nil, l.sequence, appendRecord(nil, recordHard, consensus.EncodeHard(l.hard)))
+	b := appendFrame(nil, l.sequence, appendRecord(nil, recordHard, consensus.EncodeHardState(l.hard)))
 	if err := l.writeFile(next.name(), b); err != nil {
 		return err
 	}
--- a/internal/wal/wal_test.go
+++ b/internal/wal/wal_test.go
@@ -18,7 +18,7 @@
 	return out
 }
 
-func openLog(t *testing.T, folder string) (*Log, consensus.Saved) {
+func openLog(t *testing.T, folder string) (*Log, consensus.StoredState) {
 	t.Helper()
 	l, saved, _, err := Open(Folder(folder), "main", "daemon-1", 7)
 	require.NoError(t, err)
@@ -32,7 +32,7 @@
 	l, _ := openLog(t, folder)
 	l.SegmentBytes = 200
 	for i := uint64(1); i <= 30; i++ {
-		require.NoError(t, l.Save(&consensus.Hard{Term: i, Vote: 7}, entries(1, i, i)))
+		require.NoError(t, l.Save(&consensus.Hard{Term: i, VotedFor: 7}, entries(1, i, i)))
 	}
 	require.NoError(t, l.Close())
 	return folder
@@ -56,7 +56,7 @@
 	folder := newFilledFolder(t)
 	require.Greater(t, len(segments(t, folder)), 3)
 	l, saved := openLog(t, folder)
-	require.Equal(t, consensus.Hard{Term: 30, Vote: 7}, saved.Hard)
+	require.Equal(t, consensus.Hard{Term: 30, VotedFor: 7}, saved.HardState)
 	require.Equal(t, entries(1, 1, 30), saved.Entries)
 	require.NoError(t, l.Save(nil, entries(2, 20, 21)))
 	require.NoError(t, l.Close())
@@ -102,7 +102,7 @@
 
 func TestOpenRejectsForeignFolder(t *testing.T) {
 	folder := newFilledFolder(t)
-	foreign := (*ForeignError)(nil)
+	foreign := (*ForeignFolderError)(nil)
 	_, _, _, err := Open(Folder(folder), "main", "daemon-2", 7)
 	require.ErrorAs(t, err, &foreign)
 	_, _, _, err = Open(Folder(folder), "other", "daemon-1", 7)
@@ -204,7 +204,7 @@
 }
 
 func FuzzDecodeRecords(f *testing.F) {
-	f.Add(appendRecord(appendRecord(nil, recordHard, consensus.EncodeHard(consensus.Hard{Term: 1})), recordEntry, consensus.EncodeEntry(entries(1, 1, 1)[0])))
+	f.Add(appendRecord(appendRecord(nil, recordHard, consensus.EncodeHardState(consensus.Hard{Term: 1})), recordEntry, consensus.EncodeEntry(entries(1, 1, 1)[0])))
 	f.Fuzz(func(_ *testing.T, b []byte) {
 		_, _ = decodeRecords(b)
 	})
