--- a/internal/schedbench/baselines.go
+++ b/internal/schedbench/baselines.go
@@ -5,38 +5,40 @@
 	"time"
 )
 
-// direct is a policy that sends each job to an engine at once; it waits there,
-// first come first served.
-type direct struct {
-	pick func(w *world) *engine
-	tock func(w *world)
+// immediatePolicy assigns each job to an engine on arrival; the job queues
+// there in FIFO order.
+type immediatePolicy struct {
+	selectEngine func(sim *simulation) *engine
+	tickFunc     func(sim *simulation)
 }
 
-func (d *direct) arrive(w *world, j *job) { w.start(j, d.pick(w)) }
+func (p *immediatePolicy) onArrival(sim *simulation, j *job) { sim.start(j, p.selectEngine(sim)) }
 
-func (d *direct) left(*world, *job, *engine) {}
+func (p *immediatePolicy) onEnd(*simulation, *job, *engine) {}
 
-func (d *direct) withdraw(*world, *job) {}
+func (p *immediatePolicy) onAbandon(*simulation, *job) {}
 
-func (d *direct) tick(w *world) {
-	if d.tock != nil {
-		d.tock(w)
+func (p *immediatePolicy) onTick(sim *simulation) {
+	if p.tickFunc != nil {
+		p.tickFunc(sim)
 	}
 }
 
+// roundRobin assigns jobs to the engines in turn.
 func roundRobin(uint64) policy {
 	next := 0
-	return &direct{pick: func(w *world) *engine {
+	return &immediatePolicy{selectEngine: func(sim *simulation) *engine {
 		next++
-		return w.engines[next%len(w.engines)]
+		return sim.engines[next%len(sim.engines)]
 	}}
 }
 
-// leastOutstanding knows every count exactly.
+// leastOutstanding assigns each job to the engine with the fewest outstanding
+// jobs; it reads the current counts without delay.
 func leastOutstanding(uint64) policy {
-	return &direct{pick: func(w *world) *engine {
-		best := w.engines[0]
-		for _, e := range w.engines {
+	return &immediatePolicy{selectEngine: func(sim *simulation) *engine {
+		best := sim.engines[0]
+		for _, e := range sim.engines {
 			if e.outstanding() < best.outstanding() {
 				best = e
 			}
@@ -45,32 +47,32 @@
 	}}
 }
 
-// reportAge is how old the reports are that twoChoices sees.
+// reportAge is the age of the load reports that twoChoices uses.
 const reportAge = 2 * time.Second
 
-// twoChoices takes the less loaded of two random engines by reports of that
-// age.
+// twoChoices assigns each job to the less loaded of two random engines (power
+// of two choices), by load reports that are reportAge old.
 func twoChoices(seed uint64) policy {
 	rng := rand.New(rand.NewPCG(seed, 7))
 	history := [][]int{}
-	kept := int(reportAge / tickEvery)
-	tock := func(w *world) {
+	maxReports := int(reportAge / tickInterval)
+	recordCounts := func(sim *simulation) {
 		counts := []int{}
-		for _, e := range w.engines {
+		for _, e := range sim.engines {
 			counts = append(counts, e.outstanding())
 		}
 		history = append(history, counts)
-		if len(history) > kept {
-			history = history[len(history)-kept:]
+		if len(history) > maxReports {
+			history = history[len(history)-maxReports:]
 		}
 	}
-	pick := func(w *world) *engine {
-		a, b := rng.IntN(len(w.engines)), rng.IntN(len(w.engines))
-		old := history[0]
-		if old[b] < old[a] {
+	selectEngine := func(sim *simulation) *engine {
+		a, b := rng.IntN(len(sim.engines)), rng.IntN(len(sim.engines))
+		reported := history[0]
+		if reported[b] < reported[a] {
 			a = b
 		}
-		return w.engines[a]
+		return sim.engines[a]
 	}
-	return &direct{pick: pick, tock: tock}
+	return &immediatePolicy{selectEngine: selectEngine, tickFunc: recordCounts}
 }
--- a/internal/schedbench/dispatcher.go
+++ b/internal/schedbench/dispatcher.go
@@ -9,142 +9,145 @@
 )
 
 const (
-	// renewEvery is how often engines announce, with reports of their load and
-	// cache events.
-	renewEvery = 500 * time.Millisecond
-	// lease is how long an announcement holds.
-	lease = 2 * time.Second
-	// eventDelay is how late cache events come.
-	eventDelay = 2 * time.Second
-	// eventLoss is the part of cache events that is lost.
-	eventLoss = 0.1
-	// grantDelay is the way of a grant to the entry and on to the engine.
+	// announceInterval is the time between an engine's announcements, which
+	// carry its load report and cache events.
+	announceInterval = 500 * time.Millisecond
+	// announcementLease is how long an announcement is valid.
+	announcementLease = 2 * time.Second
+	// cacheEventDelay is the delivery delay of cache events.
+	cacheEventDelay = 2 * time.Second
+	// cacheEventLossRate is the share of cache events that is lost.
+	cacheEventLossRate = 0.1
+	// grantDelay is how long a grant takes to reach the engine through the entry.
 	grantDelay = 3 * time.Millisecond
-	// entryName is the one entry of the bench.
+	// entryName names the only entry of the simulation.
 	entryName = "entry"
 )
 
-// dispatcher drives core/sched.
-type dispatcher struct {
-	core    *sched.Dispatcher
-	site    site
-	rng     *rand.Rand
-	jobs    map[uint64]*job
-	nextRun time.Duration
-	serial  []uint64
-	last    sched.Dump
+// dispatcherPolicy runs the dispatcher of core/sched as a policy.
+type dispatcherPolicy struct {
+	dispatcher     *sched.Dispatcher
+	site           site
+	rng            *rand.Rand
+	jobs           map[uint64]*job
+	nextAnnounce   time.Duration
+	eventSequences []uint64
+	lastDump       sched.Dump
 }
 
-func newDispatcher(s site, seed uint64, params sched.Params) *dispatcher {
+func newDispatcherPolicy(s site, seed uint64, params sched.Params) *dispatcherPolicy {
 	params.BlockTokens = blockTokens
-	return &dispatcher{
-		core: sched.New(params), site: s,
-		rng: rand.New(rand.NewPCG(seed, 11)), jobs: map[uint64]*job{}, serial: make([]uint64, s.totalEngines()),
+	return &dispatcherPolicy{
+		dispatcher: sched.New(params), site: s,
+		rng: rand.New(rand.NewPCG(seed, 11)), jobs: map[uint64]*job{}, eventSequences: make([]uint64, s.totalEngines()),
 	}
 }
 
 func engineName(id int) string { return fmt.Sprintf("engine-%02d", id) }
 
-func (d *dispatcher) arrive(w *world, j *job) {
-	d.jobs[j.id] = j
-	spec := d.site.workspaces[j.workspace]
-	refusal, err := d.core.Offer(w.now, sched.Offer{
+func (p *dispatcherPolicy) onArrival(sim *simulation, j *job) {
+	p.jobs[j.id] = j
+	spec := p.site.workspaces[j.workspace]
+	refusal, err := p.dispatcher.Offer(sim.now, sched.Offer{
 		ID: sched.ID{Entry: entryName, Number: j.id}, Workspace: spec.name, Tier: j.tier, Weight: spec.weight,
-		PromptTokens: j.prompt, MaxTokens: j.limit, Blocks: j.blocks, Deadline: j.deadline, Fingerprint: j.id,
+		PromptTokens: j.promptTokens, MaxTokens: j.maxTokens, Blocks: j.blocks, Deadline: j.deadline, Fingerprint: j.id,
 	})
 	if err != nil {
 		panic(err)
 	}
 	if refusal != nil {
-		w.refuse(j, string(refusal.Code), false)
+		sim.refuse(j, string(refusal.Code), false)
 	}
-	d.decide(w)
+	p.decide(sim)
 }
 
-func (d *dispatcher) left(w *world, j *job, _ *engine) {
-	delete(d.jobs, j.id)
-	r := sched.Release{ID: sched.ID{Entry: entryName, Number: j.id}, Outcome: sched.Canceled, CachedTokens: j.cached}
-	if j.whole {
+func (p *dispatcherPolicy) onEnd(sim *simulation, j *job, _ *engine) {
+	delete(p.jobs, j.id)
+	r := sched.Release{ID: sched.ID{Entry: entryName, Number: j.id}, Outcome: sched.Canceled, CachedTokens: j.cachedTokens}
+	if j.completed {
 		r.Outcome = sched.Completed
-		r.Prefill = j.first - j.started
-		r.Decode = j.ended - j.first
-		r.OutputTokens = j.output
+		r.Prefill = j.firstTokenAt - j.startedAt
+		r.Decode = j.endedAt - j.firstTokenAt
+		r.OutputTokens = j.outputTokens
 	}
-	if _, err := d.core.Release(w.now, r); err != nil {
+	if _, err := p.dispatcher.Release(sim.now, r); err != nil {
 		panic(err)
 	}
-	d.decide(w)
+	p.decide(sim)
 }
 
-func (d *dispatcher) withdraw(w *world, j *job) {
+func (p *dispatcherPolicy) onAbandon(sim *simulation, j *job) {
 	id := sched.ID{Entry: entryName, Number: j.id}
-	if _, err := d.core.Release(w.now, sched.Release{ID: id, Outcome: sched.NotSent}); err != nil {
-		d.core.Cancel(id)
+	if _, err := p.dispatcher.Release(sim.now, sched.Release{ID: id, Outcome: sched.NotSent}); err != nil {
+		p.dispatcher.Cancel(id)
 	}
-	delete(d.jobs, j.id)
+	delete(p.jobs, j.id)
 }
 
-func (d *dispatcher) tick(w *world) {
-	if w.now >= d.nextRun {
-		d.nextRun = w.now + renewEvery
-		for _, e := range w.engines {
-			d.announce(w, e)
+func (p *dispatcherPolicy) onTick(sim *simulation) {
+	if sim.now >= p.nextAnnounce {
+		p.nextAnnounce = sim.now + announceInterval
+		for _, e := range sim.engines {
+			p.announce(sim, e)
 		}
 	}
-	d.decide(w)
-	d.last = d.core.Dump(w.now)
+	p.decide(sim)
+	p.lastDump = p.dispatcher.Dump(sim.now)
 }
 
-// announce carries a load report and the cache events, late and with gaps.
-func (d *dispatcher) announce(w *world, e *engine) {
+// announce sends an engine's load report to the dispatcher at once and its cache
+// events after cacheEventDelay, with the share cacheEventLossRate lost.
+func (p *dispatcherPolicy) announce(sim *simulation, e *engine) {
 	a := sched.Upstream{
-		Name: engineName(e.id), Incarnation: 1, Slots: e.spec.slots, Lease: lease,
-		Load: sched.Load{Running: e.running(), Age: renewEvery},
+		Name: engineName(e.id), Incarnation: 1, Slots: e.spec.maxBatch, Lease: announcementLease,
+		Load: sched.Load{Running: e.running(), Age: announceInterval},
 	}
-	if err := d.core.Announce(w.now, a); err != nil {
+	if err := p.dispatcher.Announce(sim.now, a); err != nil {
 		panic(err)
 	}
-	if len(e.evicted) == 0 {
+	if len(e.unpublishedEvictions) == 0 {
 		return
 	}
-	d.serial[e.id]++
-	event := sched.CacheEvent{Sequence: d.serial[e.id], Evicted: true, Blocks: e.evicted}
-	e.evicted = nil
-	if d.rng.Float64() < eventLoss {
+	p.eventSequences[e.id]++
+	event := sched.CacheEvent{Sequence: p.eventSequences[e.id], Evicted: true, Blocks: e.unpublishedEvictions}
+	e.unpublishedEvictions = nil
+	if p.rng.Float64() < cacheEventLossRate {
 		return
 	}
-	w.after(eventDelay, func() {
+	sim.after(cacheEventDelay, func() {
 		a.Events = []sched.CacheEvent{event}
-		a.Load.Age += eventDelay
-		if err := d.core.Announce(w.now, a); err != nil {
+		a.Load.Age += cacheEventDelay
+		if err := p.dispatcher.Announce(sim.now, a); err != nil {
 			panic(err)
 		}
 	})
 }
 
-func (d *dispatcher) decide(w *world) {
-	out := d.core.Decide(w.now)
+// decide applies the dispatcher's grants and refusals.
+func (p *dispatcherPolicy) decide(sim *simulation) {
+	out := p.dispatcher.Decide(sim.now)
 	for _, g := range out.Grants {
-		j := d.jobs[g.ID.Number]
-		e := w.engines[indexOf(g.Upstream)]
-		w.after(grantDelay, func() { d.begin(w, j, e) })
+		j := p.jobs[g.ID.Number]
+		e := sim.engines[engineIndex(g.Upstream)]
+		sim.after(grantDelay, func() { p.startGranted(sim, j, e) })
 	}
 	for _, r := range out.Refusals {
-		j := d.jobs[r.ID.Number]
-		delete(d.jobs, r.ID.Number)
-		w.refuse(j, string(r.Code), r.Code != sched.Overloaded)
+		j := p.jobs[r.ID.Number]
+		delete(p.jobs, r.ID.Number)
+		sim.refuse(j, string(r.Code), r.Code != sched.Overloaded)
 	}
 }
 
-// begin starts a granted job unless its caller went away meanwhile.
-func (d *dispatcher) begin(w *world, j *job, e *engine) {
-	if j.ended != 0 {
+// startGranted starts a granted job unless its caller disconnected while the
+// grant was on its way.
+func (p *dispatcherPolicy) startGranted(sim *simulation, j *job, e *engine) {
+	if j.endedAt != 0 {
 		return
 	}
-	w.start(j, e)
+	sim.start(j, e)
 }
 
-func indexOf(name string) int {
+func engineIndex(name string) int {
 	n := 0
 	if _, err := fmt.Sscanf(name, "engine-%d", &n); err != nil {
 		panic(err)
--- a/internal/schedbench/engine.go
+++ b/internal/schedbench/engine.go
@@ -5,150 +5,160 @@
 	"time"
 )
 
-// prefillSlowdown is how much slower decoding goes while a prefill runs.
+// prefillSlowdown is the factor on the decode time per token while a prefill
+// runs on the same engine.
 const prefillSlowdown = 1.5
 
 // stream is a job on an engine.
 type stream struct {
 	job *job
-	// prefill and tokens are what is left, in tokens.
-	prefill float64
-	tokens  float64
+	// prefillTokens and outputTokens are the tokens that remain to be processed.
+	prefillTokens float64
+	outputTokens  float64
 }
 
-// engine models a runner. Times are seconds of virtual time.
+// engine models a runner with continuous batching, serial prefill and a prefix
+// cache. Its times are in seconds of virtual time.
 type engine struct {
 	id   int
 	spec engineSpec
-	// slow divides its speed.
-	slow    float64
-	at      float64
-	waiting []*stream
-	filling []*stream
-	decode  []*stream
-	cache   *lru
-	// version makes events of an earlier state void.
-	version int
-	// sequence numbers the cache events; evicted are those not yet published.
-	evicted []uint64
+	// slowdown divides the engine's speed; 1 is full speed.
+	slowdown   float64
+	now        float64
+	waiting    []*stream
+	prefilling []*stream
+	decoding   []*stream
+	cache      *lru
+	// scheduleVersion invalidates completion events scheduled for an earlier
+	// state of the engine.
+	scheduleVersion int
+	// unpublishedEvictions are evicted blocks not yet sent as cache events.
+	unpublishedEvictions []uint64
 }
 
 func newEngine(id int, spec engineSpec) *engine {
-	return &engine{id: id, spec: spec, slow: 1, cache: newLRU(spec.blocks)}
+	return &engine{id: id, spec: spec, slowdown: 1, cache: newLRU(spec.cacheBlocks)}
 }
 
-// outstanding is how many requests the engine has.
+// outstanding returns the number of jobs waiting or running on the engine.
 func (e *engine) outstanding() int {
-	return len(e.waiting) + len(e.filling) + len(e.decode)
+	return len(e.waiting) + len(e.prefilling) + len(e.decoding)
 }
 
-func (e *engine) running() int { return len(e.filling) + len(e.decode) }
+// running returns the number of jobs in the batch.
+func (e *engine) running() int { return len(e.prefilling) + len(e.decoding) }
 
-// tokenTime is the seconds per token of each stream now.
+// tokenTime returns the current decode time per token of each stream, in
+// seconds.
 func (e *engine) tokenTime() float64 {
-	n := float64(len(e.decode))
-	t := e.spec.token * (1 + (n-1)/e.spec.knee) * e.slow
-	if len(e.filling) > 0 {
+	n := float64(len(e.decoding))
+	t := e.spec.secondsPerToken * (1 + (n-1)/e.spec.knee) * e.slowdown
+	if len(e.prefilling) > 0 {
 		t *= prefillSlowdown
 	}
 	return t
 }
 
-// advance moves the engine's time on; nothing ends before it.
+// advance processes work up to a time in seconds. No prefill or answer may end
+// before that time; see nextEnd.
 func (e *engine) advance(to float64) {
-	span := to - e.at
-	e.at = to
-	if span <= 0 {
+	elapsed := to - e.now
+	e.now = to
+	if elapsed <= 0 {
 		return
 	}
-	if len(e.decode) > 0 {
-		done := span / e.tokenTime()
-		for _, s := range e.decode {
-			s.tokens -= done
+	if len(e.decoding) > 0 {
+		processed := elapsed / e.tokenTime()
+		for _, s := range e.decoding {
+			s.outputTokens -= processed
 		}
 	}
-	if len(e.filling) > 0 {
-		s := e.filling[0]
-		done := min(s.prefill, span*e.spec.prefill/e.slow)
-		s.prefill -= done
-		s.job.computed += done
+	if len(e.prefilling) > 0 {
+		s := e.prefilling[0]
+		processed := min(s.prefillTokens, elapsed*e.spec.prefillTokensPerSecond/e.slowdown)
+		s.prefillTokens -= processed
+		s.job.prefillComputed += processed
 	}
 }
 
-// next returns when a prefill or an answer ends, in seconds from now.
-func (e *engine) next() (float64, bool) {
-	best, found := 0.0, false
-	if len(e.filling) > 0 {
-		best, found = e.filling[0].prefill*e.slow/e.spec.prefill, true
+// nextEnd returns the seconds until the next prefill or answer ends, and false
+// if the engine is idle.
+func (e *engine) nextEnd() (float64, bool) {
+	soonest, found := 0.0, false
+	if len(e.prefilling) > 0 {
+		soonest, found = e.prefilling[0].prefillTokens*e.slowdown/e.spec.prefillTokensPerSecond, true
 	}
-	if len(e.decode) > 0 {
-		least := e.decode[0].tokens
-		for _, s := range e.decode {
-			least = min(least, s.tokens)
+	if len(e.decoding) > 0 {
+		fewest := e.decoding[0].outputTokens
+		for _, s := range e.decoding {
+			fewest = min(fewest, s.outputTokens)
 		}
-		t := max(0, least) * e.tokenTime()
-		if !found || t < best {
-			best, found = t, true
+		t := max(0, fewest) * e.tokenTime()
+		if !found || t < soonest {
+			soonest, found = t, true
 		}
 	}
-	return best, found
+	return soonest, found
 }
 
-// add takes a job; it waits in the engine where the batch is full.
+// add queues a job on the engine and admits it if the batch has room.
 func (e *engine) add(j *job) {
-	s := &stream{job: j, tokens: float64(j.output)}
+	s := &stream{job: j, outputTokens: float64(j.outputTokens)}
 	j.stream = s
 	e.waiting = append(e.waiting, s)
 	e.admit()
 }
 
-// admit fills the batch, first come first served.
+// admit moves waiting jobs into the batch in FIFO order while it has room, and
+// updates the prefix cache with their blocks.
 func (e *engine) admit() {
-	for len(e.waiting) > 0 && e.running() < e.spec.slots {
+	for len(e.waiting) > 0 && e.running() < e.spec.maxBatch {
 		s := e.waiting[0]
 		e.waiting = e.waiting[1:]
 		j := s.job
-		j.cached = min(j.prompt-1, e.cache.matched(j.blocks)*blockTokens)
-		e.evicted = append(e.evicted, e.cache.use(j.blocks)...)
-		s.prefill = float64(j.prompt - j.cached)
-		j.started = at(e.at)
-		e.filling = append(e.filling, s)
+		j.cachedTokens = min(j.promptTokens-1, e.cache.prefixLength(j.blocks)*blockTokens)
+		e.unpublishedEvictions = append(e.unpublishedEvictions, e.cache.touch(j.blocks)...)
+		s.prefillTokens = float64(j.promptTokens - j.cachedTokens)
+		j.startedAt = toDuration(e.now)
+		e.prefilling = append(e.prefilling, s)
 	}
 }
 
-const tiny = 1e-9
+// epsilon is the number of remaining tokens that counts as none.
+const epsilon = 1e-9
 
-// settle moves on what ended and returns the finished jobs.
-func (e *engine) settle() []*job {
-	for len(e.filling) > 0 && e.filling[0].prefill <= tiny {
-		s := e.filling[0]
-		e.filling = e.filling[1:]
-		s.job.first = at(e.at)
-		e.decode = append(e.decode, s)
+// completeDue moves streams whose prefill has ended to decoding, removes those
+// whose answer has ended, and returns the jobs of the latter.
+func (e *engine) completeDue() []*job {
+	for len(e.prefilling) > 0 && e.prefilling[0].prefillTokens <= epsilon {
+		s := e.prefilling[0]
+		e.prefilling = e.prefilling[1:]
+		s.job.firstTokenAt = toDuration(e.now)
+		e.decoding = append(e.decoding, s)
 	}
 	done := []*job{}
-	kept := e.decode[:0]
-	for _, s := range e.decode {
-		if s.tokens <= tiny {
+	kept := e.decoding[:0]
+	for _, s := range e.decoding {
+		if s.outputTokens <= epsilon {
 			done = append(done, s.job)
 		} else {
 			kept = append(kept, s)
 		}
 	}
-	e.decode = kept
+	e.decoding = kept
 	e.admit()
 	return done
 }
 
-// cancel ends a job wherever it is.
+// cancel removes a job from the queue or the batch.
 func (e *engine) cancel(j *job) {
-	e.waiting = without(e.waiting, j.stream)
-	e.filling = without(e.filling, j.stream)
-	e.decode = without(e.decode, j.stream)
+	e.waiting = removeStream(e.waiting, j.stream)
+	e.prefilling = removeStream(e.prefilling, j.stream)
+	e.decoding = removeStream(e.decoding, j.stream)
 	e.admit()
 }
 
-func without(in []*stream, s *stream) []*stream {
+func removeStream(in []*stream, s *stream) []*stream {
 	out := in[:0]
 	for _, x := range in {
 		if x != s {
@@ -158,22 +168,24 @@
 	return out
 }
 
-func at(seconds float64) time.Duration {
+// toDuration converts seconds of virtual time.
+func toDuration(seconds float64) time.Duration {
 	return time.Duration(seconds * float64(time.Second))
 }
 
-// lru is an engine's prefix cache.
+// lru is an engine's prefix cache with least-recently-used eviction.
 type lru struct {
-	size  int
-	order *list.List
-	items map[uint64]*list.Element
+	capacity int
+	order    *list.List
+	items    map[uint64]*list.Element
 }
 
-func newLRU(size int) *lru {
-	return &lru{size: size, order: list.New(), items: map[uint64]*list.Element{}}
+func newLRU(capacity int) *lru {
+	return &lru{capacity: capacity, order: list.New(), items: map[uint64]*list.Element{}}
 }
 
-func (c *lru) matched(blocks []uint64) int {
+// prefixLength returns how many leading blocks are in the cache.
+func (c *lru) prefixLength(blocks []uint64) int {
 	for i, b := range blocks {
 		if _, ok := c.items[b]; !ok {
 			return i
@@ -182,10 +194,11 @@
 	return len(blocks)
 }
 
-// use makes blocks the most recent, the first one last, and returns what was
-// pushed out.
-func (c *lru) use(blocks []uint64) []uint64 {
-	out := []uint64{}
+// touch marks blocks as recently used and returns the evicted ones. It goes from
+// the last block to the first, so that the tail of a prefix is evicted before
+// its head.
+func (c *lru) touch(blocks []uint64) []uint64 {
+	evictions := []uint64{}
 	for i := len(blocks) - 1; i >= 0; i-- {
 		b := blocks[i]
 		if x, ok := c.items[b]; ok {
@@ -193,12 +206,12 @@
 			continue
 		}
 		c.items[b] = c.order.PushFront(b)
-		if c.order.Len() > c.size {
+		if c.order.Len() > c.capacity {
 			last := c.order.Back()
-			gone := c.order.Remove(last).(uint64)
-			delete(c.items, gone)
-			out = append(out, gone)
+			evicted := c.order.Remove(last).(uint64)
+			delete(c.items, evicted)
+			evictions = append(evictions, evicted)
 		}
 	}
-	return out
+	return evictions
 }
--- a/internal/schedbench/loop.go
+++ b/internal/schedbench/loop.go
@@ -6,13 +6,15 @@
 	"time"
 )
 
-// event is something that happens at a time.
+// event is a function to call at a virtual time. Events at the same time run in
+// the order of their sequence numbers.
 type event struct {
-	at    time.Duration
-	order int
-	fn    func()
+	at       time.Duration
+	sequence int
+	fn       func()
 }
 
+// eventHeap orders events by time and sequence; it implements heap.Interface.
 type eventHeap []event
 
 func (h eventHeap) Len() int { return len(h) }
@@ -20,7 +22,7 @@
 	if h[i].at != h[j].at {
 		return h[i].at < h[j].at
 	}
-	return h[i].order < h[j].order
+	return h[i].sequence < h[j].sequence
 }
 func (h eventHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
 func (h *eventHeap) Push(x any)   { *h = append(*h, x.(event)) }
@@ -31,171 +33,178 @@
 	return last
 }
 
-// policy decides where jobs go.
+// policy assigns jobs to engines. Its methods are called from the simulation's
+// event loop only.
 type policy interface {
-	// arrive takes a new job.
-	arrive(w *world, j *job)
-	// left says that an engine has finished a job or that it was cancelled.
-	left(w *world, j *job, e *engine)
-	// tick is called every tickEvery.
-	tick(w *world)
-	// withdraw forgets a job that waits, when its caller went away.
-	withdraw(w *world, j *job)
-}
-
-// tickEvery is how often policies look by themselves.
-const tickEvery = 100 * time.Millisecond
-
-// world is one run.
-type world struct {
-	now     time.Duration
-	events  eventHeap
-	order   int
-	engines []*engine
-	on      map[*job]*engine
-	policy  policy
-	live    int
-	length  time.Duration
-	begun   [16]int
-	queued  [16]int
-	// inversions counts jobs shed for overload while a lower tier was queued or
-	// in service; lateInversions those refused for their deadline meanwhile.
-	inversions     int
-	lateInversions int
-}
-
-func (w *world) after(d time.Duration, fn func()) {
-	w.order++
-	heap.Push(&w.events, event{at: w.now + d, order: w.order, fn: fn})
-}
-
-// newWorld builds a site's engines; all of the last generation are last.
-func newWorld(s site, p policy, length time.Duration) *world {
-	w := &world{policy: p, on: map[*job]*engine{}, length: length}
+	// onArrival handles a new job.
+	onArrival(sim *simulation, j *job)
+	// onEnd handles a job that ended on an engine, completed or cancelled.
+	onEnd(sim *simulation, j *job, e *engine)
+	// onTick is called every tickInterval.
+	onTick(sim *simulation)
+	// onAbandon handles a waiting job whose caller disconnected.
+	onAbandon(sim *simulation, j *job)
+}
+
+// tickInterval is the time between two calls of a policy's onTick.
+const tickInterval = 100 * time.Millisecond
+
+// simulation is one run of a policy over a workload in virtual time. It is
+// deterministic and not safe for concurrent use.
+type simulation struct {
+	now           time.Duration
+	events        eventHeap
+	lastSequence  int
+	engines       []*engine
+	assigned      map[*job]*engine
+	policy        policy
+	unfinished    int
+	duration      time.Duration
+	runningByTier [16]int
+	queuedByTier  [16]int
+	// inversions counts jobs refused for overload while a lower tier was queued
+	// or running; deadlineInversions counts jobs refused for their deadline in
+	// the same situation.
+	inversions         int
+	deadlineInversions int
+}
+
+// after schedules fn at d from now.
+func (sim *simulation) after(d time.Duration, fn func()) {
+	sim.lastSequence++
+	heap.Push(&sim.events, event{at: sim.now + d, sequence: sim.lastSequence, fn: fn})
+}
+
+// newSimulation creates a site's engines in the order of their generations.
+func newSimulation(s site, p policy, duration time.Duration) *simulation {
+	sim := &simulation{policy: p, assigned: map[*job]*engine{}, duration: duration}
 	for _, spec := range s.engines {
 		for range spec.count {
-			w.engines = append(w.engines, newEngine(len(w.engines), spec))
+			sim.engines = append(sim.engines, newEngine(len(sim.engines), spec))
 		}
 	}
-	return w
+	return sim
 }
 
-// run plays all jobs to their end.
-func (w *world) run(jobs []*job) {
+// run processes events until all jobs have ended.
+func (sim *simulation) run(jobs []*job) {
 	for _, j := range jobs {
-		w.after(j.arrived, func() { w.arrive(j) })
+		sim.after(j.arrivedAt, func() { sim.arrive(j) })
 	}
-	w.live = len(jobs)
-	w.tick()
-	for len(w.events) > 0 && w.live > 0 {
-		e := heap.Pop(&w.events).(event)
-		w.now = e.at
+	sim.unfinished = len(jobs)
+	sim.tick()
+	for len(sim.events) > 0 && sim.unfinished > 0 {
+		e := heap.Pop(&sim.events).(event)
+		sim.now = e.at
 		e.fn()
 	}
 }
 
-func (w *world) tick() {
-	w.policy.tick(w)
-	w.after(tickEvery, w.tick)
+func (sim *simulation) tick() {
+	sim.policy.onTick(sim)
+	sim.after(tickInterval, sim.tick)
 }
 
-func (w *world) arrive(j *job) {
-	w.queued[j.tier]++
-	w.after(j.deadline-w.now, func() { w.expire(j) })
-	w.policy.arrive(w, j)
+func (sim *simulation) arrive(j *job) {
+	sim.queuedByTier[j.tier]++
+	sim.after(j.deadline-sim.now, func() { sim.expire(j) })
+	sim.policy.onArrival(sim, j)
 }
 
-// start puts a job on an engine.
-func (w *world) start(j *job, e *engine) {
-	e.advance(w.now.Seconds())
+// start adds a job to an engine and records how much of its prefill repeats work
+// that another engine has cached.
+func (sim *simulation) start(j *job, e *engine) {
+	e.advance(sim.now.Seconds())
 	best := 0
-	for _, other := range w.engines {
-		best = max(best, other.cache.matched(j.blocks))
+	for _, other := range sim.engines {
+		best = max(best, other.cache.prefixLength(j.blocks))
 	}
-	j.repeated = max(0, best-e.cache.matched(j.blocks)) * blockTokens
-	w.queued[j.tier]--
-	w.begun[j.tier]++
-	w.on[j] = e
+	j.repeatedTokens = max(0, best-e.cache.prefixLength(j.blocks)) * blockTokens
+	sim.queuedByTier[j.tier]--
+	sim.runningByTier[j.tier]++
+	sim.assigned[j] = e
 	e.add(j)
-	w.plan(e)
+	sim.scheduleNextEnd(e)
 }
 
-// plan schedules the engine's next end.
-func (w *world) plan(e *engine) {
-	e.version++
-	version := e.version
-	in, ok := e.next()
+// scheduleNextEnd schedules the next end of a prefill or answer on an engine and
+// invalidates the one scheduled before.
+func (sim *simulation) scheduleNextEnd(e *engine) {
+	e.scheduleVersion++
+	version := e.scheduleVersion
+	delay, ok := e.nextEnd()
 	if !ok {
 		return
 	}
-	w.after(at(in)+time.Nanosecond, func() {
-		if e.version == version {
-			w.step(e)
+	sim.after(toDuration(delay)+time.Nanosecond, func() {
+		if e.scheduleVersion == version {
+			sim.completeDue(e)
 		}
 	})
 }
 
-func (w *world) step(e *engine) {
-	e.advance(w.now.Seconds())
-	done := e.settle()
-	w.plan(e)
+// completeDue finishes the jobs whose answers have ended on an engine.
+func (sim *simulation) completeDue(e *engine) {
+	e.advance(sim.now.Seconds())
+	done := e.completeDue()
+	sim.scheduleNextEnd(e)
 	for _, j := range done {
-		j.whole = j.ended == 0
-		w.end(j, e)
+		j.completed = j.endedAt == 0
+		sim.finish(j, e)
 	}
 }
 
-// end closes a job that an engine had.
-func (w *world) end(j *job, e *engine) {
-	if j.ended != 0 {
+// finish ends a job that an engine has run, unless it has ended already.
+func (sim *simulation) finish(j *job, e *engine) {
+	if j.endedAt != 0 {
 		return
 	}
-	j.ended = w.now
-	delete(w.on, j)
-	w.begun[j.tier]--
-	w.live--
-	w.policy.left(w, j, e)
+	j.endedAt = sim.now
+	delete(sim.assigned, j)
+	sim.runningByTier[j.tier]--
+	sim.unfinished--
+	sim.policy.onEnd(sim, j, e)
 }
 
-// refuse closes a job that no engine had.
-func (w *world) refuse(j *job, code string, late bool) {
-	if j.ended != 0 {
+// refuse ends a job that no engine has run and counts tier inversions.
+func (sim *simulation) refuse(j *job, code string, byDeadline bool) {
+	if j.endedAt != 0 {
 		return
 	}
-	w.queued[j.tier]--
-	for t := j.tier + 1; t < len(w.begun); t++ {
-		if w.begun[t]+w.queued[t] == 0 {
+	sim.queuedByTier[j.tier]--
+	for t := j.tier + 1; t < len(sim.runningByTier); t++ {
+		if sim.runningByTier[t]+sim.queuedByTier[t] == 0 {
 			continue
 		}
-		if late {
-			w.lateInversions++
+		if byDeadline {
+			sim.deadlineInversions++
 		} else {
-			w.inversions++
+			sim.inversions++
 		}
 		break
 	}
-	j.ended = w.now
-	j.refused = code
-	w.live--
+	j.endedAt = sim.now
+	j.refusalCode = code
+	sim.unfinished--
 }
 
-// expire is a caller that goes away at its deadline.
-func (w *world) expire(j *job) {
-	if j.ended != 0 {
+// expire ends a job whose caller disconnects at its deadline.
+func (sim *simulation) expire(j *job) {
+	if j.endedAt != 0 {
 		return
 	}
-	e := w.on[j]
+	e := sim.assigned[j]
 	if e == nil {
-		w.refuse(j, "gone", true)
-		w.policy.withdraw(w, j)
+		sim.refuse(j, "deadline_exceeded", true)
+		sim.policy.onAbandon(sim, j)
 		return
 	}
-	e.advance(w.now.Seconds())
+	e.advance(sim.now.Seconds())
 	e.cancel(j)
-	w.plan(e)
-	w.end(j, e)
+	sim.scheduleNextEnd(e)
+	sim.finish(j, e)
 }
 
-func sortJobs(jobs []*job) {
-	sort.SliceStable(jobs, func(a, b int) bool { return jobs[a].arrived < jobs[b].arrived })
+func sortByArrival(jobs []*job) {
+	sort.SliceStable(jobs, func(a, b int) bool { return jobs[a].arrivedAt < jobs[b].arrivedAt })
 }
--- a/internal/schedbench/measure.go
+++ b/internal/schedbench/measure.go
@@ -7,166 +7,175 @@
 	"github.com/verbenastep/verbenastep/core/sched"
 )
 
-// scenario is one set of circumstances.
+// scenario is a load level with its disturbances.
 type scenario struct {
 	name string
+	// load is the arrival rate as a share of the site's capacity.
 	load float64
-	// straggler makes the first engine five times slower from then on.
+	// straggler slows the first engine down by stragglerSlowdown from
+	// stragglerStart on.
 	straggler bool
-	// heavy multiplies what one workspace sends.
-	heavy float64
-	// burst multiplies all arrivals for ten seconds.
-	burst float64
-	// spread makes answers' lengths hard to predict; see arrivals.
-	spread float64
+	// heavyFactor multiplies the arrival rate of the site's heavy workspace.
+	heavyFactor float64
+	// burstFactor multiplies all arrival rates for burstDuration (10 s).
+	burstFactor float64
+	// lengthSpread makes answer lengths harder to predict; see arrivals.
+	lengthSpread float64
 }
 
 const (
-	// runLength is how long jobs arrive.
-	runLength = 240 * time.Second
-	// warmUp is from when on jobs are counted.
-	warmUp = 60 * time.Second
-	// stragglerAt is when the straggler slows down, to a fifth.
-	stragglerAt     = 30 * time.Second
-	stragglerFactor = 5
-	// burstAt and burstLength bound the burst.
-	burstAt     = 120 * time.Second
-	burstLength = 10 * time.Second
-	// capacityLoad is the rate of arrivals, in requests a second, that builds
-	// the long queue in which the capacity is measured.
-	capacityLoad = 200
+	// runDuration is how long jobs arrive.
+	runDuration = 240 * time.Second
+	// warmUpDuration is the start of the run that the results leave out.
+	warmUpDuration = 60 * time.Second
+	// stragglerStart is when the straggler slows down to a fifth of its speed.
+	stragglerStart    = 30 * time.Second
+	stragglerSlowdown = 5
+	burstStart        = 120 * time.Second
+	burstDuration     = 10 * time.Second
+	// saturatingRate is the arrival rate, in requests a second, that keeps all
+	// engines busy while the capacity is measured.
+	saturatingRate = 200
 )
 
-// named is a policy with its name.
-type named struct {
+// namedPolicy is a policy's constructor with the policy's name in the tables.
+type namedPolicy struct {
 	name string
 	make func(s site, seed uint64) policy
 }
 
-func policies() []named {
-	plain := func(f func(uint64) policy) func(site, uint64) policy {
+// policies returns the baselines, and the project's own policy last.
+func policies() []namedPolicy {
+	withoutSite := func(f func(uint64) policy) func(site, uint64) policy {
 		return func(_ site, seed uint64) policy { return f(seed) }
 	}
-	return []named{
-		{"round robin", plain(roundRobin)},
-		{"least outstanding", plain(leastOutstanding)},
-		{"two choices, 2 s old", plain(twoChoices)},
-		{ours, func(s site, seed uint64) policy { return newDispatcher(s, seed, sched.Params{}) }},
+	return []namedPolicy{
+		{"round robin", withoutSite(roundRobin)},
+		{"least outstanding", withoutSite(leastOutstanding)},
+		{"two choices, 2 s old", withoutSite(twoChoices)},
+		{ownPolicy, func(s site, seed uint64) policy { return newDispatcherPolicy(s, seed, sched.Params{}) }},
 	}
 }
 
-// byArrival is the policy without the use of predicted lengths for the order.
-func byArrival() named {
-	return named{ours + ", by arrival", func(s site, seed uint64) policy { return newDispatcher(s, seed, sched.Params{ByArrival: true}) }}
+// arrivalOrderPolicy returns the project's policy ordered by arrival instead of
+// predicted length.
+func arrivalOrderPolicy() namedPolicy {
+	return namedPolicy{ownPolicy + ", by arrival", func(s site, seed uint64) policy { return newDispatcherPolicy(s, seed, sched.Params{ByArrival: true}) }}
 }
 
-const ours = "verbenastep"
+// ownPolicy names the project's policy in the tables.
+const ownPolicy = "verbenastep"
 
-// tierResult is what one tier got.
-type tierResult struct {
+// goodputCount counts jobs offered and jobs completed before their deadline.
+type goodputCount struct {
 	offered int
-	good    int
+	inTime  int
 }
 
-// result is one run's figures.
-type result struct {
-	tiers      []tierResult
-	workspaces []tierResult
-	// good is the goodput, in whole answers in time a second.
-	good    float64
-	offered float64
-	// lost and repeated are wasted prefill, in tokens.
-	lost     float64
-	repeated float64
-	shed     int
-	// waits are the lookups' times from arrival to the engine, service their
-	// mean time on it, among those begun.
-	wait99         time.Duration
-	service        time.Duration
-	inversions     int
-	lateInversions int
+// runResult holds the figures of one run after the warm-up.
+type runResult struct {
+	tiers      []goodputCount
+	workspaces []goodputCount
+	// goodput is complete answers in time, offeredRate arrivals, both a second.
+	goodput     float64
+	offeredRate float64
+	// lostPrefill and repeatedPrefill are wasted prompt tokens: of jobs that did
+	// not complete, and of prefixes that another engine had cached.
+	lostPrefill     float64
+	repeatedPrefill float64
+	refused         int
+	// lookupWaitP99 is the 99th percentile of the time from arrival to start on
+	// an engine, lookupService the mean time on the engine, both of completed
+	// lookups.
+	lookupWaitP99      time.Duration
+	lookupService      time.Duration
+	inversions         int
+	deadlineInversions int
 }
 
-func (r result) wasted() float64 { return r.lost + r.repeated }
+func (r runResult) wastedPrefill() float64 { return r.lostPrefill + r.repeatedPrefill }
 
-// capacity is the rate, in requests a second, at which the site's engines
-// finish a long queue of the site's own mix, whoever waits how long. A spread
-// of the lengths changes it, since the callers' limits cut long answers.
-func capacity(s site, seed uint64, spread float64) float64 {
-	endless := s
-	endless.tiers = slices.Clone(s.tiers)
-	for i := range endless.tiers {
-		endless.tiers[i].goodput = time.Hour
+// measureCapacity returns the rate, in requests a second, at which the site's
+// engines complete a saturating load of the site's request mix with deadlines
+// of an hour. It depends on the spread of lengths, since the callers' token
+// limits cut long answers.
+func measureCapacity(s site, seed uint64, spread float64) float64 {
+	relaxed := s
+	relaxed.tiers = slices.Clone(s.tiers)
+	for i := range relaxed.tiers {
+		relaxed.tiers[i].goodputTime = time.Hour
 	}
-	jobs := arrivals{site: endless, rate: capacityLoad, length: runLength / 4, seed: seed, spread: spread}.draw()
-	w := newWorld(endless, leastOutstanding(seed), runLength)
-	w.run(jobs)
-	done := 0
+	jobs := arrivals{site: relaxed, rate: saturatingRate, duration: runDuration / 4, seed: seed, lengthSpread: spread}.draw()
+	sim := newSimulation(relaxed, leastOutstanding(seed), runDuration)
+	sim.run(jobs)
+	completed := 0
 	for _, j := range jobs {
-		if j.whole && j.ended >= warmUp && j.ended < runLength {
-			done++
+		if j.completed && j.endedAt >= warmUpDuration && j.endedAt < runDuration {
+			completed++
 		}
 	}
-	return float64(done) / (runLength - warmUp).Seconds()
+	return float64(completed) / (runDuration - warmUpDuration).Seconds()
 }
 
-// play runs one policy through one scenario.
-func play(s site, c scenario, p named, rate float64, seed uint64) result {
-	a := arrivals{site: s, rate: rate * c.load, length: runLength, seed: seed, spread: c.spread}
-	if c.heavy > 0 {
-		a.heavy, a.factor = s.heavy, c.heavy
+// runScenario simulates one policy in one scenario; rate is the site's capacity
+// in requests a second.
+func runScenario(s site, c scenario, p namedPolicy, rate float64, seed uint64) runResult {
+	a := arrivals{site: s, rate: rate * c.load, duration: runDuration, seed: seed, lengthSpread: c.lengthSpread}
+	if c.heavyFactor > 0 {
+		a.heavyWorkspace, a.heavyFactor = s.heavyWorkspace, c.heavyFactor
 	}
-	if c.burst > 0 {
-		a.burst, a.burstBegin, a.burstEnd = c.burst, burstAt, burstAt+burstLength
+	if c.burstFactor > 0 {
+		a.burstFactor, a.burstStart, a.burstEnd = c.burstFactor, burstStart, burstStart+burstDuration
 	}
 	jobs := a.draw()
-	w := newWorld(s, p.make(s, seed), runLength)
+	sim := newSimulation(s, p.make(s, seed), runDuration)
 	if c.straggler {
-		w.after(stragglerAt, func() {
-			e := w.engines[0]
-			e.advance(w.now.Seconds())
-			e.slow = stragglerFactor
-			w.plan(e)
+		sim.after(stragglerStart, func() {
+			e := sim.engines[0]
+			e.advance(sim.now.Seconds())
+			e.slowdown = stragglerSlowdown
+			sim.scheduleNextEnd(e)
 		})
 	}
-	w.run(jobs)
-	return summarize(s, w, jobs)
+	sim.run(jobs)
+	return summarize(s, sim, jobs)
 }
 
-func summarize(s site, w *world, jobs []*job) result {
-	r := result{tiers: make([]tierResult, len(s.tiers)), workspaces: make([]tierResult, len(s.workspaces)), inversions: w.inversions, lateInversions: w.lateInversions}
+// summarize computes a run's figures from the jobs that arrived after warm-up.
+func summarize(s site, sim *simulation, jobs []*job) runResult {
+	r := runResult{tiers: make([]goodputCount, len(s.tiers)), workspaces: make([]goodputCount, len(s.workspaces)), inversions: sim.inversions, deadlineInversions: sim.deadlineInversions}
 	waits := []time.Duration{}
-	served := time.Duration(0)
-	good, offered := 0, 0
+	serviceTime := time.Duration(0)
+	inTime, offered := 0, 0
 	for _, j := range jobs {
-		if j.arrived < warmUp {
+		if j.arrivedAt < warmUpDuration {
 			continue
 		}
 		offered++
 		r.tiers[j.tier].offered++
 		r.workspaces[j.workspace].offered++
-		if j.whole {
-			good++
-			r.tiers[j.tier].good++
-			r.workspaces[j.workspace].good++
-			r.repeated += float64(min(j.repeated, j.prompt-j.cached))
+		if j.completed {
+			inTime++
+			r.tiers[j.tier].inTime++
+			r.workspaces[j.workspace].inTime++
+			r.repeatedPrefill += float64(min(j.repeatedTokens, j.promptTokens-j.cachedTokens))
 		} else {
-			r.lost += j.computed
+			r.lostPrefill += j.prefillComputed
 		}
-		if j.refused != "" {
-			r.shed++
+		if j.refusalCode != "" {
+			r.refused++
 		}
-		if j.kind == lookup && j.whole {
-			waits = append(waits, j.started-j.arrived)
-			served += j.ended - j.started
+		if j.kind == lookup && j.completed {
+			waits = append(waits, j.startedAt-j.arrivedAt)
+			serviceTime += j.endedAt - j.startedAt
 		}
 	}
-	r.good = float64(good) / (runLength - warmUp).Seconds()
-	r.offered = float64(offered) / (runLength - warmUp).Seconds()
+	r.goodput = float64(inTime) / (runDuration - warmUpDuration).Seconds()
+	r.offeredRate = float64(offered) / (runDuration - warmUpDuration).Seconds()
 	if len(waits) > 0 {
 		slices.Sort(waits)
-		r.wait99 = waits[len(waits)*99/100]
-		r.service = served / time.Duration(len(waits))
+		r.lookupWaitP99 = waits[len(waits)*99/100]
+		r.lookupService = serviceTime / time.Duration(len(waits))
 	}
 	return r
 }
--- a/internal/schedbench/sites.go
+++ b/internal/schedbench/sites.go
@@ -1,103 +1,109 @@
-// Package schedbench measures the scheduling policy in virtual time, on models
-// of engines, against simple baselines.
+// Package schedbench benchmarks the scheduling policy of core/sched against
+// simple baselines in a discrete-event simulation. The command "verbenastep
+// bench sched" runs it.
 //
-// Every policy sees the same arrivals, from a fixed seed, and the same engines:
-// continuous batching, serial prefill and a prefix cache of limited size.
+// Every policy gets the same arrivals, from a fixed seed, and the same engine
+// models: continuous batching, serial prefill and a prefix cache of limited
+// size. Results are deterministic.
 package schedbench
 
 import "time"
 
-// kind is a sort of request.
-type kind uint8
+// requestKind is a class of requests with similar prompt and answer lengths.
+type requestKind uint8
 
-// Kinds: a lookup is a line, a summary a page or two, a file a whole
-// restoration file or reconciliation.
+// Request kinds: a lookup prompts with a line, a summary with a page or two, a
+// file with a whole restoration file or reconciliation.
 const (
-	lookup kind = iota
+	lookup requestKind = iota
 	summary
 	file
-	kinds
+	kindCount
 )
 
-// span is a range of tokens.
-type span struct {
-	least int
-	most  int
+// tokenRange is an inclusive range of token counts.
+type tokenRange struct {
+	low  int
+	high int
 }
 
-// shape is what requests of a kind look like, in tokens.
-type shape struct {
-	prompt span
-	output span
-	// limit is the largest answer that the caller allows.
-	limit int
-	// prefix is the part of the prompt that a template shares.
-	prefix int
+// requestShape gives the lengths of a kind's requests, in tokens.
+type requestShape struct {
+	promptTokens tokenRange
+	outputTokens tokenRange
+	// maxTokens is the longest answer that the caller allows.
+	maxTokens int
+	// sharedPrefix is the length of the prompt's prefix that all requests of a
+	// template share.
+	sharedPrefix int
 }
 
-var shapes = [kinds]shape{
-	lookup:  {prompt: span{60, 200}, output: span{6, 24}, limit: 64},
-	summary: {prompt: span{1200, 2400}, output: span{150, 450}, limit: 512, prefix: 1024},
-	file:    {prompt: span{5000, 8000}, output: span{600, 1500}, limit: 2048, prefix: 2048},
+var requestShapes = [kindCount]requestShape{
+	lookup:  {promptTokens: tokenRange{60, 200}, outputTokens: tokenRange{6, 24}, maxTokens: 64},
+	summary: {promptTokens: tokenRange{1200, 2400}, outputTokens: tokenRange{150, 450}, maxTokens: 512, sharedPrefix: 1024},
+	file:    {promptTokens: tokenRange{5000, 8000}, outputTokens: tokenRange{600, 1500}, maxTokens: 2048, sharedPrefix: 2048},
 }
 
-// engineSpec is one generation of engines.
+// engineSpec describes one generation of engines.
 type engineSpec struct {
 	count int
-	// prefill is in prompt tokens a second, token in seconds for one stream.
-	prefill float64
-	token   float64
-	// knee is the batch at which a token takes twice as long.
-	knee float64
-	// slots is the largest batch.
-	slots int
-	// blocks is the size of the prefix cache.
-	blocks int
+	// secondsPerToken is the decode time with a batch of one.
+	prefillTokensPerSecond float64
+	secondsPerToken        float64
+	// knee is how many more streams in the batch double the decode time per token.
+	knee     float64
+	maxBatch int
+	// cacheBlocks is the capacity of the prefix cache, in blocks.
+	cacheBlocks int
 }
 
-// tierSpec is one tier.
+// tierSpec describes one tier.
 type tierSpec struct {
 	name string
-	// goodput is within what time a whole answer counts.
-	goodput time.Duration
-	// mix is the share of each kind.
-	mix [kinds]float64
+	// goodputTime is the time from arrival within which a complete answer counts
+	// as goodput; it is also the deadline.
+	goodputTime time.Duration
+	// kindShares is the share of each request kind; the shares sum to 1.
+	kindShares [kindCount]float64
 }
 
-// workspaceSpec is one workspace.
+// workspaceSpec describes one workspace.
 type workspaceSpec struct {
 	name   string
 	tier   int
 	weight int
-	// share is its part of all requests.
+	// share is the workspace's share of all requests.
 	share float64
 }
 
-// site is one user's deployment.
+// site describes a deployment and its load.
 type site struct {
 	name       string
 	engines    []engineSpec
 	tiers      []tierSpec
 	workspaces []workspaceSpec
-	// heavy is the workspace that sends too much in the scenario for it.
-	heavy int
+	// heavyWorkspace is the index of the workspace that exceeds its share in
+	// runHeavyWorkspace.
+	heavyWorkspace int
 }
 
+// sites returns all simulated sites.
 func sites() []site {
 	return []site{karoo(), conciliafact()}
 }
 
+// karoo returns a site of ten engines with mostly short requests.
 func karoo() site {
 	return site{
 		name: "karoo",
 		engines: []engineSpec{
-			{count: 6, prefill: 8000, token: 0.015, knee: 24, slots: 16, blocks: 1500},
-			{count: 4, prefill: 4000, token: 0.025, knee: 12, slots: 12, blocks: 1000},
+			{count: 6, prefillTokensPerSecond: 8000, secondsPerToken: 0.015, knee: 24, maxBatch: 16, cacheBlocks: 1500},
+			{count: 4, prefillTokensPerSecond: 4000, secondsPerToken: 0.025, knee: 12, maxBatch: 12, cacheBlocks: 1000},
 		},
 		tiers: []tierSpec{
-			{name: "panel", goodput: 20 * time.Second, mix: [kinds]float64{0.6, 0.4, 0}},
-			{name: "club", goodput: 40 * time.Second, mix: [kinds]float64{0.5, 0.4, 0.1}},
-			{name: "member", goodput: 90 * time.Second, mix: [kinds]float64{0.5, 0.3, 0.2}},
+			{name: "panel", goodputTime: 20 * time.Second, kindShares: [kindCount]float64{0.6, 0.4, 0}},
+			{name: "club", goodputTime: 40 * time.Second, kindShares: [kindCount]float64{0.5, 0.4, 0.1}},
+			{name: "member", goodputTime: 90 * time.Second, kindShares: [kindCount]float64{0.5, 0.3, 0.2}},
 		},
 		workspaces: []workspaceSpec{
 			{name: "judging", tier: 0, weight: 1, share: 0.15},
@@ -106,21 +112,23 @@
 			{name: "auctions", tier: 1, weight: 4, share: 0.29},
 			{name: "members", tier: 2, weight: 1, share: 0.35},
 		},
-		heavy: 2,
+		heavyWorkspace: 2,
 	}
 }
 
+// conciliafact returns a site of twelve engines whose lower tiers send more long
+// requests.
 func conciliafact() site {
 	return site{
 		name: "conciliafact",
 		engines: []engineSpec{
-			{count: 8, prefill: 8000, token: 0.015, knee: 24, slots: 16, blocks: 1500},
-			{count: 4, prefill: 4000, token: 0.025, knee: 12, slots: 12, blocks: 1000},
+			{count: 8, prefillTokensPerSecond: 8000, secondsPerToken: 0.015, knee: 24, maxBatch: 16, cacheBlocks: 1500},
+			{count: 4, prefillTokensPerSecond: 4000, secondsPerToken: 0.025, knee: 12, maxBatch: 12, cacheBlocks: 1000},
 		},
 		tiers: []tierSpec{
-			{name: "counter", goodput: 15 * time.Second, mix: [kinds]float64{0.9, 0.1, 0}},
-			{name: "audit", goodput: 120 * time.Second, mix: [kinds]float64{0.2, 0.4, 0.4}},
-			{name: "portal", goodput: 180 * time.Second, mix: [kinds]float64{0.4, 0.4, 0.2}},
+			{name: "counter", goodputTime: 15 * time.Second, kindShares: [kindCount]float64{0.9, 0.1, 0}},
+			{name: "audit", goodputTime: 120 * time.Second, kindShares: [kindCount]float64{0.2, 0.4, 0.4}},
+			{name: "portal", goodputTime: 180 * time.Second, kindShares: [kindCount]float64{0.4, 0.4, 0.2}},
 		},
 		workspaces: []workspaceSpec{
 			{name: "treasury", tier: 0, weight: 1, share: 0.30},
@@ -129,11 +137,11 @@
 			{name: "suppliers", tier: 2, weight: 2, share: 0.25},
 			{name: "regions", tier: 2, weight: 1, share: 0.15},
 		},
-		heavy: 2,
+		heavyWorkspace: 2,
 	}
 }
 
-// totalEngines is how many engines a site has.
+// totalEngines returns the number of engines of a site.
 func (s site) totalEngines() int {
 	n := 0
 	for _, e := range s.engines {
--- a/internal/schedbench/workload.go
+++ b/internal/schedbench/workload.go
@@ -7,89 +7,96 @@
 )
 
 const (
-	// blockTokens is the prefix block's size.
+	// blockTokens is the size of a prefix cache block, in tokens.
 	blockTokens = 64
-	// maxBlocks bounds the blocks of one prompt.
+	// maxBlocks bounds the prefix blocks reported for one prompt.
 	maxBlocks = 64
-	// templates is how many shared prefixes there are, by Zipf's law.
-	templates = 200
-	// zipfExponent is that law's exponent.
+	// templateCount is the number of shared prefixes; their popularity follows
+	// Zipf's law.
+	templateCount = 200
+	// zipfExponent is the exponent of the templates' popularity.
 	zipfExponent = 1.1
 )
 
-// job is one request and what became of it.
+// job is one request with its outcome. Times are virtual, since the run's start;
+// a zero endedAt means that the job has not ended.
 type job struct {
-	id        uint64
-	arrived   time.Duration
-	workspace int
-	tier      int
-	kind      kind
-	prompt    int
-	output    int
-	limit     int
-	blocks    []uint64
-	deadline  time.Duration
+	id           uint64
+	arrivedAt    time.Duration
+	workspace    int
+	tier         int
+	kind         requestKind
+	promptTokens int
+	outputTokens int
+	maxTokens    int
+	blocks       []uint64
+	deadline     time.Duration
 
-	started time.Duration
-	first   time.Duration
-	ended   time.Duration
-	whole   bool
-	refused string
-	// computed is the prompt tokens that an engine computed, cached what it
-	// did not need to, repeated what it computed though another held it.
-	computed float64
-	cached   int
-	repeated int
-	stream   *stream
+	startedAt    time.Duration
+	firstTokenAt time.Duration
+	endedAt      time.Duration
+	completed    bool
+	refusalCode  string
+	// prefillComputed counts prompt tokens processed by an engine, cachedTokens
+	// those read from its prefix cache, and repeatedTokens those that it lacked
+	// but another engine had cached when the job started.
+	prefillComputed float64
+	cachedTokens    int
+	repeatedTokens  int
+	stream          *stream
 }
 
-// arrivals draws a run's requests: rate is in requests a second.
+// arrivals generates a run's requests; rate is in requests a second.
 type arrivals struct {
-	site   site
-	rate   float64
-	length time.Duration
-	// factor multiplies the rate of one workspace.
-	heavy  int
-	factor float64
-	// burst multiplies all rates for a while.
-	burst      float64
-	burstBegin time.Duration
-	burstEnd   time.Duration
-	// spread is the standard deviation of the logarithm by which answers'
-	// lengths vary beyond their kind; the mean stays.
-	spread float64
-	seed   uint64
+	site     site
+	rate     float64
+	duration time.Duration
+	// heavyFactor multiplies the rate of the workspace with the index
+	// heavyWorkspace; zero leaves it unchanged.
+	heavyWorkspace int
+	heavyFactor    float64
+	// burstFactor multiplies all rates from burstStart to burstEnd; zero means no
+	// burst.
+	burstFactor float64
+	burstStart  time.Duration
+	burstEnd    time.Duration
+	// lengthSpread is the standard deviation of the logarithm of a log-normal
+	// factor on answer lengths; the factor's mean is 1.
+	lengthSpread float64
+	seed         uint64
 }
 
+// draw returns all jobs in order of arrival, numbered from 1.
 func (a arrivals) draw() []*job {
 	rng := rand.New(rand.NewPCG(a.seed, a.seed^0x9e3779b97f4a7c15))
-	weights := zipfWeights()
+	weights := cumulativeZipfWeights()
 	out := []*job{}
 	for w, spec := range a.site.workspaces {
 		rate := a.rate * spec.share
-		if w == a.heavy && a.factor > 0 {
-			rate *= a.factor
+		if w == a.heavyWorkspace && a.heavyFactor > 0 {
+			rate *= a.heavyFactor
 		}
 		out = append(out, a.drawWorkspace(rng, w, rate, weights)...)
 	}
-	sortJobs(out)
+	sortByArrival(out)
 	for i, j := range out {
 		j.id = uint64(i + 1)
 	}
 	return out
 }
 
-// drawWorkspace draws a Poisson process; bursts are thinned from a faster one.
+// drawWorkspace draws one workspace's arrivals as a Poisson process at the peak
+// rate, thinned outside the burst.
 func (a arrivals) drawWorkspace(rng *rand.Rand, w int, rate float64, weights []float64) []*job {
-	peak := max(1, a.burst)
+	peak := max(1, a.burstFactor)
 	out := []*job{}
 	for at := 0.0; ; {
 		at += rng.ExpFloat64() / (rate * peak)
 		now := time.Duration(at * float64(time.Second))
-		if now >= a.length {
+		if now >= a.duration {
 			return out
 		}
-		inBurst := a.burst > 0 && now >= a.burstBegin && now < a.burstEnd
+		inBurst := a.burstFactor > 0 && now >= a.burstStart && now < a.burstEnd
 		if !inBurst && rng.Float64() > 1/peak {
 			continue
 		}
@@ -97,22 +104,23 @@
 	}
 }
 
+// drawJob draws one request of a workspace that arrives at a time.
 func (a arrivals) drawJob(rng *rand.Rand, w int, now time.Duration, weights []float64) *job {
 	t := a.site.workspaces[w].tier
-	k := drawKind(rng, a.site.tiers[t].mix)
-	s := shapes[k]
+	k := drawKind(rng, a.site.tiers[t].kindShares)
+	s := requestShapes[k]
 	j := &job{
-		arrived: now, workspace: w, tier: t, kind: k, limit: s.limit,
-		prompt: s.prompt.draw(rng), output: s.output.draw(rng), deadline: now + a.site.tiers[t].goodput,
+		arrivedAt: now, workspace: w, tier: t, kind: k, maxTokens: s.maxTokens,
+		promptTokens: s.promptTokens.draw(rng), outputTokens: s.outputTokens.draw(rng), deadline: now + a.site.tiers[t].goodputTime,
 	}
-	if a.spread > 0 {
-		factor := math.Exp(a.spread*rng.NormFloat64() - a.spread*a.spread/2)
-		j.output = max(1, min(j.limit, int(float64(j.output)*factor)))
+	if a.lengthSpread > 0 {
+		factor := math.Exp(a.lengthSpread*rng.NormFloat64() - a.lengthSpread*a.lengthSpread/2)
+		j.outputTokens = max(1, min(j.maxTokens, int(float64(j.outputTokens)*factor)))
 	}
 	template := drawIndex(rng, weights)
 	unique := rng.Uint64()
-	for b := range min(maxBlocks, j.prompt/blockTokens) {
-		if (b+1)*blockTokens <= s.prefix {
+	for b := range min(maxBlocks, j.promptTokens/blockTokens) {
+		if (b+1)*blockTokens <= s.sharedPrefix {
 			j.blocks = append(j.blocks, uint64(k)<<56|uint64(template)<<16|uint64(b))
 		} else {
 			j.blocks = append(j.blocks, unique+uint64(b))
@@ -121,24 +129,24 @@
 	return j
 }
 
-func (s span) draw(rng *rand.Rand) int {
-	return s.least + rng.IntN(s.most-s.least+1)
+func (s tokenRange) draw(rng *rand.Rand) int {
+	return s.low + rng.IntN(s.high-s.low+1)
 }
 
-func drawKind(rng *rand.Rand, mix [kinds]float64) kind {
+func drawKind(rng *rand.Rand, shares [kindCount]float64) requestKind {
 	x := rng.Float64()
-	for k, share := range mix {
+	for k, share := range shares {
 		if x < share {
-			return kind(k)
+			return requestKind(k)
 		}
 		x -= share
 	}
 	return lookup
 }
 
-// zipfWeights returns the cumulative weights of the templates.
-func zipfWeights() []float64 {
-	out := make([]float64, templates)
+// cumulativeZipfWeights returns the cumulative weights of the templates.
+func cumulativeZipfWeights() []float64 {
+	out := make([]float64, templateCount)
 	sum := 0.0
 	for i := range out {
 		sum += 1 / math.Pow(float64(i+1), zipfExponent)
@@ -147,6 +155,7 @@
 	return out
 }
 
+// drawIndex draws an index with a probability given by cumulative weights.
 func drawIndex(rng *rand.Rand, cumulative []float64) int {
 	x := rng.Float64() * cumulative[len(cumulative)-1]
 	low, high := 0, len(cumulative)-1
