--- a/internal/logbench/logbench.go
+++ b/internal/logbench/logbench.go
@@ -1,5 +1,7 @@
-// Package logbench measures the replicated log: replicas with real files and
-// real syncs in one process, joined over loopback.
+// Package logbench benchmarks the replicated log: commit throughput and latency,
+// failover and restart. Its replicas run in one process, write and sync real
+// files and communicate over loopback TCP. The command "verbenastep bench-log"
+// runs it.
 package logbench
 
 import (
@@ -25,21 +27,22 @@
 )
 
 const (
-	// replicas is the size of the measured group.
-	replicas = 3
-	// readyWithin bounds the group's begin.
-	readyWithin = 20 * time.Second
-	// stopWithin bounds a replica's stop.
-	stopWithin = 5 * time.Second
+	// replicaCount is the size of the measured group.
+	replicaCount = 3
+	// readyTimeout bounds the time to the first commit after a start or failover.
+	readyTimeout = 20 * time.Second
+	// stopTimeout bounds a replica's graceful stop.
+	stopTimeout = 5 * time.Second
 )
 
-// Config says where and how long to measure.
+// Config sets where and how long to measure.
 type Config struct {
-	// Folder holds the files; it must be on the disk to be measured.
+	// Folder is where temporary files are created; its disk is the one measured.
+	// Empty means the system's folder for temporary files.
 	Folder string
-	// Port is the first of six loopback TCP ports.
+	// Port is the first of three consecutive loopback TCP ports.
 	Port int
-	// Run is the time of each measurement.
+	// Run is the duration of each measurement of commits.
 	Run time.Duration
 }
 
@@ -50,45 +53,48 @@
 	name   string
 }
 
-// cluster is a running group.
+// cluster is a running group of replicas.
 type cluster struct {
-	nodes []*node
-	set   []*settings.Settings
-	each  bool
+	nodes    []*node
+	settings []*settings.Settings
+	// syncEach makes each entry a write and sync of its own, without group commit.
+	syncEach bool
 }
 
-// startCluster begins a group in a folder; an existing one goes on.
-func startCluster(cfg Config, folder string, each bool) (*cluster, error) {
-	c := &cluster{each: each}
+// startCluster starts a group whose files are in a folder, continuing with the
+// files that are there, and waits for its first commit.
+func startCluster(cfg Config, folder string, syncEach bool) (*cluster, error) {
+	c := &cluster{syncEach: syncEach}
 	peers := []settings.Peer{}
-	for i := range replicas {
+	for i := range replicaCount {
 		peers = append(peers, settings.Peer{Name: fmt.Sprintf("replica-%d", i+1), Address: fmt.Sprintf("127.0.0.1:%d", cfg.Port+i)})
 	}
 	for _, p := range peers {
-		c.set = append(c.set, &settings.Settings{
+		c.settings = append(c.settings, &settings.Settings{
 			Name: p.Name, Region: "region", DataCentre: "data-centre", Replicas: peers,
 			Addresses: settings.Addresses{Peers: p.Address}, Roles: []settings.Role{settings.Replica},
 			DataFolder: filepath.Join(folder, p.Name),
 		})
 	}
-	for i := range c.set {
+	for i := range c.settings {
 		n, err := c.startNode(i)
 		if err != nil {
 			return nil, err
 		}
 		c.nodes = append(c.nodes, n)
 	}
-	return c, c.ready()
+	return c, c.waitReady()
 }
 
+// startNode starts the replica with an index, with a kernel of its own.
 func (c *cluster) startNode(i int) (*node, error) {
-	set := c.set[i]
+	nodeSettings := c.settings[i]
 	log := zap.NewNop()
-	joined := link.New(set, log)
-	store := replica.New(set, log)
-	store.SyncEach = c.each
-	n := &node{kernel: kernel.New(), client: logclient.New(set, log), name: set.Name}
-	for _, s := range []kernel.Service{joined, store, n.client, metrics.New(), eventlog.New(port.Holder{Name: set.Name})} {
+	peerLink := link.New(nodeSettings, log)
+	store := replica.New(nodeSettings, log)
+	store.SyncEach = c.syncEach
+	n := &node{kernel: kernel.New(), client: logclient.New(nodeSettings, log), name: nodeSettings.Name}
+	for _, s := range []kernel.Service{peerLink, store, n.client, metrics.New(), eventlog.New(port.Holder{Name: nodeSettings.Name})} {
 		if err := n.kernel.Register(s); err != nil {
 			return nil, err
 		}
@@ -96,13 +102,13 @@
 	if err := n.kernel.Start(context.Background()); err != nil {
 		return nil, err
 	}
-	joined.Serve()
+	peerLink.Serve()
 	return n, nil
 }
 
-// ready waits for the first commit.
-func (c *cluster) ready() error {
-	deadline := time.Now().Add(readyWithin)
+// waitReady waits up to readyTimeout for the first commit.
+func (c *cluster) waitReady() error {
+	deadline := time.Now().Add(readyTimeout)
 	for {
 		_, err := c.nodes[0].client.Propose(context.Background(), port.GroupMain, state.Command{Trim: &state.Trim{}})
 		if err == nil || time.Now().After(deadline) {
@@ -111,20 +117,20 @@
 	}
 }
 
-// stop ends all replicas.
+// stop stops all replicas in parallel.
 func (c *cluster) stop() {
-	all := sync.WaitGroup{}
+	wg := sync.WaitGroup{}
 	for _, n := range c.nodes {
-		all.Go(func() {
-			ctx, cancel := context.WithTimeout(context.Background(), stopWithin)
+		wg.Go(func() {
+			ctx, cancel := context.WithTimeout(context.Background(), stopTimeout)
 			defer cancel()
 			_ = n.kernel.Stop(ctx)
 		})
 	}
-	all.Wait()
+	wg.Wait()
 }
 
-// leader returns the index of the leading node, or -1.
+// leader returns the index of the leader's node, or -1 if none is known.
 func (c *cluster) leader() int {
 	for _, st := range c.nodes[0].client.Status(context.Background(), port.GroupMain) {
 		for i, n := range c.nodes {
@@ -136,9 +142,9 @@
 	return -1
 }
 
-// claim makes the command whose commits are measured: what an entry commits
-// before it dispatches.
-func claim(number int64) state.Command {
+// claimCommand returns the command whose commits are measured: a claim as an
+// entry commits it before it dispatches a request.
+func claimCommand(number int64) state.Command {
 	return state.Command{Claim: &state.Claim{
 		Workspace: "workspace", Key: fmt.Sprintf("key-%d", number), Digest: "sha256:0000000000000000000000000000000000000000000000000000000000000000",
 		Entry: "127.0.0.1:7201", Pool: "logbook", Upstream: "runner-1", Address: "127.0.0.1:9001",
@@ -146,39 +152,40 @@
 	}}
 }
 
-// Run measures and returns the report.
+// Run measures commits with and without group commit, failover and restart. It
+// removes its files before it returns.
 func Run(ctx context.Context, cfg Config) (*Report, error) {
 	folder, err := os.MkdirTemp(cfg.Folder, "bench-log-")
 	if err != nil {
 		return nil, err
 	}
 	defer os.RemoveAll(folder)
-	r := &Report{Started: time.Now().UTC(), Run: cfg.Run}
-	for _, each := range []bool{true, false} {
-		if err := r.commits(ctx, cfg, filepath.Join(folder, fmt.Sprintf("each-%t", each)), each); err != nil {
+	r := &Report{Started: time.Now().UTC(), CommitTime: cfg.Run}
+	for _, syncEach := range []bool{true, false} {
+		if err := r.measureCommits(ctx, cfg, filepath.Join(folder, fmt.Sprintf("each-%t", syncEach)), syncEach); err != nil {
 			return nil, err
 		}
 	}
-	if err := r.failover(cfg, filepath.Join(folder, "failover")); err != nil {
+	if err := r.measureFailover(cfg, filepath.Join(folder, "failover")); err != nil {
 		return nil, err
 	}
-	return r, r.restart(filepath.Join(folder, "restart"))
+	return r, r.measureRestart(filepath.Join(folder, "restart"))
 }
 
-// commits measures commits at each number in flight.
-func (r *Report) commits(ctx context.Context, cfg Config, folder string, each bool) error {
-	c, err := startCluster(cfg, folder, each)
+// measureCommits measures commits with 1, 16 and 256 in flight.
+func (r *Report) measureCommits(ctx context.Context, cfg Config, folder string, syncEach bool) error {
+	c, err := startCluster(cfg, folder, syncEach)
 	if err != nil {
 		return err
 	}
 	defer c.stop()
 	number := atomic.Int64{}
-	for _, inflight := range []int{1, 16, 256} {
-		row, err := drive(ctx, c.nodes[0].client, &number, inflight, cfg.Run)
+	for _, inFlight := range []int{1, 16, 256} {
+		row, err := commitConcurrently(ctx, c.nodes[0].client, &number, inFlight, cfg.Run)
 		if err != nil {
 			return err
 		}
-		row.SyncEach = each
+		row.SyncEach = syncEach
 		r.Commits = append(r.Commits, row)
 	}
 	return nil
--- a/internal/logbench/measure.go
+++ b/internal/logbench/measure.go
@@ -17,156 +17,161 @@
 	"github.com/verbenastep/verbenastep/internal/wal"
 )
 
-// drive keeps a number of claims in flight for a time.
-func drive(ctx context.Context, client *logclient.Service, number *atomic.Int64, inflight int, run time.Duration) (CommitRow, error) {
-	ctx, cancel := context.WithTimeout(ctx, run+10*time.Second)
+// commitConcurrently commits claims from inFlight goroutines for a duration. It
+// returns the figures along with the error of a failed commit; a goroutine stops
+// at its first error.
+func commitConcurrently(ctx context.Context, client *logclient.Service, number *atomic.Int64, inFlight int, duration time.Duration) (CommitRow, error) {
+	ctx, cancel := context.WithTimeout(ctx, duration+10*time.Second)
 	defer cancel()
-	end := time.Now().Add(run)
+	deadline := time.Now().Add(duration)
 	mu := sync.Mutex{}
-	times := []time.Duration{}
-	failed := error(nil)
-	all := sync.WaitGroup{}
-	began := time.Now()
-	for range inflight {
-		all.Go(func() {
-			mine := []time.Duration{}
+	latencies := []time.Duration{}
+	commitErr := error(nil)
+	wg := sync.WaitGroup{}
+	start := time.Now()
+	for range inFlight {
+		wg.Go(func() {
+			own := []time.Duration{}
 			err := error(nil)
-			for err == nil && time.Now().Before(end) {
+			for err == nil && time.Now().Before(deadline) {
 				sent := time.Now()
-				_, err = client.Propose(ctx, port.GroupMain, claim(number.Add(1)))
-				mine = append(mine, time.Since(sent))
+				_, err = client.Propose(ctx, port.GroupMain, claimCommand(number.Add(1)))
+				own = append(own, time.Since(sent))
 			}
 			mu.Lock()
 			defer mu.Unlock()
-			times = append(times, mine...)
+			latencies = append(latencies, own...)
 			if err != nil {
-				failed = err
+				commitErr = err
 			}
 		})
 	}
-	all.Wait()
-	took := time.Since(began)
-	slices.Sort(times)
-	row := CommitRow{InFlight: inflight, Commits: len(times), PerSecond: float64(len(times)) / took.Seconds()}
-	if len(times) > 0 {
-		row.P50 = times[len(times)/2]
-		row.P99 = times[len(times)*99/100]
+	wg.Wait()
+	elapsed := time.Since(start)
+	slices.Sort(latencies)
+	row := CommitRow{InFlight: inFlight, Commits: len(latencies), PerSecond: float64(len(latencies)) / elapsed.Seconds()}
+	if len(latencies) > 0 {
+		row.P50 = latencies[len(latencies)/2]
+		row.P99 = latencies[len(latencies)*99/100]
 	}
-	return row, failed
+	return row, commitErr
 }
 
-// failovers is how many leaders are stopped without warning.
-const failovers = 5
+// failoverCount is how many leaders are stopped without a handover.
+const failoverCount = 5
 
-// failover cuts leaders off and measures until the next commit.
-func (r *Report) failover(cfg Config, folder string) error {
+// measureFailover stops leaders without a handover and measures the time until
+// the next commit succeeds at another replica.
+func (r *Report) measureFailover(cfg Config, folder string) error {
 	c, err := startCluster(cfg, folder, false)
 	if err != nil {
 		return err
 	}
 	defer c.stop()
 	number := atomic.Int64{}
-	for range failovers {
-		lead := c.leader()
-		if lead < 0 {
-			return fmt.Errorf("no leader was found; run again on a less busy machine")
+	for range failoverCount {
+		leader := c.leader()
+		if leader < 0 {
+			return fmt.Errorf("no replica of the group is the leader; run again on a less busy machine")
 		}
-		client := c.nodes[(lead+1)%replicas].client
+		client := c.nodes[(leader+1)%replicaCount].client
 		ctx, cancel := context.WithCancel(context.Background())
 		cancel()
-		began := time.Now()
-		// A context that has ended leaves no time for a handover: the leader
-		// goes as in a crash.
-		_ = c.nodes[lead].kernel.Stop(ctx)
+		start := time.Now()
+		// With a context that has ended the leader stops without transferring
+		// leadership, as in a crash.
+		_ = c.nodes[leader].kernel.Stop(ctx)
 		for {
-			_, err := client.Propose(context.Background(), port.GroupMain, claim(number.Add(1)))
+			_, err := client.Propose(context.Background(), port.GroupMain, claimCommand(number.Add(1)))
 			if err == nil {
 				break
 			}
-			if time.Since(began) > readyWithin {
+			if time.Since(start) > readyTimeout {
 				return err
 			}
 		}
-		r.Failover = append(r.Failover, time.Since(began))
-		if c.nodes[lead], err = c.startNode(lead); err != nil {
+		r.Failovers = append(r.Failovers, time.Since(start))
+		if c.nodes[leader], err = c.startNode(leader); err != nil {
 			return err
 		}
-		// The restarted replica must count again before the next is stopped.
-		time.Sleep(settle)
+		// The restarted replica must rejoin the quorum before the next leader is
+		// stopped.
+		time.Sleep(rejoinDelay)
 	}
-	slices.Sort(r.Failover)
+	slices.Sort(r.Failovers)
 	return nil
 }
 
-// settle is the wait between two failovers.
-const settle = 2 * time.Second
+// rejoinDelay is the wait between two failovers.
+const rejoinDelay = 2 * time.Second
 
-// Sizes of the restart measurement, in entries.
+// Sizes of the restart measurement, in log entries.
 const (
-	snapshotClaims = 10_000
-	behindSnapshot = 100_000
-	entriesAWrite  = 1_000
-	// entriesApplied is about what a replica applies at a time.
-	entriesApplied = 10_000
+	claimsInSnapshot     = 10_000
+	entriesAfterSnapshot = 100_000
+	entriesPerWrite      = 1_000
+	// entriesPerApply is about the batch that a replica applies at a time.
+	entriesPerApply = 10_000
 )
 
-// restart measures reading a log of many entries behind a snapshot.
-func (r *Report) restart(folder string) error {
+// measureRestart measures reading a snapshot and the log entries after it, and
+// applying them.
+func (r *Report) measureRestart(folder string) error {
 	disk, err := wal.OpenFolder(folder)
 	if err != nil {
 		return err
 	}
-	if err := fill(disk); err != nil {
+	if err := writeRestartLog(disk); err != nil {
 		return err
 	}
-	began := time.Now()
-	log, saved, data, err := wal.Open(disk, port.GroupMain, "replica-1", 1)
+	start := time.Now()
+	log, stored, data, err := wal.Open(disk, port.GroupMain, "replica-1", 1)
 	if err != nil {
 		return err
 	}
 	defer log.Close()
-	r.RestartRead = time.Since(began)
+	r.RestartReadTime = time.Since(start)
 	machine := state.New()
 	if err := machine.Restore(data); err != nil {
 		return err
 	}
-	none := func(consensus.Entry) (state.Command, bool) { return state.Command{}, false }
-	for part := range slices.Chunk(saved.Entries, entriesApplied) {
-		for _, d := range replica.DecodeAll(part, none) {
+	noCache := func(consensus.Entry) (state.Command, bool) { return state.Command{}, false }
+	for batch := range slices.Chunk(stored.Entries, entriesPerApply) {
+		for _, d := range replica.DecodeAll(batch, noCache) {
 			machine.Apply(d.Command)
 		}
 	}
-	r.Restart = time.Since(began)
-	r.RestartEntries = len(saved.Entries)
-	if machine.ClaimCount() != snapshotClaims+behindSnapshot {
-		return fmt.Errorf("the restarted state holds %d claims in place of %d", machine.ClaimCount(), snapshotClaims+behindSnapshot)
+	r.RestartTime = time.Since(start)
+	r.RestartEntries = len(stored.Entries)
+	if machine.ClaimCount() != claimsInSnapshot+entriesAfterSnapshot {
+		return fmt.Errorf("the restored state holds %d claims, expected %d; report it as a bug", machine.ClaimCount(), claimsInSnapshot+entriesAfterSnapshot)
 	}
 	return nil
 }
 
-// fill writes a snapshot and the entries behind it.
-func fill(disk wal.Disk) error {
+// writeRestartLog writes a snapshot and the log entries after it.
+func writeRestartLog(disk wal.Disk) error {
 	log, _, _, err := wal.Open(disk, port.GroupMain, "replica-1", 1)
 	if err != nil {
 		return err
 	}
 	defer log.Close()
 	machine := state.New()
-	for i := range int64(snapshotClaims) {
-		machine.Apply(claim(i))
+	for i := range int64(claimsInSnapshot) {
+		machine.Apply(claimCommand(i))
 	}
 	data, err := machine.Snapshot()
 	if err != nil {
 		return err
 	}
-	meta := consensus.Meta{Index: snapshotClaims, Term: 1, Size: uint64(len(data))}
+	meta := consensus.Meta{Index: claimsInSnapshot, Term: 1, Size: uint64(len(data))}
 	if err := wal.WriteSnapshot(disk, consensus.Snapshot{Meta: meta, Data: data}); err != nil {
 		return err
 	}
-	for first := int64(snapshotClaims); first < snapshotClaims+behindSnapshot; first += entriesAWrite {
+	for first := int64(claimsInSnapshot); first < claimsInSnapshot+entriesAfterSnapshot; first += entriesPerWrite {
 		entries := []consensus.Entry{}
-		for i := first; i < first+entriesAWrite; i++ {
-			data, err := json.Marshal(claim(i))
+		for i := first; i < first+entriesPerWrite; i++ {
+			data, err := json.Marshal(claimCommand(i))
 			if err != nil {
 				return err
 			}
--- a/internal/logbench/report.go
+++ b/internal/logbench/report.go
@@ -7,52 +7,56 @@
 	"time"
 )
 
-// CommitRow is one measurement of commits.
+// CommitRow holds the commits measured at one concurrency.
 type CommitRow struct {
-	InFlight  int
+	InFlight int
+	// SyncEach says that each entry was synced on its own, without group commit.
 	SyncEach  bool
 	Commits   int
 	PerSecond float64
-	P50, P99  time.Duration
+	// P50 and P99 are percentiles of the time from proposal to commit.
+	P50, P99 time.Duration
 }
 
-// Report is what one run measured.
+// Report holds the figures of one run.
 type Report struct {
-	Started time.Time
-	Run     time.Duration
-	Commits []CommitRow
-	// Failover holds the sorted times from the leader's end to the next commit.
-	Failover []time.Duration
-	// RestartRead is until the log is read, Restart until it is applied too.
-	RestartRead    time.Duration
-	Restart        time.Duration
-	RestartEntries int
+	Started    time.Time
+	CommitTime time.Duration
+	Commits    []CommitRow
+	// Failovers holds the sorted times from a leader's stop to the next commit.
+	Failovers []time.Duration
+	// RestartReadTime is the time to read the snapshot and the log, RestartTime
+	// the time until the entries are applied as well.
+	RestartReadTime time.Duration
+	RestartTime     time.Duration
+	RestartEntries  int
 }
 
-// Targets of the design.
+// Design targets of the replicated log; gains are ratios.
 const (
-	targetGain     = 10.0
-	targetFailover = 2 * time.Second
-	targetRestart  = time.Second
+	minGroupCommitGain = 10.0
+	maxFailover        = 2 * time.Second
+	maxRestart         = time.Second
 )
 
-// gain is how many times faster group commit is at a number in flight.
-func (r *Report) gain(inflight int) float64 {
-	each, batch := 0.0, 0.0
+// groupCommitGain returns the ratio of commits per second with group commit to
+// those with one sync an entry, at a concurrency; zero if not measured.
+func (r *Report) groupCommitGain(inFlight int) float64 {
+	perEntry, perBatch := 0.0, 0.0
 	for _, row := range r.Commits {
-		if row.InFlight != inflight {
+		if row.InFlight != inFlight {
 			continue
 		}
 		if row.SyncEach {
-			each = row.PerSecond
+			perEntry = row.PerSecond
 		} else {
-			batch = row.PerSecond
+			perBatch = row.PerSecond
 		}
 	}
-	if each == 0 {
+	if perEntry == 0 {
 		return 0
 	}
-	return batch / each
+	return perBatch / perEntry
 }
 
 func verdict(met bool) string {
@@ -62,47 +66,49 @@
 	return "not met"
 }
 
-// WriteTo writes the report as a section of a Markdown page.
+// WriteTo writes the report as a section of a Markdown page. It implements
+// io.WriterTo.
 func (r *Report) WriteTo(w io.Writer) (int64, error) {
-	p := &printer{w: w}
-	p.line("## %s", r.Started.Format("2006-01-02 15:04 UTC"))
-	p.line("")
-	p.line("Three replicas in one process, real files and syncs, joined by drpc over loopback; %d processors, %s, %s a row. A commit is a claim, proposed through the log's client.", runtime.NumCPU(), runtime.Version(), r.Run)
-	p.line("")
-	p.line("| in flight | sync | commits | commits/s | p50 ms | p99 ms |")
-	p.line("|---|---|---|---|---|---|")
+	p := &linePrinter{w: w}
+	p.printLine("## %s", r.Started.Format("2006-01-02 15:04 UTC"))
+	p.printLine("")
+	p.printLine("Three replicas in one process, real files and syncs, joined by drpc over loopback; %d processors, %s, %s a row. A commit is a claim, proposed through the log's client.", runtime.NumCPU(), runtime.Version(), r.CommitTime)
+	p.printLine("")
+	p.printLine("| in flight | sync | commits | commits/s | p50 ms | p99 ms |")
+	p.printLine("|---|---|---|---|---|---|")
 	for _, row := range r.Commits {
 		mode := "one a batch"
 		if row.SyncEach {
 			mode = "one an entry"
 		}
-		p.line("| %d | %s | %d | %.0f | %.2f | %.2f |", row.InFlight, mode, row.Commits, row.PerSecond, ms(row.P50), ms(row.P99))
+		p.printLine("| %d | %s | %d | %.0f | %.2f | %.2f |", row.InFlight, mode, row.Commits, row.PerSecond, milliseconds(row.P50), milliseconds(row.P99))
 	}
-	p.line("")
-	gain := r.gain(256)
-	p.line("- Group commit at 256 in flight: %.1f times one sync an entry (target %.0f times: %s).", gain, targetGain, verdict(gain >= targetGain))
-	if n := len(r.Failover); n > 0 {
-		worst := r.Failover[n-1]
-		p.line("- Leader stopped without a handover, until the next commit: median %.0f ms, worst of %d %.0f ms (target %.0f ms: %s).", ms(r.Failover[n/2]), n, ms(worst), ms(targetFailover), verdict(worst <= targetFailover))
+	p.printLine("")
+	gain := r.groupCommitGain(256)
+	p.printLine("- Group commit at 256 in flight: %.1f times one sync an entry (target %.0f times: %s).", gain, minGroupCommitGain, verdict(gain >= minGroupCommitGain))
+	if n := len(r.Failovers); n > 0 {
+		slowest := r.Failovers[n-1]
+		p.printLine("- Leader stopped without a handover, until the next commit: median %.0f ms, worst of %d %.0f ms (target %.0f ms: %s).", milliseconds(r.Failovers[n/2]), n, milliseconds(slowest), milliseconds(maxFailover), verdict(slowest <= maxFailover))
 	}
-	p.line("- Restart with %d entries behind a snapshot: read in %.0f ms, applied after %.0f ms (target %.0f ms: %s).", r.RestartEntries, ms(r.RestartRead), ms(r.Restart), ms(targetRestart), verdict(r.Restart <= targetRestart))
-	p.line("")
-	return p.n, p.err
+	p.printLine("- Restart with %d entries behind a snapshot: read in %.0f ms, applied after %.0f ms (target %.0f ms: %s).", r.RestartEntries, milliseconds(r.RestartReadTime), milliseconds(r.RestartTime), milliseconds(maxRestart), verdict(r.RestartTime <= maxRestart))
+	p.printLine("")
+	return p.written, p.err
 }
 
-func ms(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
+func milliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-type printer struct {
-	w   io.Writer
-	n   int64
-	err error
+// linePrinter writes lines, counts the bytes and keeps the first error.
+type linePrinter struct {
+	w       io.Writer
+	written int64
+	err     error
 }
 
-func (p *printer) line(format string, args ...any) {
+func (p *linePrinter) printLine(format string, args ...any) {
 	if p.err != nil {
 		return
 	}
 	n, err := fmt.Fprintf(p.w, format+"\n", args...)
-	p.n += int64(n)
+	p.written += int64(n)
 	p.err = err
 }
