--- a/internal/capacity/dispatcher.go
+++ b/internal/capacity/dispatcher.go
@@ -8,14 +8,14 @@
 )
 
 const (
-	// slotsEach is how many requests a measured upstream takes at once.
-	slotsEach = 8
-	// promptTokens and maxTokens are a measured request's.
+	// slotsPerUpstream is how many requests a measured upstream runs at once.
+	slotsPerUpstream = 8
+	// promptTokens and maxTokens are the lengths of a measured request.
 	promptTokens = 400
 	maxTokens    = 200
-	// workspacesQueued is how many workspaces share a measured queue.
-	workspacesQueued = 50
-	// tierCount is the number of tiers of the target.
+	// queuedWorkspaces is how many workspaces share a measured queue.
+	queuedWorkspaces = 50
+	// tierCount is the number of tiers in measured configurations and queues.
 	tierCount = 3
 )
 
@@ -24,66 +24,70 @@
 	queueSizes    = []int{100, 1_000, 10_000}
 )
 
+// dispatcherPoints measures the time of a grant by upstreams and by queue
+// length, and the memory of queued requests and upstreams.
 func dispatcherPoints() []Point {
-	out := series{"dispatcher.grant", "upstreams", "ns"}.measure(upstreamSizes, func(n int) float64 {
-		return grantCost(n, 1_000)
+	out := seriesSpec{"dispatcher.grant", "upstreams", "ns"}.measure(upstreamSizes, func(n int) float64 {
+		return grantTime(n, 1_000)
 	})
-	out = append(out, series{"dispatcher.grant.queued", "queued requests", "ns"}.measure(queueSizes, func(n int) float64 {
-		return grantCost(300, n)
+	out = append(out, seriesSpec{"dispatcher.grant.queued", "queued requests", "ns"}.measure(queueSizes, func(n int) float64 {
+		return grantTime(300, n)
 	})...)
-	out = append(out, series{"dispatcher.queue.memory", "queued requests", "bytes"}.measure(queueSizes, func(n int) float64 {
-		return heldBytes(func() any { return newRig(0, n) })
+	out = append(out, seriesSpec{"dispatcher.queue.memory", "queued requests", "bytes"}.measure(queueSizes, func(n int) float64 {
+		return heapGrowth(func() any { return newDispatcherBench(0, n) })
 	})...)
-	return append(out, series{"dispatcher.upstream.memory", "upstreams", "bytes"}.measure(upstreamSizes, func(n int) float64 {
-		return heldBytes(func() any { return newRig(n, 0) })
+	return append(out, seriesSpec{"dispatcher.upstream.memory", "upstreams", "bytes"}.measure(upstreamSizes, func(n int) float64 {
+		return heapGrowth(func() any { return newDispatcherBench(n, 0) })
 	})...)
 }
 
-// rig drives one dispatcher.
-type rig struct {
-	core *sched.Dispatcher
-	now  time.Duration
-	next uint64
+// dispatcherBench drives one dispatcher in virtual time.
+type dispatcherBench struct {
+	dispatcher *sched.Dispatcher
+	now        time.Duration
+	lastID     uint64
 }
 
-func newRig(upstreams, queued int) *rig {
-	r := &rig{core: sched.New(sched.Params{Region: "r"})}
+// newDispatcherBench returns a dispatcher with announced upstreams and offered
+// requests; none is granted yet.
+func newDispatcherBench(upstreams, queued int) *dispatcherBench {
+	b := &dispatcherBench{dispatcher: sched.New(sched.Params{Region: "r"})}
 	for i := range upstreams {
-		_ = r.core.Announce(0, sched.Upstream{
+		_ = b.dispatcher.Announce(0, sched.Upstream{
 			Name: fmt.Sprintf("runner-%d", i), Address: fmt.Sprintf("10.0.%d.%d:9000", i/256, i%256), Region: "r", DataCentre: "d",
-			Incarnation: 1, Slots: slotsEach, Lease: time.Hour,
+			Incarnation: 1, Slots: slotsPerUpstream, Lease: time.Hour,
 		})
 	}
 	for range queued {
-		r.offer()
+		b.offer()
 	}
-	return r
+	return b
 }
 
-func (r *rig) offer() {
-	r.next++
-	_, _ = r.core.Offer(r.now, sched.Offer{
-		ID:        sched.ID{Entry: "entry-1#1@10.0.0.1:7200", Number: r.next},
-		Workspace: fmt.Sprintf("workspace-%d", r.next%workspacesQueued), Tier: int(r.next % tierCount), Weight: 1,
+func (b *dispatcherBench) offer() {
+	b.lastID++
+	_, _ = b.dispatcher.Offer(b.now, sched.Offer{
+		ID:        sched.ID{Entry: "entry-1#1@10.0.0.1:7200", Number: b.lastID},
+		Workspace: fmt.Sprintf("workspace-%d", b.lastID%queuedWorkspaces), Tier: int(b.lastID % tierCount), Weight: 1,
 		PromptTokens: promptTokens, MaxTokens: maxTokens, Deadline: time.Hour,
-		Blocks: []uint64{r.next % 7, r.next % 31, r.next},
+		Blocks: []uint64{b.lastID % 7, b.lastID % 31, b.lastID},
 	})
 }
 
-// grantCost returns the time of one offer, its decision and a release, with
-// all upstreams busy and a queue behind.
-func grantCost(upstreams, queued int) float64 {
-	r := newRig(upstreams, queued+upstreams*slotsEach)
-	running := r.core.Decide(r.now).Grants
+// grantTime returns the time in nanoseconds of one release, offer and decision
+// while all upstreams are busy and requests are queued.
+func grantTime(upstreams, queued int) float64 {
+	b := newDispatcherBench(upstreams, queued+upstreams*slotsPerUpstream)
+	running := b.dispatcher.Decide(b.now).Grants
 	return nanoseconds(func() {
-		r.now += time.Millisecond
+		b.now += time.Millisecond
 		if len(running) == 0 {
 			panic("no request is running")
 		}
 		g := running[0]
 		running = running[1:]
-		_, _ = r.core.Release(r.now, sched.Release{ID: g.ID, Outcome: sched.Completed, Prefill: time.Second, Decode: time.Second, OutputTokens: maxTokens})
-		r.offer()
-		running = append(running, r.core.Decide(r.now).Grants...)
+		_, _ = b.dispatcher.Release(b.now, sched.Release{ID: g.ID, Outcome: sched.Completed, Prefill: time.Second, Decode: time.Second, OutputTokens: maxTokens})
+		b.offer()
+		running = append(running, b.dispatcher.Decide(b.now).Grants...)
 	})
 }
--- a/internal/capacity/entry.go
+++ b/internal/capacity/entry.go
@@ -19,13 +19,13 @@
 )
 
 const (
-	// tokensEach is the length of a measured answer.
-	tokensEach = 60
-	// answerBytes is the text of a measured answer.
-	answerBytes = 4 * tokensEach
-	// leastStreams is how many streams a load has at least, so that its
-	// quantiles mean something; they follow one another where fewer run at once.
-	leastStreams = 20
+	// tokensPerAnswer is the length of a measured answer.
+	tokensPerAnswer = 60
+	// answerBytes is the size of a measured answer's text: 4 bytes a token.
+	answerBytes = 4 * tokensPerAnswer
+	// minStreams is the least number of streams in a measurement, enough for its
+	// quantiles. With fewer at once they run one after another.
+	minStreams = 20
 )
 
 var (
@@ -33,15 +33,17 @@
 	addressSizes = []int{9, 100, 700}
 )
 
+// entryPoints measures the directory, held answers, authenticated calls and
+// streams.
 func entryPoints() ([]Point, error) {
-	out := series{"directory.bytes", "addresses", "bytes"}.measure(addressSizes, func(n int) float64 {
+	out := seriesSpec{"directory.bytes", "addresses", "bytes"}.measure(addressSizes, func(n int) float64 {
 		return float64(len(directoryJSON(n)))
 	})
-	out = append(out, series{"directory.answer", "addresses", "ns"}.measure(addressSizes, func(n int) float64 {
+	out = append(out, seriesSpec{"directory.answer", "addresses", "ns"}.measure(addressSizes, func(n int) float64 {
 		return nanoseconds(func() { directoryJSON(n) })
 	})...)
-	out = append(out, series{"entry.answer.memory", "answers", "bytes"}.measure(claimSizes[:2], func(n int) float64 {
-		return heldBytes(func() any { return answersHeld(n) })
+	out = append(out, seriesSpec{"entry.answer.memory", "answers", "bytes"}.measure(claimSizes[:2], func(n int) float64 {
+		return heapGrowth(func() any { return buildAnswers(n) })
 	})...)
 	calls, err := callPoints()
 	if err != nil {
@@ -63,7 +65,7 @@
 	return data
 }
 
-func answersHeld(n int) []*answer.Answer {
+func buildAnswers(n int) []*answer.Answer {
 	out := make([]*answer.Answer, 0, n)
 	for i := range n {
 		a := answer.New(answer.Meta{Workspace: "workspace-1", Key: fmt.Sprintf("key-%d", i)})
@@ -73,11 +75,11 @@
 	return out
 }
 
-// callPoints times authenticated calls and announcements over HTTP, one after
-// another; client and server share the process.
+// callPoints measures authenticated calls and announcements over HTTP, one after
+// another. Client and server share the process, so both are in the time.
 func callPoints() ([]Point, error) {
-	auth := series{"entry.authenticate", "workspaces", "ns"}
-	announce := series{"registry.announce", "announcements at once", "ns"}
+	auth := seriesSpec{"entry.authenticate", "workspaces", "ns"}
+	announce := seriesSpec{"registry.announce", "announcements at once", "ns"}
 	out := []Point{}
 	for _, n := range workspaceSizes {
 		s, err := startSite(n)
@@ -85,11 +87,11 @@
 			return nil, err
 		}
 		out = append(out, auth.measure([]int{n}, func(int) float64 {
-			return nanoseconds(func() { s.get("http://" + s.set.Addresses.Callers + "/v1/models") })
+			return nanoseconds(func() { s.get("http://" + s.settings.Addresses.Callers + "/v1/models") })
 		})...)
 		if n == workspaceSizes[0] {
 			out = append(out, announce.measure([]int{1}, func(int) float64 {
-				return nanoseconds(func() { s.post("http://"+s.set.Addresses.Upstreams+"/upstream/v1/announce", announceBody) })
+				return nanoseconds(func() { s.post("http://"+s.settings.Addresses.Upstreams+"/upstream/v1/announce", announceBody) })
 			})...)
 		}
 		s.stop()
@@ -100,7 +102,7 @@
 const announceBody = `{"name":"runner-9","kind":"runner","pool":"m0","address":"127.0.0.1:1","region":"r0","data_centre":"d0","incarnation":1,"slots":8,"leaving":true}`
 
 func (s *site) get(url string) {
-	s.do(http.MethodGet, url, s.key, nil)
+	s.do(http.MethodGet, url, s.callerKey, nil)
 }
 
 func (s *site) post(url, body string) {
@@ -113,19 +115,19 @@
 		panic(err)
 	}
 	req.Header.Set("Authorization", "Bearer "+key)
-	resp, err := s.callers.Do(req)
+	resp, err := s.httpClient.Do(req)
 	if err != nil {
 		panic(err)
 	}
 	_, _ = io.Copy(io.Discard, resp.Body)
 	_ = resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		panic(fmt.Sprintf("status %d from %s", resp.StatusCode, url))
+		panic(fmt.Sprintf("unexpected HTTP status %d from %s", resp.StatusCode, url))
 	}
 }
 
-// streamPoints compares streams through the daemon with the same streams
-// straight from the runner.
+// streamPoints compares streams through the daemon with the same streams read
+// from the runner directly.
 func streamPoints() ([]Point, error) {
 	s, err := startSite(workspaceSizes[0])
 	if err != nil {
@@ -134,61 +136,65 @@
 	defer s.stop()
 	out := []Point{}
 	for _, n := range streamSizes {
-		through, err := s.load(n, func(ctx context.Context, _ int) (timing, error) { return s.stream(ctx, tokensEach) })
+		through, err := s.runStreams(n, func(ctx context.Context, _ int) (streamTiming, error) {
+			return s.streamFromDaemon(ctx, tokensPerAnswer)
+		})
 		if err != nil {
 			return nil, err
 		}
-		direct, err := s.load(n, func(ctx context.Context, i int) (timing, error) {
-			return s.direct(ctx, fmt.Sprintf("direct-%d-%d", n, i), tokensEach)
+		direct, err := s.runStreams(n, func(ctx context.Context, i int) (streamTiming, error) {
+			return s.streamFromRunner(ctx, fmt.Sprintf("direct-%d-%d", n, i), tokensPerAnswer)
 		})
 		if err != nil {
 			return nil, err
 		}
-		out = append(out, compare(n, through, direct)...)
+		out = append(out, overheadPoints(n, through, direct)...)
 	}
 	return out, nil
 }
 
-// loadResult is what n streams at once showed.
+// loadResult holds the timings of concurrent streams and the processor time used.
 type loadResult struct {
-	firsts []time.Duration
-	gaps   []time.Duration
-	tokens int
-	cpu    time.Duration
+	firstTokenTimes []time.Duration
+	tokenGaps       []time.Duration
+	tokens          int
+	cpu             time.Duration
 }
 
-func (r *loadResult) add(t timing) {
-	r.firsts = append(r.firsts, t.first)
-	r.gaps = append(r.gaps, t.gaps...)
+func (r *loadResult) add(t streamTiming) {
+	r.firstTokenTimes = append(r.firstTokenTimes, t.firstToken)
+	r.tokenGaps = append(r.tokenGaps, t.tokenGaps...)
 	r.tokens += t.tokens
 }
 
-func (s *site) load(n int, one func(ctx context.Context, i int) (timing, error)) (loadResult, error) {
+// runStreams runs n streams at once, and at least minStreams in all. It returns
+// the joined errors of all streams.
+func (s *site) runStreams(n int, runStream func(ctx context.Context, i int) (streamTiming, error)) (loadResult, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
 	mu := sync.Mutex{}
 	out := loadResult{}
-	failed := error(nil)
+	runErr := error(nil)
 	wg := sync.WaitGroup{}
 	before := processTime()
-	follow := max(1, leastStreams/n)
+	repeats := max(1, minStreams/n)
 	for i := range n {
 		wg.Go(func() {
-			for j := range follow {
-				t, err := one(ctx, i*follow+j)
+			for j := range repeats {
+				t, err := runStream(ctx, i*repeats+j)
 				mu.Lock()
 				out.add(t)
-				failed = errors.Join(failed, err)
+				runErr = errors.Join(runErr, err)
 				mu.Unlock()
 			}
 		})
 	}
 	wg.Wait()
 	out.cpu = processTime() - before
-	return out, failed
+	return out, runErr
 }
 
-// processTime is the processor time that this process has used.
+// processTime returns the user and system processor time used by this process.
 func processTime() time.Duration {
 	u := syscall.Rusage{}
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
@@ -197,16 +203,18 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
+// quantile returns a quantile in nanoseconds; d must not be empty.
 func quantile(d []time.Duration, q float64) float64 {
 	sorted := slices.Clone(d)
 	slices.Sort(sorted)
 	return float64(sorted[int(q*float64(len(sorted)-1))])
 }
 
-// compare returns what the daemon adds to the runner's own figures.
-func compare(n int, through, direct loadResult) []Point {
+// overheadPoints returns what the daemon adds to the runner's own times: processor
+// time per token, and quantiles of the first token and of the gaps.
+func overheadPoints(n int, through, direct loadResult) []Point {
 	point := func(name string, value float64) Point {
-		return Point{Series: name, Size: float64(n), Over: "streams at once", Value: value, Unit: "ns"}
+		return Point{Series: name, Size: float64(n), SizeUnit: "streams at once", Value: value, Unit: "ns"}
 	}
 	out := []Point{point("entry.token", (float64(through.cpu)-float64(direct.cpu))/float64(through.tokens))}
 	for _, q := range []struct {
@@ -214,8 +222,8 @@
 		at   float64
 	}{{"p50", 0.5}, {"p95", 0.95}, {"p99", 0.99}} {
 		out = append(out,
-			point("entry.first."+q.name, quantile(through.firsts, q.at)-quantile(direct.firsts, q.at)),
-			point("entry.gap."+q.name, quantile(through.gaps, q.at)-quantile(direct.gaps, q.at)))
+			point("entry.first."+q.name, quantile(through.firstTokenTimes, q.at)-quantile(direct.firstTokenTimes, q.at)),
+			point("entry.gap."+q.name, quantile(through.tokenGaps, q.at)-quantile(direct.tokenGaps, q.at)))
 	}
 	return out
 }
--- a/internal/capacity/failures.go
+++ b/internal/capacity/failures.go
@@ -5,41 +5,43 @@
 	"strings"
 )
 
-// What the letter leaves open about failures, fixed here for the reckoning.
+// Assumptions about failures that the target sizes do not state.
 const (
-	// rackDaemons is how many daemons share a rack or switch.
-	rackDaemons = 10
-	// takeoverSeconds is from a dispatcher's death to its successor's first
-	// grant: the lease, its margin, and settling.
+	// daemonsPerRack is how many daemons share a rack or switch.
+	daemonsPerRack = 10
+	// takeoverSeconds is the time from a dispatcher's crash to its successor's
+	// first grant: the lease, its margin, and the wait for the entries to connect.
 	takeoverSeconds = 3.2
-	// daysPerYear and the rates below turn events into a year's.
-	daysPerYear = 365
+	daysPerYear     = 365
 )
 
-// Failure is what one kind of event costs.
+// Failure is the cost of one kind of failure or restart.
 type Failure struct {
-	Event   string
+	Event string
+	// PerYear is the number of events a year.
 	PerYear float64
-	// Daemons are lost or restarted at once.
+	// Daemons is how many daemons one event stops at once.
 	Daemons float64
-	// Cut is streams whose entry is gone; callers with their own key pick them
-	// up at another entry.
-	Cut float64
-	// Leases is how many dispatchers move.
-	Leases float64
-	// Reoffered is requests that entries offer again, and Bytes their size.
-	Reoffered float64
-	Bytes     float64
-	// Delayed is how many requests wait for a successor.
-	Delayed float64
-	// PeakHello is the most bytes that one new dispatcher receives at once.
-	PeakHello float64
+	// StreamsCut counts streams whose entry is lost; callers with their own key
+	// resume them at another entry.
+	StreamsCut float64
+	// DispatchersMoved counts dispatchers whose lease another daemon takes over.
+	DispatchersMoved float64
+	// RequestsReoffered counts requests that entries offer to the successors,
+	// ReofferBytes is the size of these offers.
+	RequestsReoffered float64
+	ReofferBytes      float64
+	// RequestsDelayed counts requests that arrive before the successor grants.
+	RequestsDelayed float64
+	// PeakReofferBytes is the most bytes that one successor receives at once.
+	PeakReofferBytes float64
 }
 
-// Failures reckons the events that the letter lists.
+// Failures calculates the cost of each kind of failure and restart at the target
+// size. It returns a *SlopeError if a series is missing.
 func Failures(slopes map[string]Slope) ([]Failure, error) {
-	b := &book{slopes: slopes}
-	offer := b.at("wire.offer", 1)
+	lookup := &slopeLookup{slopes: slopes}
+	offerBytes := lookup.cost("wire.offer", 1)
 	kinds := []struct {
 		event   string
 		perYear float64
@@ -48,39 +50,41 @@
 	}{
 		{"an instance fails", failuresPerDay * daysPerYear, 1, false},
 		{"an instance is restarted or replaced", restartsPerDay * daysPerYear, 1, true},
-		{"a rack or switch goes", daysPerYear / 7, rackDaemons, false},
+		{"a rack or switch goes", daysPerYear / 7, daemonsPerRack, false},
 		{"a data centre goes", 6, float64(daemons) / dataCentres, false},
 		{"a region is parted for an hour", 12, daemonsPerRegion, false},
 	}
 	out := []Failure{}
-	for _, k := range kinds {
-		f := Failure{Event: k.event, PerYear: k.perYear, Daemons: k.daemons}
-		f.Leases = k.daemons * pools / daemons
-		if !k.drained {
-			f.Cut = k.daemons * requestsPerEntry * streamSeconds
+	for _, kind := range kinds {
+		f := Failure{Event: kind.event, PerYear: kind.perYear, Daemons: kind.daemons}
+		f.DispatchersMoved = kind.daemons * pools / daemons
+		if !kind.drained {
+			f.StreamsCut = kind.daemons * requestsPerEntry * streamSeconds
 		}
-		f.Reoffered = f.Leases * requestsPerPool * streamSeconds
-		f.Bytes = f.Reoffered * offer
-		f.Delayed = f.Leases * requestsPerPool * takeoverSeconds
-		f.PeakHello = requestsPerPool * streamSeconds * offer
+		f.RequestsReoffered = f.DispatchersMoved * requestsPerPool * streamSeconds
+		f.ReofferBytes = f.RequestsReoffered * offerBytes
+		f.RequestsDelayed = f.DispatchersMoved * requestsPerPool * takeoverSeconds
+		f.PeakReofferBytes = requestsPerPool * streamSeconds * offerBytes
 		out = append(out, f)
 	}
-	return out, b.err
+	return out, lookup.err
 }
 
+// failureTable formats the failures as a Markdown table.
 func failureTable(failures []Failure) string {
 	b := strings.Builder{}
 	b.WriteString("| event | a year | daemons | streams cut | dispatchers moved | requests offered again | bytes for it | requests delayed up to 3.2 s | bytes to one successor |\n")
 	b.WriteString("|---|---:|---:|---:|---:|---:|---:|---:|---:|\n")
 	for _, f := range failures {
 		fmt.Fprintf(&b, "| %s | %s | %s | %s | %s | %s | %s | %s | %s |\n",
-			f.Event, number(f.PerYear), number(f.Daemons), number(f.Cut), number(f.Leases),
-			number(f.Reoffered), bytesText(f.Bytes), number(f.Delayed), bytesText(f.PeakHello))
+			f.Event, formatNumber(f.PerYear), formatNumber(f.Daemons), formatNumber(f.StreamsCut), formatNumber(f.DispatchersMoved),
+			formatNumber(f.RequestsReoffered), bytesText(f.ReofferBytes), formatNumber(f.RequestsDelayed), bytesText(f.PeakReofferBytes))
 	}
 	return b.String()
 }
 
-// latencyTable lists what the daemon adds, as measured, without a fit.
+// latencyTable formats the measured latency that the daemon adds, without a fit,
+// as a Markdown table.
 func latencyTable(points []Point) string {
 	b := strings.Builder{}
 	b.WriteString("| added by the daemon | streams at once | ms | target ms |\n|---|---:|---:|---:|\n")
@@ -89,7 +93,7 @@
 		if !strings.HasPrefix(p.Series, "entry.first.") && !strings.HasPrefix(p.Series, "entry.gap.") {
 			continue
 		}
-		fmt.Fprintf(&b, "| `%s` | %s | %.3f | %s |\n", p.Series, number(p.Size), p.Value/1e6, targets[p.Series])
+		fmt.Fprintf(&b, "| `%s` | %s | %.3f | %s |\n", p.Series, formatNumber(p.Size), p.Value/1e6, targets[p.Series])
 	}
 	return b.String()
 }
--- a/internal/capacity/measure.go
+++ b/internal/capacity/measure.go
@@ -7,74 +7,78 @@
 )
 
 const (
-	// rounds is how many times a cost is measured; the median counts.
-	rounds = 5
-	// roundTime is the least time of one round.
-	roundTime = 40 * time.Millisecond
+	// timingRounds is how many times a cost is measured; the result is the median.
+	timingRounds = 5
+	// minRoundTime is the least duration of one round.
+	minRoundTime = 40 * time.Millisecond
 )
 
-// nanoseconds returns the median time of one call of fn. Calls are made in
-// runs that grow until one takes roundTime.
+// nanoseconds returns the median time of one call of fn. The number of calls a
+// round doubles until a round takes minRoundTime.
 func nanoseconds(fn func()) float64 {
 	n := 1
-	for timed(fn, n) < roundTime && n < 1<<24 {
+	for timeCalls(fn, n) < minRoundTime && n < 1<<24 {
 		n *= 2
 	}
-	values := make([]float64, 0, rounds)
-	for range rounds {
-		values = append(values, float64(timed(fn, n).Nanoseconds())/float64(n))
+	values := make([]float64, 0, timingRounds)
+	for range timingRounds {
+		values = append(values, float64(timeCalls(fn, n).Nanoseconds())/float64(n))
 	}
 	slices.Sort(values)
-	return values[rounds/2]
+	return values[timingRounds/2]
 }
 
-func timed(fn func(), n int) time.Duration {
-	began := time.Now()
+// timeCalls returns the time of n calls of fn.
+func timeCalls(fn func(), n int) time.Duration {
+	start := time.Now()
 	for range n {
 		fn()
 	}
-	return time.Since(began)
+	return time.Since(start)
 }
 
-// heldBytes returns how much the heap grows by what build returns.
-func heldBytes(build func() any) float64 {
+// heapGrowth returns by how many bytes the live heap grows while the result of
+// build is reachable.
+func heapGrowth(build func() any) float64 {
 	runtime.GC()
 	before := runtime.MemStats{}
 	runtime.ReadMemStats(&before)
-	kept := build()
+	built := build()
 	runtime.GC()
 	after := runtime.MemStats{}
 	runtime.ReadMemStats(&after)
-	runtime.KeepAlive(kept)
+	runtime.KeepAlive(built)
 	return float64(after.HeapAlloc) - float64(before.HeapAlloc)
 }
 
-// series collects points of one series.
-type series struct {
-	name string
-	over string
-	unit string
+// seriesSpec names a series, the unit of its sizes and that of its values.
+type seriesSpec struct {
+	name     string
+	sizeUnit string
+	unit     string
 }
 
-func (s series) measure(sizes []int, fn func(size int) float64) []Point {
+// measure returns the series' points, one for each size.
+func (s seriesSpec) measure(sizes []int, fn func(size int) float64) []Point {
 	out := make([]Point, 0, len(sizes))
 	for _, n := range sizes {
-		out = append(out, Point{Series: s.name, Size: float64(n), Over: s.over, Value: fn(n), Unit: s.unit})
+		out = append(out, Point{Series: s.name, Size: float64(n), SizeUnit: s.sizeUnit, Value: fn(n), Unit: s.unit})
 	}
 	return out
 }
 
-// Measure takes all measurements; progress is called before each group.
+// Measure runs all measurements in turn; progress is called with the name of each
+// group before it starts. It panics where the measured code fails unexpectedly.
 func Measure(progress func(group string)) ([]Point, error) {
 	groups := []struct {
 		name string
 		run  func() ([]Point, error)
 	}{
-		{"dispatcher", pure(dispatcherPoints)},
-		{"wire", pure(wirePoints)},
-		{"configuration", pure(configPoints)},
-		{"claims", pure(claimPoints)},
-		{"membership", pure(membershipPoints)},
+		{"dispatcher", infallible(dispatcherPoints)},
+		{"wire", infallible(wirePoints)},
+		{"configuration", infallible(configPoints)},
+		{"claims", infallible(claimPoints)},
+		{"membership", infallible(membershipPoints)},
 		{"entry", entryPoints},
 	}
 	out := []Point{}
@@ -89,7 +93,7 @@
 	return out, nil
 }
 
-// pure adapts a group that can't fail.
-func pure(run func() []Point) func() ([]Point, error) {
+// infallible adapts a group that returns no error.
+func infallible(run func() []Point) func() ([]Point, error) {
 	return func() ([]Point, error) { return run(), nil }
 }
--- a/internal/capacity/membership.go
+++ b/internal/capacity/membership.go
@@ -12,25 +12,27 @@
 )
 
 const (
-	// memberTick is the step of the fleet's virtual time.
-	memberTick = 50 * time.Millisecond
-	// settleEach is how long the news of one daemon's start may take to be
-	// passed on to all, where all start at once.
-	settleEach = 2 * time.Second
-	// memberTime is how long a fleet is measured after it has settled.
-	memberTime = 30 * time.Second
-	memberSeed = 1
+	// memberTickInterval is the step of the fleet's virtual time.
+	memberTickInterval = 50 * time.Millisecond
+	// settleTimePerDaemon bounds the time, for each daemon of a fleet, until all
+	// know of its start when all start at once.
+	settleTimePerDaemon = 2 * time.Second
+	// memberMeasureTime is how long a fleet is measured after membership has
+	// converged.
+	memberMeasureTime = 30 * time.Second
+	memberSeed        = 1
 )
 
 var memberSizes = []int{9, 30, 100, 300}
 
-// fleet is n membership machines whose messages arrive at once.
+// fleet runs the membership protocol of many daemons in virtual time, with
+// immediate delivery of messages.
 type fleet struct {
-	machines map[string]*detector.Machine
-	names    []string
-	now      time.Duration
-	messages int
-	bytes    int
+	machines     map[string]*detector.Machine
+	addresses    []string
+	now          time.Duration
+	messageCount int
+	messageBytes int
 }
 
 func newFleet(n int) *fleet {
@@ -42,58 +44,60 @@
 			Callers: fmt.Sprintf("10.0.%d.%d:7100", i/256, i%256), Upstreams: fmt.Sprintf("10.0.%d.%d:7300", i/256, i%256), Version: 41_000,
 		}}
 		f.machines[address] = detector.New(self, []string{"10.0.0.0:7200"}, detector.Defaults(), rand.New(rand.NewPCG(memberSeed, uint64(i))))
-		f.names = append(f.names, address)
+		f.addresses = append(f.addresses, address)
 	}
 	return f
 }
 
+// run advances the virtual time by d.
 func (f *fleet) run(d time.Duration) {
-	for end := f.now + d; f.now < end; f.now += memberTick {
-		for _, address := range f.names {
+	for end := f.now + d; f.now < end; f.now += memberTickInterval {
+		for _, address := range f.addresses {
 			m := f.machines[address]
-			f.carry(m, m.Tick(f.now))
+			f.deliver(m, m.Tick(f.now))
 		}
 	}
 }
 
-// carry brings requests to their receivers and the replies back.
-func (f *fleet) carry(from *detector.Machine, requests []detector.Request) {
+// deliver hands requests to their receivers and the replies to the sender, and
+// counts both.
+func (f *fleet) deliver(from *detector.Machine, requests []detector.Request) {
 	for _, r := range requests {
 		to, ok := f.machines[r.To]
 		if !ok {
-			f.carry(from, from.Failed(f.now, r.ID))
+			f.deliver(from, from.Failed(f.now, r.ID))
 			continue
 		}
 		reply, _ := to.Receive(f.now, r)
-		f.messages += 2
-		f.bytes += proto.Size(member.EncodeRequest(from.Self().Name, r)) + proto.Size(member.EncodeReply(reply))
-		f.carry(from, from.Acked(f.now, r.ID, reply))
+		f.messageCount += 2
+		f.messageBytes += proto.Size(member.EncodeRequest(from.Self().Name, r)) + proto.Size(member.EncodeReply(reply))
+		f.deliver(from, from.Acked(f.now, r.ID, reply))
 	}
 }
 
-// membershipPoints gives what one daemon spends a second: each message counts
-// where it is sent and where it is received.
+// membershipPoints measures messages, bytes and time a second and memory of one
+// daemon. Each message counts for its sender and for its receiver.
 func membershipPoints() []Point {
 	out := []Point{}
 	point := func(name string, n int, value float64, unit string) {
-		out = append(out, Point{Series: name, Size: float64(n), Over: "daemons", Value: value, Unit: unit})
+		out = append(out, Point{Series: name, Size: float64(n), SizeUnit: "daemons", Value: value, Unit: unit})
 	}
 	for _, n := range memberSizes {
 		f := (*fleet)(nil)
-		held := heldBytes(func() any {
+		heapBytes := heapGrowth(func() any {
 			f = newFleet(n)
-			f.run(memberTime + time.Duration(n)*settleEach)
+			f.run(memberMeasureTime + time.Duration(n)*settleTimePerDaemon)
 			return f
 		})
-		f.messages, f.bytes = 0, 0
+		f.messageCount, f.messageBytes = 0, 0
 		before := processTime()
-		f.run(memberTime)
-		spent := processTime() - before
-		each := float64(n) * memberTime.Seconds()
-		point("member.messages", n, 2*float64(f.messages)/each, "messages/s")
-		point("member.bytes", n, 2*float64(f.bytes)/each, "bytes/s")
-		point("member.time", n, float64(spent.Nanoseconds())/each, "ns/s")
-		point("member.memory", n, held/float64(n), "bytes")
+		f.run(memberMeasureTime)
+		cpuTime := processTime() - before
+		daemonSeconds := float64(n) * memberMeasureTime.Seconds()
+		point("member.messages", n, 2*float64(f.messageCount)/daemonSeconds, "messages/s")
+		point("member.bytes", n, 2*float64(f.messageBytes)/daemonSeconds, "bytes/s")
+		point("member.time", n, float64(cpuTime.Nanoseconds())/daemonSeconds, "ns/s")
+		point("member.memory", n, heapBytes/float64(n), "bytes")
 	}
 	return out
 }
--- a/internal/capacity/plot.go
+++ b/internal/capacity/plot.go
@@ -14,7 +14,8 @@
 	plotHeight = 8 * vg.Centimeter
 )
 
-// Plot writes one SVG a series into a folder: the points and the fitted line.
+// Plot writes an SVG file for each series into a folder, with its points and the
+// fitted line.
 func Plot(folder string, points []Point) error {
 	slopes := Fit(points)
 	grouped := map[string]plotter.XYs{}
@@ -32,7 +33,7 @@
 func plotOne(folder string, s Slope, xys plotter.XYs) error {
 	p := plot.New()
 	p.Title.Text = s.Series
-	p.X.Label.Text = s.Over
+	p.X.Label.Text = s.SizeUnit
 	p.Y.Label.Text = s.Unit
 	dots, err := plotter.NewScatter(xys)
 	if err != nil {
--- a/internal/capacity/slope.go
+++ b/internal/capacity/slope.go
@@ -1,8 +1,9 @@
-// Package capacity measures how the cost of each role grows with size, fits
-// slopes, and reckons from them what the target size would need.
+// Package capacity measures how the cost of each role grows with its size, fits
+// a line to each series, and calculates the resources needed at the target size.
+// The command "verbenastep capacity" runs it.
 //
-// Measurements are written to a CSV file; the tables of docs/CAPACITY.md are
-// made from that file alone, so that they can't drift from it.
+// Measurements are written to a CSV file. The tables of docs/CAPACITY.md are
+// generated from that file alone, and a test compares them.
 package capacity
 
 import (
@@ -20,9 +21,9 @@
 type Point struct {
 	// Series names what is measured, such as "dispatcher.grant".
 	Series string
-	// Size is the independent variable, in Over's unit.
-	Size float64
-	Over string
+	// Size is the independent variable, in SizeUnit.
+	Size     float64
+	SizeUnit string
 	// Value is the cost, in Unit.
 	Value float64
 	Unit  string
@@ -30,48 +31,49 @@
 
 // Slope is a least-squares line through a series' points.
 type Slope struct {
-	Series string
-	Over   string
-	Unit   string
-	// Base is the cost at size zero, PerUnit the growth a unit of size.
+	Series   string
+	SizeUnit string
+	Unit     string
+	// Base is the cost at size zero, PerUnit the increase per unit of size.
 	Base    float64
 	PerUnit float64
-	// Error is the root mean square of the residuals, in Unit.
-	Error float64
-	// Points is how many sizes were measured.
+	// Residual is the root mean square of the residuals, in Unit.
+	Residual float64
+	// Points is the number of sizes measured.
 	Points int
-	// Largest is the greatest size measured.
+	// Largest is the largest size measured.
 	Largest float64
 }
 
-// At reckons the cost at a size.
+// At returns the estimated cost at a size.
 func (s Slope) At(size float64) float64 {
 	return s.Base + s.PerUnit*size
 }
 
-// Fit returns the slope of each series, by name.
+// Fit returns the slope of each series, by name. A series of one point gets that
+// value as a constant.
 func Fit(points []Point) map[string]Slope {
 	grouped := map[string][]Point{}
 	for _, p := range points {
 		grouped[p.Series] = append(grouped[p.Series], p)
 	}
 	out := map[string]Slope{}
-	for name, ps := range grouped {
-		out[name] = fitOne(ps)
+	for name, series := range grouped {
+		out[name] = fitOne(series)
 	}
 	return out
 }
 
-func fitOne(ps []Point) Slope {
-	xs := make([]float64, 0, len(ps))
-	ys := make([]float64, 0, len(ps))
-	s := Slope{Series: ps[0].Series, Over: ps[0].Over, Unit: ps[0].Unit, Points: len(ps)}
-	for _, p := range ps {
+func fitOne(points []Point) Slope {
+	xs := make([]float64, 0, len(points))
+	ys := make([]float64, 0, len(points))
+	s := Slope{Series: points[0].Series, SizeUnit: points[0].SizeUnit, Unit: points[0].Unit, Points: len(points)}
+	for _, p := range points {
 		xs = append(xs, p.Size)
 		ys = append(ys, p.Value)
 		s.Largest = math.Max(s.Largest, p.Size)
 	}
-	if len(ps) == 1 {
+	if len(points) == 1 {
 		s.Base = ys[0]
 		return s
 	}
@@ -81,14 +83,15 @@
 		d := ys[i] - s.At(x)
 		sum += d * d
 	}
-	s.Error = math.Sqrt(sum / float64(len(ps)))
+	s.Residual = math.Sqrt(sum / float64(len(points)))
 	return s
 }
 
-// header is the CSV's first line.
-var header = []string{"series", "size", "over", "value", "unit"}
+// csvHeader is the first line of the CSV file.
+var csvHeader = []string{"series", "size", "over", "value", "unit"}
 
-// WriteCSV writes the points in order of series and size.
+// WriteCSV writes the points sorted by series and size, with values rounded to
+// four significant digits.
 func WriteCSV(w io.Writer, points []Point) error {
 	sorted := append([]Point{}, points...)
 	sort.SliceStable(sorted, func(i, j int) bool {
@@ -98,11 +101,11 @@
 		return sorted[i].Size < sorted[j].Size
 	})
 	out := csv.NewWriter(w)
-	if err := out.Write(header); err != nil {
+	if err := out.Write(csvHeader); err != nil {
 		return err
 	}
 	for _, p := range sorted {
-		if err := out.Write([]string{p.Series, number(p.Size), p.Over, number(p.Value), p.Unit}); err != nil {
+		if err := out.Write([]string{p.Series, formatNumber(p.Size), p.SizeUnit, formatNumber(p.Value), p.Unit}); err != nil {
 			return err
 		}
 	}
@@ -110,23 +113,25 @@
 	return out.Error()
 }
 
-// number keeps four significant digits, enough for a slope.
-func number(v float64) string {
+// formatNumber formats a number with four significant digits, enough for a slope.
+func formatNumber(v float64) string {
 	return strconv.FormatFloat(v, 'g', 4, 64)
 }
 
-// FormatError says that a CSV file is not one of measurements.
+// FormatError reports a CSV file that does not hold measurements. Line is zero
+// where the file is not valid CSV.
 type FormatError struct {
 	Line    int
 	Message string
 }
 
-// Error names the remedy.
+// Error returns the fault with its remedy.
 func (e *FormatError) Error() string {
 	return fmt.Sprintf("line %d: %s; measure again with verbenastep capacity", e.Line, e.Message)
 }
 
-// ReadCSV reads what WriteCSV wrote.
+// ReadCSV reads points written by WriteCSV. It returns a *FormatError for a
+// malformed file.
 func ReadCSV(r io.Reader) ([]Point, error) {
 	rows, err := csv.NewReader(r).ReadAll()
 	if err != nil {
@@ -139,10 +144,10 @@
 		}
 		size, err1 := strconv.ParseFloat(row[1], 64)
 		value, err2 := strconv.ParseFloat(row[3], 64)
-		if len(row) != len(header) || err1 != nil || err2 != nil {
+		if len(row) != len(csvHeader) || err1 != nil || err2 != nil {
 			return nil, &FormatError{Line: i + 1, Message: "a number is malformed"}
 		}
-		out = append(out, Point{Series: row[0], Size: size, Over: row[2], Value: value, Unit: row[4]})
+		out = append(out, Point{Series: row[0], Size: size, SizeUnit: row[2], Value: value, Unit: row[4]})
 	}
 	return out, nil
 }
--- a/internal/capacity/state.go
+++ b/internal/capacity/state.go
@@ -15,37 +15,37 @@
 )
 
 const (
-	// workspacesPerFile is how the measured configuration is split, so that
-	// one changed workspace sends one small file.
+	// workspacesPerFile is the size of the measured configuration's files, so
+	// that the change of one workspace distributes one small file.
 	workspacesPerFile = 10
-	// keysEach is how many bearer keys a measured workspace has.
-	keysEach = 2
+	// keysPerWorkspace is how many bearer keys a measured workspace has.
+	keysPerWorkspace = 2
 )
 
-// declared builds a configuration of n workspaces.
-func declared(n int) config.Files {
+// configFiles returns a configuration of n workspaces.
+func configFiles(n int) config.Files {
 	files := config.Files{"tiers.json": json.RawMessage(`{"tiers":[{"name":"t0","goodput_ms":1000},{"name":"t1","goodput_ms":2000},{"name":"t2","goodput_ms":3000}],"regions":[{"name":"r0","data_centres":["d0"]}],"models":[{"name":"m0"},{"name":"m1"},{"name":"m2"},{"name":"m3"},{"name":"m4"}]}`)}
-	part := config.Config{}
+	batch := config.Config{}
 	for i := range n {
 		w := config.Workspace{Name: fmt.Sprintf("workspace-%d", i), Tier: fmt.Sprintf("t%d", i%tierCount), Weight: 1, HomeRegion: "r0"}
-		for k := range keysEach {
-			w.Keys = append(w.Keys, fmt.Sprintf("sha256:%064x", i*keysEach+k))
+		for k := range keysPerWorkspace {
+			w.Keys = append(w.Keys, fmt.Sprintf("sha256:%064x", i*keysPerWorkspace+k))
 		}
-		part.Workspaces = append(part.Workspaces, w)
-		if len(part.Workspaces) == workspacesPerFile || i == n-1 {
-			data, err := json.Marshal(part)
+		batch.Workspaces = append(batch.Workspaces, w)
+		if len(batch.Workspaces) == workspacesPerFile || i == n-1 {
+			data, err := json.Marshal(batch)
 			if err != nil {
 				panic(err)
 			}
 			files[fmt.Sprintf("workspaces/%05d.json", i/workspacesPerFile)] = data
-			part = config.Config{}
+			batch = config.Config{}
 		}
 	}
 	return files
 }
 
-// changed returns the files with one workspace's weight changed.
-func changed(files config.Files) config.Files {
+// withOneChange returns the files with one workspace's weight changed.
+func withOneChange(files config.Files) config.Files {
 	out := config.Files{}
 	for p, data := range files {
 		out[p] = data
@@ -55,10 +55,12 @@
 	return out
 }
 
+// configPoints measures the memory of a configuration, and the size, the
+// calculation and the application of a delta with one change.
 func configPoints() []Point {
-	out := series{"config.memory", "workspaces", "bytes"}.measure(workspaceSizes, func(n int) float64 {
-		return heldBytes(func() any {
-			files := declared(n)
+	out := seriesSpec{"config.memory", "workspaces", "bytes"}.measure(workspaceSizes, func(n int) float64 {
+		return heapGrowth(func() any {
+			files := configFiles(n)
 			merged, err := config.Merge(files)
 			if err != nil {
 				panic(err)
@@ -66,33 +68,35 @@
 			return []any{files, merged}
 		})
 	})
-	out = append(out, series{"config.delta.bytes", "workspaces", "bytes"}.measure(workspaceSizes, func(n int) float64 {
-		data, err := json.Marshal(oneChange(n))
+	out = append(out, seriesSpec{"config.delta.bytes", "workspaces", "bytes"}.measure(workspaceSizes, func(n int) float64 {
+		data, err := json.Marshal(singleChangeDelta(n))
 		if err != nil {
 			panic(err)
 		}
 		return float64(len(data))
 	})...)
-	out = append(out, series{"config.diff", "workspaces", "ns"}.measure(workspaceSizes, func(n int) float64 {
-		from := declared(n)
-		to := changed(from)
+	out = append(out, seriesSpec{"config.diff", "workspaces", "ns"}.measure(workspaceSizes, func(n int) float64 {
+		from := configFiles(n)
+		to := withOneChange(from)
 		return nanoseconds(func() { config.Diff(from, to) })
 	})...)
-	return append(out, series{"config.apply", "workspaces", "ns"}.measure(workspaceSizes, applyCost)...)
+	return append(out, seriesSpec{"config.apply", "workspaces", "ns"}.measure(workspaceSizes, applyTime)...)
 }
 
-func oneChange(n int) config.Delta {
-	from := declared(n)
-	d := config.Diff(from, changed(from))
+// singleChangeDelta returns the delta that changes one of n workspaces.
+func singleChangeDelta(n int) config.Delta {
+	from := configFiles(n)
+	d := config.Diff(from, withOneChange(from))
 	d.From = 1
 	d.Version = 2
 	return d
 }
 
-// applyCost returns a daemon's time to put one change into force.
-func applyCost(n int) float64 {
-	from := declared(n)
-	d := oneChange(n)
+// applyTime returns a daemon's time in nanoseconds to apply, merge and check one
+// change.
+func applyTime(n int) float64 {
+	from := configFiles(n)
+	d := singleChangeDelta(n)
 	return nanoseconds(func() {
 		files, err := d.Apply(from)
 		if err != nil {
@@ -108,19 +112,21 @@
 	})
 }
 
+// claimPoints measures the memory, the encoded size and the application of
+// claims.
 func claimPoints() []Point {
-	out := series{"claim.memory", "claims held", "bytes"}.measure(claimSizes, func(n int) float64 {
-		return heldBytes(func() any { return claimsHeld(n) })
+	out := seriesSpec{"claim.memory", "claims held", "bytes"}.measure(claimSizes, func(n int) float64 {
+		return heapGrowth(func() any { return buildClaims(n) })
 	})
-	out = append(out, series{"claim.bytes", "claims", "bytes"}.measure(batchSizes, func(n int) float64 {
+	out = append(out, seriesSpec{"claim.bytes", "claims", "bytes"}.measure(batchSizes, func(n int) float64 {
 		data, err := json.Marshal(claim(1))
 		if err != nil {
 			panic(err)
 		}
 		return float64(n * len(data))
 	})...)
-	return append(out, series{"claim.apply", "claims held", "ns"}.measure(claimSizes, func(n int) float64 {
-		m := claimsHeld(n)
+	return append(out, seriesSpec{"claim.apply", "claims held", "ns"}.measure(claimSizes, func(n int) float64 {
+		m := buildClaims(n)
 		next := n
 		return nanoseconds(func() {
 			next++
@@ -137,7 +143,7 @@
 	})...)
 }
 
-func claimsHeld(n int) *state.Machine {
+func buildClaims(n int) *state.Machine {
 	m := state.New()
 	for i := range n {
 		m.Apply(claim(i))
@@ -145,6 +151,7 @@
 	return m
 }
 
+// claim returns the claim command with a number.
 func claim(i int) state.Command {
 	return state.Command{Claim: &state.Claim{
 		Workspace: fmt.Sprintf("workspace-%d", i%1_700), Key: fmt.Sprintf("key-%032d", i), Digest: strings.Repeat("ab", 32),
--- a/internal/capacity/tables.go
+++ b/internal/capacity/tables.go
@@ -6,32 +6,33 @@
 	"strings"
 )
 
-// Markers in docs/CAPACITY.md between which tables are written.
+// Names of the sections of docs/CAPACITY.md that hold generated tables.
 const (
-	markSlopes   = "slopes"
-	markNeeds    = "needs"
-	markTotals   = "totals"
-	markFailures = "failures"
-	markLatency  = "latency"
+	markerSlopes       = "slopes"
+	markerRequirements = "needs"
+	markerTotals       = "totals"
+	markerFailures     = "failures"
+	markerLatency      = "latency"
 )
 
-// MarkerError says that the page lacks a marker.
+// MarkerError reports a page that lacks the markers of a section.
 type MarkerError struct {
 	Marker string
 }
 
-// Error names the remedy.
+// Error returns the fault with its remedy.
 func (e *MarkerError) Error() string {
-	return fmt.Sprintf("the page lacks the lines %q and %q; put them back", begin(e.Marker), end(e.Marker))
+	return fmt.Sprintf("the page lacks the lines %q and %q; put them back", beginMarker(e.Marker), endMarker(e.Marker))
 }
 
-func begin(marker string) string { return "<!-- begin " + marker + " -->" }
-func end(marker string) string   { return "<!-- end " + marker + " -->" }
+func beginMarker(marker string) string { return "<!-- begin " + marker + " -->" }
+func endMarker(marker string) string   { return "<!-- end " + marker + " -->" }
 
-// Render returns the page with its tables made from the points.
+// Render returns the page with its tables generated from the points. It returns
+// a *SlopeError for a missing series and a *MarkerError for a missing section.
 func Render(page string, points []Point) (string, error) {
 	slopes := Fit(points)
-	needs, err := Needs(slopes)
+	requirements, err := Requirements(slopes)
 	if err != nil {
 		return "", err
 	}
@@ -40,14 +41,14 @@
 		return "", err
 	}
 	sections := []struct{ marker, body string }{
-		{markSlopes, slopeTable(slopes)},
-		{markNeeds, needTable(needs)},
-		{markTotals, totalTable(needs)},
-		{markFailures, failureTable(failures)},
-		{markLatency, latencyTable(points)},
+		{markerSlopes, slopeTable(slopes)},
+		{markerRequirements, requirementTable(requirements)},
+		{markerTotals, totalTable(requirements)},
+		{markerFailures, failureTable(failures)},
+		{markerLatency, latencyTable(points)},
 	}
 	for _, s := range sections {
-		page, err = replace(page, s.marker, s.body)
+		page, err = replaceSection(page, s.marker, s.body)
 		if err != nil {
 			return "", err
 		}
@@ -55,82 +56,87 @@
 	return page, nil
 }
 
-func replace(page, marker, body string) (string, error) {
-	before, rest, ok := strings.Cut(page, begin(marker))
-	_, after, ok2 := strings.Cut(rest, end(marker))
+// replaceSection replaces the text between a section's markers.
+func replaceSection(page, marker, body string) (string, error) {
+	before, rest, ok := strings.Cut(page, beginMarker(marker))
+	_, after, ok2 := strings.Cut(rest, endMarker(marker))
 	if !ok || !ok2 {
 		return "", &MarkerError{Marker: marker}
 	}
-	return before + begin(marker) + "\n" + body + end(marker) + after, nil
+	return before + beginMarker(marker) + "\n" + body + endMarker(marker) + after, nil
 }
 
+// slopeTable formats the fitted slopes as a Markdown table, sorted by series.
 func slopeTable(slopes map[string]Slope) string {
 	names := make([]string, 0, len(slopes))
-	for n := range slopes {
-		names = append(names, n)
+	for name := range slopes {
+		names = append(names, name)
 	}
 	sort.Strings(names)
 	b := strings.Builder{}
 	b.WriteString("| series | over | base | per unit | residual | unit | sizes | largest |\n|---|---|---:|---:|---:|---|---:|---:|\n")
-	for _, n := range names {
-		s := slopes[n]
-		fmt.Fprintf(&b, "| `%s` | %s | %s | %s | %s | %s | %d | %s |\n", s.Series, s.Over, number(s.Base), number(s.PerUnit), number(s.Error), s.Unit, s.Points, number(s.Largest))
+	for _, name := range names {
+		s := slopes[name]
+		fmt.Fprintf(&b, "| `%s` | %s | %s | %s | %s | %s | %d | %s |\n", s.Series, s.SizeUnit, formatNumber(s.Base), formatNumber(s.PerUnit), formatNumber(s.Residual), s.Unit, s.Points, formatNumber(s.Largest))
 	}
 	return b.String()
 }
 
-func needTable(needs []Need) string {
+// requirementTable formats the requirements of all roles as a Markdown table.
+func requirementTable(requirements []Requirement) string {
 	b := strings.Builder{}
 	b.WriteString("| role | counts as | mechanism | state | messages/s | wire B/s | core | reckoned from |\n|---|---|---|---:|---:|---:|---:|---|\n")
-	for _, n := range needs {
-		fmt.Fprintf(&b, "| %s | %s | %s | %s | %s | %s | %s | %s |\n", n.Role, n.Class, n.Mechanism, bytesText(n.State), number(n.Messages), number(n.Wire), percent(n.Core), n.Note)
+	for _, r := range requirements {
+		fmt.Fprintf(&b, "| %s | %s | %s | %s | %s | %s | %s | %s |\n", r.Role, r.Class, r.Mechanism, bytesText(r.StateBytes), formatNumber(r.MessagesPerSec), formatNumber(r.WireBytesPerSec), formatPercent(r.CoreShare), r.Derivation)
 	}
 	return b.String()
 }
 
-// totalTable sums control over the roles that every daemon has, and compares
-// it with the budget.
-func totalTable(needs []Need) string {
-	total := Need{}
-	for _, n := range needs {
-		if n.Class != Control || n.SetAside {
+// totalTable sums the requirements of the control roles that every daemon has,
+// and formats them with their budgets as a Markdown table.
+func totalTable(requirements []Requirement) string {
+	total := Requirement{}
+	for _, r := range requirements {
+		if r.Class != Control || r.OnReservedInstance {
 			continue
 		}
-		total.State += n.State
-		total.Wire += n.Wire
-		total.Core += n.Core
+		total.StateBytes += r.StateBytes
+		total.WireBytesPerSec += r.WireBytesPerSec
+		total.CoreShare += r.CoreShare
 	}
 	b := strings.Builder{}
 	b.WriteString("| what | need | budget | ratio | |\n|---|---:|---:|---:|---|\n")
-	row := func(what, need, budget string, ratio float64) {
-		mark := ""
+	writeRow := func(quantity, need, budget string, ratio float64) {
+		status := ""
 		if ratio > 1 {
-			mark = "**red**"
+			status = "**red**"
 		}
-		fmt.Fprintf(&b, "| %s | %s | %s | %.2f | %s |\n", what, need, budget, ratio, mark)
+		fmt.Fprintf(&b, "| %s | %s | %s | %.2f | %s |\n", quantity, need, budget, ratio, status)
 	}
-	row("core for control, a daemon", percent(total.Core), percent(budgetCore), total.Core/budgetCore)
-	row("memory for control, a daemon", bytesText(total.State), bytesText(budgetMemory), total.State/budgetMemory)
-	row("wire for control, a daemon", number(total.Wire)+" B/s", number(budgetWire)+" B/s", total.Wire/budgetWire)
-	row("instances set aside", fmt.Sprint(replicas), fmt.Sprint(setAside), replicas/float64(setAside))
-	entry := needs[entryIndex(needs)]
-	row("cores for an entry's requests", fmt.Sprintf("%.2f", entry.Core), fmt.Sprintf("%.2f", pathCores), entry.Core/pathCores)
+	writeRow("core for control, a daemon", formatPercent(total.CoreShare), formatPercent(budgetCoreShare), total.CoreShare/budgetCoreShare)
+	writeRow("memory for control, a daemon", bytesText(total.StateBytes), bytesText(budgetMemoryBytes), total.StateBytes/budgetMemoryBytes)
+	writeRow("wire for control, a daemon", formatNumber(total.WireBytesPerSec)+" B/s", formatNumber(budgetWireBytesPerSec)+" B/s", total.WireBytesPerSec/budgetWireBytesPerSec)
+	writeRow("instances set aside", fmt.Sprint(replicas), fmt.Sprint(reservedInstances), replicas/float64(reservedInstances))
+	entry := requirements[entryIndex(requirements)]
+	writeRow("cores for an entry's requests", fmt.Sprintf("%.2f", entry.CoreShare), fmt.Sprintf("%.2f", budgetRequestCores), entry.CoreShare/budgetRequestCores)
 	return b.String()
 }
 
-func entryIndex(needs []Need) int {
-	for i, n := range needs {
-		if n.Role == roleEntry {
+// entryIndex returns the index of the entry role, or 0 if it is missing.
+func entryIndex(requirements []Requirement) int {
+	for i, r := range requirements {
+		if r.Role == roleEntry {
 			return i
 		}
 	}
 	return 0
 }
 
-func percent(v float64) string {
-	return number(v*100) + "%"
+func formatPercent(v float64) string {
+	return formatNumber(v*100) + "%"
 }
 
+// bytesText formats a number of bytes with a binary unit.
 func bytesText(v float64) string {
 	switch {
 	case v >= 1<<30:
--- a/internal/capacity/target.go
+++ b/internal/capacity/target.go
@@ -2,38 +2,37 @@
 
 import "fmt"
 
-// Target sizes, from the users' letter.
+// Target sizes, from the users' requirements.
 const (
-	daemons        = 700
-	runners        = 10_000
-	requestsPerSec = 76_000
-	tokensPerSec   = 26_000_000
-	workspaces     = 1_700
-	models         = 5
-	regions        = 7
-	dataCentres    = 16
-	changesPerDay  = 41_000
-	setAside       = 18
-	restartsPerDay = 1_400
-	failuresPerDay = 54
-	secondsPerDay  = 86_400
+	daemons           = 700
+	runners           = 10_000
+	requestsPerSec    = 76_000
+	tokensPerSec      = 26_000_000
+	workspaces        = 1_700
+	models            = 5
+	regions           = 7
+	dataCentres       = 16
+	changesPerDay     = 41_000
+	reservedInstances = 18
+	restartsPerDay    = 1_400
+	failuresPerDay    = 54
+	secondsPerDay     = 86_400
 )
 
-// Budgets of one daemon for control, from the users' letter.
+// Budgets of one daemon for control, from the users' requirements.
 const (
-	// budgetCore is a share of one core.
-	budgetCore = 0.029
-	// budgetMemory is in bytes.
-	budgetMemory = 32 << 20
-	// budgetWire is in bytes a second, sent and received together.
-	budgetWire = 5_000
+	// budgetCoreShare is a share of one core.
+	budgetCoreShare   = 0.029
+	budgetMemoryBytes = 32 << 20
+	// budgetWireBytesPerSec is for bytes sent and received together.
+	budgetWireBytesPerSec = 5_000
 )
 
-// Budgets of the request's path, from the fleet's size and the letter.
+// Budgets of the request path, from the fleet's size and the users' requirements.
 const (
-	// pathCores is how many cores an entry may give to requests: streamed
-	// tokens a second over the 50,000 that one core must carry.
-	pathCores = float64(tokensPerSec) / daemons / 50_000
+	// budgetRequestCores is how many cores an entry may use for requests: its
+	// streamed tokens a second over the 50,000 that one core must stream.
+	budgetRequestCores = float64(tokensPerSec) / daemons / 50_000
 )
 
 // Counts that follow from the target.
@@ -47,225 +46,231 @@
 	changesPerSec    = float64(changesPerDay) / secondsPerDay
 )
 
-// Class says what a role's cost counts as.
+// Class groups the costs of roles.
 type Class string
 
-// Classes.
+// Classes of cost.
 const (
-	// Control is all that runs whether or not a request is there, and all that
-	// daemons tell each other to keep the system together.
+	// Control is the cost that does not depend on requests, such as heartbeats,
+	// membership and configuration.
 	Control Class = "control"
-	// Path is what one request costs on its way: offer, grant, claim, stream.
+	// Path is the cost that grows with requests: offers, grants, claims, streams.
 	Path Class = "path"
 )
 
-// Need is what one role needs at the target on one daemon.
-type Need struct {
+// Requirement is what one role needs on one daemon at the target size.
+type Requirement struct {
 	Role  string
 	Class Class
-	// SetAside says that the role runs on instances set aside for control.
-	SetAside  bool
+	// OnReservedInstance says that the role runs on instances reserved for
+	// control.
+	OnReservedInstance bool
+	// Mechanism names the packages and the method of the role.
 	Mechanism string
-	// State is bytes held, Wire bytes a second, Core a share of one core.
-	State float64
-	Wire  float64
-	Core  float64
-	// Messages is messages a second.
-	Messages float64
-	// Note says from which slopes and counts the need was reckoned.
-	Note string
+	// StateBytes is memory held, CoreShare a share of one core.
+	StateBytes      float64
+	WireBytesPerSec float64
+	CoreShare       float64
+	MessagesPerSec  float64
+	// Derivation says which slopes and counts the figures are calculated from.
+	Derivation string
 }
 
 const (
 	nsPerSec = 1e9
-	// renewSeconds is how often an upstream announces.
-	renewSeconds = 0.5
-	// sessionBeatsPerSec is heartbeats a second on a dispatcher session, both
-	// directions together.
-	sessionBeatsPerSec = 2 / 0.3
-	// frameOverhead is TCP, IP and drpc framing of a small message, in bytes.
-	frameOverhead = 60
-	// batchesPerSec bounds how often one session is flushed at the peak.
-	batchesPerSec = 100
+	// announceIntervalSeconds is the time between an upstream's announcements.
+	announceIntervalSeconds = 0.5
+	// sessionHeartbeatsPerSec counts both directions of a dispatcher session, with
+	// a heartbeat every 0.3 s in each.
+	sessionHeartbeatsPerSec = 2 / 0.3
+	// frameOverheadBytes is the TCP, IP and drpc framing of a small message.
+	frameOverheadBytes = 60
+	// maxBatchesPerSec bounds how often one session sends a batch at the peak.
+	maxBatchesPerSec = 100
 )
 
-// SlopeError says that a series was not measured.
+// SlopeError reports a series that the measurements lack.
 type SlopeError struct {
 	Series string
 }
 
-// Error names the remedy.
+// Error returns the fault with its remedy.
 func (e *SlopeError) Error() string {
 	return fmt.Sprintf("series %s is not in the CSV file; measure again with verbenastep capacity", e.Series)
 }
 
-// book looks slopes up and remembers the first that is missing.
-type book struct {
+// slopeLookup looks up slopes by series and keeps an error for the first that is
+// missing.
+type slopeLookup struct {
 	slopes map[string]Slope
 	err    error
 }
 
-func (b *book) at(series string, size float64) float64 {
-	s, ok := b.slopes[series]
-	if !ok && b.err == nil {
-		b.err = &SlopeError{Series: series}
+// cost returns the estimated cost of a series at a size, or zero if the series is
+// missing.
+func (lookup *slopeLookup) cost(series string, size float64) float64 {
+	s, ok := lookup.slopes[series]
+	if !ok && lookup.err == nil {
+		lookup.err = &SlopeError{Series: series}
 	}
 	return s.At(size)
 }
 
-// roleEntry names the role that carries streams.
+// roleEntry names the role that serves callers' requests and streams.
 const roleEntry = "entry"
 
-// Needs reckons what each role needs at the target.
-func Needs(slopes map[string]Slope) ([]Need, error) {
-	b := &book{slopes: slopes}
-	out := []Need{
-		directoryNeed(b),
-		entryNeed(b),
-		sessionNeed(b),
-		dispatcherNeed(b),
-		upstreamNeed(b),
-		configNeed(b),
-		memberNeed(b),
-		configReplicaNeed(b),
-		claimNeed(b),
+// Requirements calculates what each role needs at the target size. It returns a
+// *SlopeError if a series is missing.
+func Requirements(slopes map[string]Slope) ([]Requirement, error) {
+	lookup := &slopeLookup{slopes: slopes}
+	out := []Requirement{
+		directoryRequirement(lookup),
+		entryRequirement(lookup),
+		sessionRequirement(lookup),
+		dispatcherRequirement(lookup),
+		upstreamRequirement(lookup),
+		configRequirement(lookup),
+		memberRequirement(lookup),
+		configReplicaRequirement(lookup),
+		claimRequirement(lookup),
 	}
-	return out, b.err
+	return out, lookup.err
 }
 
-func entryNeed(b *book) Need {
-	auth := b.at("entry.authenticate", workspaces)
-	token := b.at("entry.token", requestsPerEntry*streamSeconds)
-	return Need{
+func entryRequirement(lookup *slopeLookup) Requirement {
+	authenticateTime := lookup.cost("entry.authenticate", workspaces)
+	tokenTime := lookup.cost("entry.token", requestsPerEntry*streamSeconds)
+	return Requirement{
 		Role: roleEntry, Class: Path, Mechanism: "internal/entry, internal/answer",
-		State:    b.at("entry.answer.memory", requestsPerEntry*streamSeconds),
-		Core:     (requestsPerEntry*auth + tokensPerEntry*token) / nsPerSec,
-		Messages: requestsPerEntry + tokensPerEntry,
-		Note:     "requests x authentication at 1,700 workspaces, plus tokens x cost of one streamed token",
+		StateBytes:     lookup.cost("entry.answer.memory", requestsPerEntry*streamSeconds),
+		CoreShare:      (requestsPerEntry*authenticateTime + tokensPerEntry*tokenTime) / nsPerSec,
+		MessagesPerSec: requestsPerEntry + tokensPerEntry,
+		Derivation:     "requests x authentication at 1,700 workspaces, plus tokens x cost of one streamed token",
 	}
 }
 
-// streamSeconds is how long a stream runs: tokens over requests, at 28 ms a
+// streamSeconds is the duration of a stream: tokens per request, at 28 ms a
 // token.
 const streamSeconds = float64(tokensPerSec) / requestsPerSec * 0.028
 
-// sessionsPerDaemon is how many dispatcher sessions an entry keeps: one a pool
-// of its own region.
+// sessionsPerDaemon is how many dispatcher sessions an entry keeps: one for each
+// pool of its region.
 const sessionsPerDaemon = float64(models)
 
-func sessionNeed(b *book) Need {
-	beat := b.at("session.heartbeat.bytes", 1) + frameOverhead
-	return Need{
+func sessionRequirement(lookup *slopeLookup) Requirement {
+	heartbeatBytes := lookup.cost("session.heartbeat.bytes", 1) + frameOverheadBytes
+	return Requirement{
 		Role: "scheduler's client", Class: Control, Mechanism: "internal/schedclient: a session a pool",
-		Wire:     sessionsPerDaemon * sessionBeatsPerSec * beat,
-		Messages: sessionsPerDaemon * sessionBeatsPerSec,
-		Core:     sessionsPerDaemon * sessionBeatsPerSec * b.at("session.batch", 0) / nsPerSec,
-		Note:     fmt.Sprintf("%d sessions x heartbeats both ways", int(sessionsPerDaemon)),
+		WireBytesPerSec: sessionsPerDaemon * sessionHeartbeatsPerSec * heartbeatBytes,
+		MessagesPerSec:  sessionsPerDaemon * sessionHeartbeatsPerSec,
+		CoreShare:       sessionsPerDaemon * sessionHeartbeatsPerSec * lookup.cost("session.batch", 0) / nsPerSec,
+		Derivation:      fmt.Sprintf("%d sessions x heartbeats both ways", int(sessionsPerDaemon)),
 	}
 }
 
-func dispatcherNeed(b *book) Need {
-	perRequest := b.at("dispatcher.grant", runnersPerPool)
-	offer := b.at("wire.offer", 1) + b.at("wire.grant", 1) + b.at("wire.release", 1)
-	return Need{
+func dispatcherRequirement(lookup *slopeLookup) Requirement {
+	timePerGrant := lookup.cost("dispatcher.grant", runnersPerPool)
+	bytesPerRequest := lookup.cost("wire.offer", 1) + lookup.cost("wire.grant", 1) + lookup.cost("wire.release", 1)
+	return Requirement{
 		Role: "dispatcher", Class: Path, Mechanism: "core/sched by a lease: one a pool and region",
-		State:    b.at("dispatcher.upstream.memory", runnersPerPool) + b.at("dispatcher.queue.memory", requestsPerPool),
-		Wire:     requestsPerPool*offer + daemonsPerRegion*batchesPerSec*2*frameOverhead,
-		Core:     requestsPerPool * perRequest / nsPerSec,
-		Messages: daemonsPerRegion * batchesPerSec * 2,
-		Note:     "2,171 requests/s and 286 upstreams a pool; one second of requests queued",
+		StateBytes:      lookup.cost("dispatcher.upstream.memory", runnersPerPool) + lookup.cost("dispatcher.queue.memory", requestsPerPool),
+		WireBytesPerSec: requestsPerPool*bytesPerRequest + daemonsPerRegion*maxBatchesPerSec*2*frameOverheadBytes,
+		CoreShare:       requestsPerPool * timePerGrant / nsPerSec,
+		MessagesPerSec:  daemonsPerRegion * maxBatchesPerSec * 2,
+		Derivation:      "2,171 requests/s and 286 upstreams a pool; one second of requests queued",
 	}
 }
 
-func upstreamNeed(b *book) Need {
-	perDaemon := float64(runners) / daemons / renewSeconds
-	return Need{
+func upstreamRequirement(lookup *slopeLookup) Requirement {
+	announcementsPerSec := float64(runners) / daemons / announceIntervalSeconds
+	return Requirement{
 		Role: "upstream registry", Class: Control, Mechanism: "internal/registry: announcements with a lease",
-		State:    float64(runners) / daemons * b.at("dispatcher.upstream.memory", 1),
-		Wire:     perDaemon * (b.at("wire.announcement", 1) + b.at("wire.upstream", 1) + 2*frameOverhead),
-		Core:     perDaemon * b.at("registry.announce", 1) / nsPerSec,
-		Messages: perDaemon * 2,
-		Note:     "14.3 upstreams a daemon, each announced twice a second and passed on once",
+		StateBytes:      float64(runners) / daemons * lookup.cost("dispatcher.upstream.memory", 1),
+		WireBytesPerSec: announcementsPerSec * (lookup.cost("wire.announcement", 1) + lookup.cost("wire.upstream", 1) + 2*frameOverheadBytes),
+		CoreShare:       announcementsPerSec * lookup.cost("registry.announce", 1) / nsPerSec,
+		MessagesPerSec:  announcementsPerSec * 2,
+		Derivation:      "14.3 upstreams a daemon, each announced twice a second and passed on once",
 	}
 }
 
-func memberNeed(b *book) Need {
-	messages := b.at("member.messages", daemons)
-	return Need{
+func memberRequirement(lookup *slopeLookup) Requirement {
+	messages := lookup.cost("member.messages", daemons)
+	return Requirement{
 		Role: "membership", Class: Control, Mechanism: "core/member: random probes with suspicion",
-		State:    b.at("member.memory", daemons),
-		Wire:     b.at("member.bytes", daemons) + messages*frameOverhead,
-		Core:     b.at("member.time", daemons) / nsPerSec,
-		Messages: messages,
-		Note:     "slopes over 9 to 300 daemons in virtual time, encoding not in the time",
+		StateBytes:      lookup.cost("member.memory", daemons),
+		WireBytesPerSec: lookup.cost("member.bytes", daemons) + messages*frameOverheadBytes,
+		CoreShare:       lookup.cost("member.time", daemons) / nsPerSec,
+		MessagesPerSec:  messages,
+		Derivation:      "slopes over 9 to 300 daemons in virtual time, encoding not in the time",
 	}
 }
 
-func configNeed(b *book) Need {
-	return Need{
+func configRequirement(lookup *slopeLookup) Requirement {
+	return Requirement{
 		Role: "configuration on each daemon", Class: Control, Mechanism: "internal/view: digest-chained deltas",
-		State:    b.at("config.memory", workspaces),
-		Wire:     changesPerSec * b.at("config.delta.bytes", workspaces),
-		Core:     changesPerSec * b.at("config.apply", workspaces) / nsPerSec,
-		Messages: changesPerSec,
-		Note:     "0.47 changes/s, one workspace changed in each",
+		StateBytes:      lookup.cost("config.memory", workspaces),
+		WireBytesPerSec: changesPerSec * lookup.cost("config.delta.bytes", workspaces),
+		CoreShare:       changesPerSec * lookup.cost("config.apply", workspaces) / nsPerSec,
+		MessagesPerSec:  changesPerSec,
+		Derivation:      "0.47 changes/s, one workspace changed in each",
 	}
 }
 
-func configReplicaNeed(b *book) Need {
+func configReplicaRequirement(lookup *slopeLookup) Requirement {
 	fanout := float64(daemons) / replicas
-	return Need{
-		Role: "configuration replica", Class: Control, SetAside: true, Mechanism: "internal/replica: watches of all daemons",
-		State:    b.at("config.memory", workspaces) * keptVersionsFactor,
-		Wire:     fanout * changesPerSec * (b.at("config.delta.bytes", workspaces) + frameOverhead),
-		Core:     fanout * changesPerSec * b.at("config.diff", workspaces) / nsPerSec,
-		Messages: fanout * changesPerSec,
-		Note:     "5 replicas among the 18 instances set aside; each watched by 140 daemons",
+	return Requirement{
+		Role: "configuration replica", Class: Control, OnReservedInstance: true, Mechanism: "internal/replica: watches of all daemons",
+		StateBytes:      lookup.cost("config.memory", workspaces) * keptVersionsFactor,
+		WireBytesPerSec: fanout * changesPerSec * (lookup.cost("config.delta.bytes", workspaces) + frameOverheadBytes),
+		CoreShare:       fanout * changesPerSec * lookup.cost("config.diff", workspaces) / nsPerSec,
+		MessagesPerSec:  fanout * changesPerSec,
+		Derivation:      "5 replicas among the 18 instances set aside; each watched by 140 daemons",
 	}
 }
 
 const (
-	// replicas of the configuration group at the target.
+	// replicas is the size of the configuration's log group.
 	replicas = 5
-	// keptVersionsFactor allows for versions that are kept for deltas, which
-	// share unchanged files.
+	// keptVersionsFactor allows for the earlier versions kept to calculate deltas;
+	// versions share unchanged files.
 	keptVersionsFactor = 2
 )
 
-func claimNeed(b *book) Need {
+func claimRequirement(lookup *slopeLookup) Requirement {
 	claimsPerGroup := float64(requestsPerSec) / regions * keyedShare
-	bytes := b.at("claim.bytes", 1)
-	return Need{
+	claimBytes := lookup.cost("claim.bytes", 1)
+	return Requirement{
 		Role: "claims replica", Class: Path, Mechanism: "core/state in a log group a region",
-		State:    b.at("claim.memory", claimsPerGroup*retentionSeconds),
-		Wire:     claimsPerGroup * bytes * 2,
-		Core:     claimsPerGroup * 2 * b.at("claim.apply", claimsPerGroup*retentionSeconds) / nsPerSec,
-		Messages: claimsPerGroup,
-		Note:     "one request in ten carries a key; two commands each; claims kept for 30 minutes",
+		StateBytes:      lookup.cost("claim.memory", claimsPerGroup*claimRetentionSeconds),
+		WireBytesPerSec: claimsPerGroup * claimBytes * 2,
+		CoreShare:       claimsPerGroup * 2 * lookup.cost("claim.apply", claimsPerGroup*claimRetentionSeconds) / nsPerSec,
+		MessagesPerSec:  claimsPerGroup,
+		Derivation:      "one request in ten carries a key; two commands each; claims kept for 30 minutes",
 	}
 }
 
 const (
 	// keyedShare is the share of requests that carry the caller's key.
 	keyedShare = 0.1
-	// retentionSeconds is how long claims are kept.
-	retentionSeconds = 30 * 60
+	// claimRetentionSeconds is how long claims are kept.
+	claimRetentionSeconds = 30 * 60
 )
 
-func directoryNeed(b *book) Need {
-	asks := requestsPerEntry / askedPerAnswer
-	return Need{
+func directoryRequirement(lookup *slopeLookup) Requirement {
+	lookupsPerSec := requestsPerEntry / requestsPerDirectoryAnswer
+	return Requirement{
 		Role: "directory", Class: Path, Mechanism: "internal/entry: any daemon answers, kept for 5 s by callers",
-		Wire:     asks * b.at("directory.bytes", directoryShown),
-		Core:     asks * b.at("directory.answer", directoryShown) / nsPerSec,
-		Messages: asks,
-		Note:     "a caller asks once in 20 requests; an answer names 8 daemons",
+		WireBytesPerSec: lookupsPerSec * lookup.cost("directory.bytes", addressesPerDirectoryAnswer),
+		CoreShare:       lookupsPerSec * lookup.cost("directory.answer", addressesPerDirectoryAnswer) / nsPerSec,
+		MessagesPerSec:  lookupsPerSec,
+		Derivation:      "a caller asks once in 20 requests; an answer names 8 daemons",
 	}
 }
 
 const (
-	// askedPerAnswer is how many requests a caller sends on one answer.
-	askedPerAnswer = 20
-	// directoryShown is how many addresses an answer holds.
-	directoryShown = 8
+	// requestsPerDirectoryAnswer is how many requests a caller sends with the
+	// addresses of one answer.
+	requestsPerDirectoryAnswer = 20
+	// addressesPerDirectoryAnswer is how many addresses an answer holds.
+	addressesPerDirectoryAnswer = 8
 )
