--- a/internal/demo/backends.go
+++ b/internal/demo/backends.go
@@ -14,21 +14,22 @@
 const (
 	modelName   = "logbook-model"
 	serviceName = "register-api"
-	// prefillSpeed and decodeSpeed are a runner's at full speed, in tokens a
-	// second; time is scaled so that the run stays short.
-	prefillSpeed = 20_000
-	decodeSpeed  = 250
-	// runnerSlots is how many requests a runner takes at once.
+	// prefillTokensPerSecond and decodeTokensPerSecond are the rates of a runner
+	// of speed 1. They are high so that the run stays short.
+	prefillTokensPerSecond = 20_000
+	decodeTokensPerSecond  = 250
+	// runnerSlots is how many requests a runner runs at once.
 	runnerSlots = 4
-	// servicePause is how long a plain call takes.
-	servicePause = 20 * time.Millisecond
+	// serviceDelay is the duration of a service call.
+	serviceDelay = 20 * time.Millisecond
 )
 
-// runners are the stand-in engines. The straggler runs at one fifth; the one
-// that dies is not the straggler.
+// runners are the stand-in engines. The straggler has a fifth of the full speed;
+// the runner that is killed is another one.
 var runners = []struct {
-	name  string
-	place int
+	name       string
+	placeIndex int
+	// speed is relative to the full speed.
 	speed float64
 }{
 	{"runner-1", 0, 1},
@@ -38,79 +39,85 @@
 	{"straggler", 1, 0.2},
 }
 
-// victim is the runner that is killed.
-const victim = "runner-4"
+// killedRunner is the runner that is killed during the load.
+const killedRunner = "runner-4"
 
-// backends is the stand-ins of one run.
-type backends struct {
-	list []*backend
+// standIns holds the stand-in upstreams of one run.
+type standIns struct {
+	all []*standIn
 }
 
-// backend is one stand-in with its announcements.
-type backend struct {
+// standIn is one running stand-in with the goroutine that announces it.
+type standIn struct {
 	name   string
 	close  func()
 	cancel context.CancelFunc
 	done   sync.WaitGroup
 }
 
-// startBackends starts the stand-ins, which announce themselves.
-func startBackends(daemons []string, rec *recorder) (*backends, error) {
-	b := &backends{}
+// startStandIns starts the stand-in runners and the service. With an error it
+// returns those that have started.
+func startStandIns(daemons []string, rec *recorder) (*standIns, error) {
+	s := &standIns{}
 	for i, r := range runners {
-		a := announcement(r.name, upstream.Runner, modelName, r.place, runnerSlots)
-		up := standin.NewRunner(a, standin.Speed{PrefillPerSecond: prefillSpeed * r.speed, DecodePerSecond: decodeSpeed * r.speed})
-		up.Observe = rec.execution
-		if err := up.Listen(); err != nil {
-			return b, err
+		a := announcement(r.name, upstream.Runner, modelName, r.placeIndex, runnerSlots)
+		runner := standin.NewRunner(a, standin.Speed{PrefillPerSecond: prefillTokensPerSecond * r.speed, DecodePerSecond: decodeTokensPerSecond * r.speed})
+		runner.Observe = rec.recordExecution
+		if err := runner.Listen(); err != nil {
+			return s, err
 		}
-		b.run(r.name, up.Close, rotate(daemons, i), up.Announcement)
+		s.add(r.name, runner.Close, rotate(daemons, i), runner.Announcement)
 	}
 	a := announcement("register-1", upstream.Plain, serviceName, 0, 8)
-	svc := standin.NewService(a, servicePause)
-	svc.Observe = rec.execution
-	if err := svc.Listen(); err != nil {
-		return b, err
+	service := standin.NewService(a, serviceDelay)
+	service.Observe = rec.recordExecution
+	if err := service.Listen(); err != nil {
+		return s, err
 	}
-	b.run(a.Name, svc.Close, daemons, func() upstream.Announcement { return svc.Self })
-	return b, nil
+	s.add(a.Name, service.Close, daemons, func() upstream.Announcement { return service.Self })
+	return s, nil
 }
 
+// rotate returns the list starting at an index, so that runners announce to
+// different daemons first.
 func rotate(list []string, by int) []string {
 	by %= len(list)
 	return slices.Concat(list[by:], list[:by])
 }
 
-func announcement(name string, kind upstream.Kind, pool string, place, slots int) upstream.Announcement {
+// announcement returns a stand-in's announcement, with a free port of loopback
+// and the time as its incarnation.
+func announcement(name string, kind upstream.Kind, pool string, placeIndex, slots int) upstream.Announcement {
 	return upstream.Announcement{
 		Name: name, Kind: kind, Pool: pool, Address: "127.0.0.1:0", Slots: slots,
-		Region: places[place].Region, DataCentre: places[place].DataCentre, Incarnation: uint64(time.Now().UnixNano()),
+		Region: places[placeIndex].Region, DataCentre: places[placeIndex].DataCentre, Incarnation: uint64(time.Now().UnixNano()),
 	}
 }
 
-func (b *backends) run(name string, closeIt func(), daemons []string, state func() upstream.Announcement) {
+// add starts the announcements of a stand-in that listens.
+func (s *standIns) add(name string, closeFunc func(), daemons []string, state func() upstream.Announcement) {
 	ctx, cancel := context.WithCancel(context.Background())
-	one := &backend{name: name, close: closeIt, cancel: cancel}
+	started := &standIn{name: name, close: closeFunc, cancel: cancel}
 	ann := &standin.Announcer{Daemons: daemons, Key: localsite.UpstreamKey, State: state}
-	one.done.Go(func() { ann.Run(ctx) })
-	b.list = append(b.list, one)
+	started.done.Go(func() { ann.Run(ctx) })
+	s.all = append(s.all, started)
 }
 
-// kill ends one stand-in without a word, as a crash would.
-func (b *backends) kill(name string) {
-	for _, one := range b.list {
-		if one.name == name {
-			one.cancel()
-			one.close()
+// kill closes one stand-in without announcing that it leaves, as in a crash.
+func (s *standIns) kill(name string) {
+	for _, up := range s.all {
+		if up.name == name {
+			up.cancel()
+			up.close()
 		}
 	}
 }
 
-// stop ends all stand-ins.
-func (b *backends) stop() {
-	for _, one := range b.list {
-		one.cancel()
-		one.close()
-		one.done.Wait()
+// stop closes all stand-ins and waits for their announcements to end.
+func (s *standIns) stop() {
+	for _, up := range s.all {
+		up.cancel()
+		up.close()
+		up.done.Wait()
 	}
 }
--- a/internal/demo/callers.go
+++ b/internal/demo/callers.go
@@ -11,17 +11,21 @@
 	"github.com/verbenastep/verbenastep/core/promise"
 )
 
-// outcome is what became of one request, as its caller saw it.
+// outcome is the result of one request as its caller received it.
 type outcome struct {
 	workspace string
 	key       string
-	took      time.Duration
-	whole     bool
-	resumed   int
-	failure   *fault.Error
+	// latency is the time from sending to the end of the answer or refusal.
+	latency time.Duration
+	// complete says that the whole answer arrived.
+	complete bool
+	// resumed counts how often the stream was resumed over a new connection.
+	resumed int
+	failure *fault.Error
 }
 
-// callers sends a load as callers would.
+// callers sends the load with one client per workspace and collects the outcomes.
+// It is safe for concurrent use.
 type callers struct {
 	rec        *recorder
 	workspaces []config.Workspace
@@ -31,6 +35,7 @@
 	outcomes []outcome
 }
 
+// newCallers returns callers for the workspaces that use the entries' addresses.
 func newCallers(entries []string, workspaces []config.Workspace, rec *recorder) *callers {
 	c := &callers{rec: rec, workspaces: workspaces}
 	for _, w := range workspaces {
@@ -39,22 +44,25 @@
 	return c
 }
 
-// workspaceKey is the key whose hash the embedded configuration holds.
+// workspaceKey returns the bearer key whose hash the embedded configuration
+// holds.
 func workspaceKey(workspace string) string { return "demo-" + workspace }
 
-// run sends the load and waits for all answers.
-func (c *callers) run(ctx context.Context, load []planned) {
-	wait := sync.WaitGroup{}
-	for _, p := range load {
-		wait.Go(func() { c.at(ctx, p.at, p) })
-		if p.resend > 0 {
-			wait.Go(func() { c.at(ctx, p.at+p.resend, p) })
+// run sends the requests and resends at their times and waits for all outcomes.
+func (c *callers) run(ctx context.Context, requests []plannedRequest) {
+	wg := sync.WaitGroup{}
+	for _, p := range requests {
+		wg.Go(func() { c.sendAfter(ctx, p.sendAt, p) })
+		if p.resendDelay > 0 {
+			wg.Go(func() { c.sendAfter(ctx, p.sendAt+p.resendDelay, p) })
 		}
 	}
-	wait.Wait()
+	wg.Wait()
 }
 
-func (c *callers) at(ctx context.Context, after time.Duration, p planned) {
+// sendAfter sends a request after a delay and adds its outcome; it does nothing
+// when the context ends before.
+func (c *callers) sendAfter(ctx context.Context, after time.Duration, p plannedRequest) {
 	select {
 	case <-time.After(after):
 	case <-ctx.Done():
@@ -66,41 +74,43 @@
 	c.outcomes = append(c.outcomes, o)
 }
 
-// send makes one request and records what its caller received.
-func (c *callers) send(ctx context.Context, p planned) outcome {
-	began := time.Now()
+// send sends one request and records its answer or refusal.
+func (c *callers) send(ctx context.Context, p plannedRequest) outcome {
+	start := time.Now()
 	o := outcome{workspace: c.workspaces[p.workspace].Name, key: p.request.Key}
 	answer, err := exchange(ctx, c.clients[p.workspace], p, &o)
-	o.took = time.Since(began)
-	return c.settle(o, answer, err)
+	o.latency = time.Since(start)
+	return c.recordOutcome(o, answer, err)
 }
 
-// settle records an answer or a refusal.
-func (c *callers) settle(o outcome, answer string, err error) outcome {
+// recordOutcome records an answer or a refusal and returns the completed outcome.
+func (c *callers) recordOutcome(o outcome, answer string, err error) outcome {
 	if err != nil {
 		o.failure = fault.From(err)
-		c.refused(o)
+		c.recordRefusal(o)
 		return o
 	}
-	o.whole = true
+	o.complete = true
 	c.rec.record(promise.Event{Kind: promise.Answer, Workspace: o.workspace, Key: o.key, Complete: true, ReceivedHash: hash(answer)})
 	return o
 }
 
-// sendTo makes one request at one entry; its outcome is not counted.
-func (c *callers) sendTo(ctx context.Context, entry string, p planned) error {
+// sendTo sends one request to one entry. Its outcome is recorded for the checker
+// but not counted in the report.
+func (c *callers) sendTo(ctx context.Context, entry string, p plannedRequest) error {
 	w := c.workspaces[p.workspace].Name
 	o := outcome{workspace: w}
-	only := &client.Caller{Fixed: true, Entries: []string{entry}, Key: workspaceKey(w)}
-	answer, err := exchange(ctx, only, p, &o)
-	o = c.settle(o, answer, err)
+	caller := &client.Caller{Fixed: true, Entries: []string{entry}, Key: workspaceKey(w)}
+	answer, err := exchange(ctx, caller, p, &o)
+	o = c.recordOutcome(o, answer, err)
 	if o.failure != nil {
 		return o.failure
 	}
 	return nil
 }
 
-func (c *callers) refused(o outcome) {
+// recordRefusal records a refusal under the request's key.
+func (c *callers) recordRefusal(o outcome) {
 	key := o.failure.Key
 	if key == "" {
 		key = o.key
@@ -108,8 +118,9 @@
 	c.rec.record(promise.Event{Kind: promise.Refuse, Workspace: o.workspace, Key: key, Code: string(o.failure.Kind), Ran: string(o.failure.Ran)})
 }
 
-// exchange returns the answer's text and fills in the key that the entry gave.
-func exchange(ctx context.Context, caller *client.Caller, p planned, o *outcome) (string, error) {
+// exchange sends a request and returns the answer's text. It sets the outcome's
+// key to the one that the entry used, and its count of resumptions.
+func exchange(ctx context.Context, caller *client.Caller, p plannedRequest, o *outcome) (string, error) {
 	if p.stream {
 		s, err := caller.Stream(ctx, p.request, nil)
 		o.key = s.Key
@@ -121,7 +132,7 @@
 		return "", err
 	}
 	o.key = reply.Key
-	if p.plain {
+	if p.serviceCall {
 		return string(reply.Body), nil
 	}
 	text, _, err := reply.Completion()
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -1,6 +1,7 @@
-// Package demo is the main job on embedded defaults: three daemons in one
-// process on loopback, stand-in upstreams, a mixed load, an upstream that dies
-// and a daemon that drains. All figures come from the run's own events.
+// Package demo runs the whole system on an embedded configuration: three daemons
+// in one process on loopback, stand-in upstreams and a mixed load, during which a
+// runner is killed and a daemon drains. It checks the promises on the events of
+// the run. The command "verbenastep demo" calls it.
 package demo
 
 import (
@@ -27,45 +28,46 @@
 const (
 	// readyTimeout bounds the time until all daemons serve all pools.
 	readyTimeout = 8 * time.Second
-	// readyPause is the wait between two tries.
-	readyPause = 50 * time.Millisecond
-	// applyTimeout bounds one try to apply the configuration.
+	// readyRetryDelay is the wait between two attempts of a step.
+	readyRetryDelay = 50 * time.Millisecond
+	// applyTimeout bounds one attempt of a step before the load.
 	applyTimeout = 2 * time.Second
-	// killAt and drainAt are shares of the load's time.
-	killAt  = 0.4
-	drainAt = 0.6
-	// drained is the index of the daemon that drains.
-	drained = 2
-	// runTimeout bounds the load with all its answers.
+	// killFraction and drainFraction place the kill and the drain in the load, as
+	// shares of loadDuration.
+	killFraction  = 0.4
+	drainFraction = 0.6
+	// drainedDaemon is the index of the daemon that drains.
+	drainedDaemon = 2
+	// runTimeout bounds the load including all its answers.
 	runTimeout = 24 * time.Second
 )
 
 //go:embed config/*.json
 var embedded embed.FS
 
-// Options steer a run.
+// Options configures a run.
 type Options struct {
-	// Seed draws the load.
+	// Seed determines the load.
 	Seed uint64
-	// Progress takes a line for each step; nil discards them.
+	// Progress receives a line for each step; nil discards them.
 	Progress io.Writer
-	// Log takes the daemons' logs; nil discards them.
+	// Log receives the daemons' logs; nil discards them.
 	Log *zap.Logger
 }
 
-// run is one demonstration under way.
-type run struct {
-	opt   Options
-	began time.Time
-	files config.Files
-	whole *config.Config
-	rec   *recorder
-	site  *localsite.Site
-	back  *backends
+// demoRun is the state of one run.
+type demoRun struct {
+	options  Options
+	start    time.Time
+	files    config.Files
+	config   *config.Config
+	rec      *recorder
+	site     *localsite.Site
+	standIns *standIns
 }
 
-// Run demonstrates the main job. Its error says that the run could not be
-// carried through; broken promises are in the report.
+// Run runs the demo and returns its report. An error means that the run could not
+// be completed; violations of promises are in the report.
 func Run(ctx context.Context, opt Options) (*Report, error) {
 	if opt.Progress == nil {
 		opt.Progress = io.Discard
@@ -78,19 +80,20 @@
 		return nil, err
 	}
 	defer os.RemoveAll(folder)
-	r := &run{opt: opt, began: time.Now(), rec: newRecorder()}
+	r := &demoRun{options: opt, start: time.Now(), rec: newRecorder()}
 	if err := r.readConfig(); err != nil {
 		return nil, err
 	}
-	return r.carry(ctx, folder)
+	return r.execute(ctx, folder)
 }
 
-func (r *run) say(format string, args ...any) {
-	fmt.Fprintf(r.opt.Progress, "[%4.1f s] %s\n", time.Since(r.began).Seconds(), fmt.Sprintf(format, args...))
+// printProgress writes a line with the time since the start.
+func (r *demoRun) printProgress(format string, args ...any) {
+	fmt.Fprintf(r.options.Progress, "[%4.1f s] %s\n", time.Since(r.start).Seconds(), fmt.Sprintf(format, args...))
 }
 
-// readConfig reads the embedded files.
-func (r *run) readConfig() error {
+// readConfig reads and merges the embedded configuration files.
+func (r *demoRun) readConfig() error {
 	entries, err := embedded.ReadDir("config")
 	if err != nil {
 		return err
@@ -101,39 +104,40 @@
 			return err
 		}
 	}
-	r.whole, err = config.Merge(r.files)
+	r.config, err = config.Merge(r.files)
 	return err
 }
 
-// carry takes the run from the daemons' start to the report.
-func (r *run) carry(ctx context.Context, folder string) (*Report, error) {
+// execute starts the daemons and stand-ins, runs the load and returns the report.
+func (r *demoRun) execute(ctx context.Context, folder string) (*Report, error) {
 	err := error(nil)
-	if r.site, err = newSite(folder, r.opt.Log, r.rec); err != nil {
+	if r.site, err = newSite(folder, r.options.Log, r.rec); err != nil {
 		return nil, err
 	}
 	defer r.site.KillAll()
 	if err := r.site.StartAll(ctx); err != nil {
 		return nil, err
 	}
-	r.say("%d daemons serve on loopback, the first at http://%s", daemonCount, r.site.Callers()[0])
-	if err := r.apply(ctx); err != nil {
+	r.printProgress("%d daemons are serving on loopback, the first at http://%s", daemonCount, r.site.Callers()[0])
+	if err := r.applyConfig(ctx); err != nil {
 		return nil, err
 	}
-	r.back, err = startBackends(r.site.Upstreams(), r.rec)
-	defer r.back.stop()
+	r.standIns, err = startStandIns(r.site.Upstreams(), r.rec)
+	defer r.standIns.stop()
 	if err != nil {
 		return nil, err
 	}
-	calls := newCallers(r.site.Callers(), r.whole.Workspaces, r.rec)
-	if err := r.ready(ctx, calls); err != nil {
+	calls := newCallers(r.site.Callers(), r.config.Workspaces, r.rec)
+	if err := r.waitReady(ctx, calls); err != nil {
 		return nil, err
 	}
-	r.say("%d runners and a plain service are ready, one runner at a fifth of the speed", len(runners))
-	return r.underLoad(ctx, calls)
+	r.printProgress("%d runners and a plain service are ready, one runner at a fifth of the speed", len(runners))
+	return r.runLoad(ctx, calls)
 }
 
-// apply gives the configuration to a daemon and waits until all have it.
-func (r *run) apply(ctx context.Context) error {
+// applyConfig applies the configuration at one daemon and waits until it is in
+// force at all of them.
+func (r *demoRun) applyConfig(ctx context.Context) error {
 	files, err := r.files.Compact()
 	if err != nil {
 		return err
@@ -150,16 +154,18 @@
 	}
 	for _, address := range r.site.Admins() {
 		op := client.Operator{Address: address, Key: localsite.OperatorKey}
-		err := r.retry(ctx, func(ctx context.Context) error { return inForce(ctx, op, version) })
+		err := r.retry(ctx, func(ctx context.Context) error { return checkInForce(ctx, op, version) })
 		if err != nil {
 			return err
 		}
 	}
-	r.say("configuration version %d with %d tiers is in force on every daemon", version, len(r.whole.Tiers))
+	r.printProgress("configuration version %d with %d tiers is in force on every daemon", version, len(r.config.Tiers))
 	return nil
 }
 
-func inForce(ctx context.Context, op client.Operator, version uint64) error {
+// checkInForce returns an error unless the daemon has the version, or a later one,
+// in force.
+func checkInForce(ctx context.Context, op client.Operator, version uint64) error {
 	st, err := op.Status(ctx)
 	if err != nil {
 		return err
@@ -170,31 +176,32 @@
 	return nil
 }
 
-// retry repeats a step until it succeeds or the daemons should be ready.
-func (r *run) retry(ctx context.Context, step func(context.Context) error) error {
+// retry repeats a step until it succeeds or readyTimeout has passed, and returns
+// the last error.
+func (r *demoRun) retry(ctx context.Context, step func(context.Context) error) error {
 	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
-	last := error(nil)
+	lastErr := error(nil)
 	for ctx.Err() == nil {
-		one, done := context.WithTimeout(ctx, applyTimeout)
-		err := step(one)
-		done()
+		attemptCtx, cancelAttempt := context.WithTimeout(ctx, applyTimeout)
+		err := step(attemptCtx)
+		cancelAttempt()
 		if err == nil {
 			return nil
 		}
-		last = err
+		lastErr = err
 		select {
-		case <-time.After(readyPause):
+		case <-time.After(readyRetryDelay):
 		case <-ctx.Done():
 		}
 	}
-	return last
+	return lastErr
 }
 
-// ready sends small requests until each entry serves both pools.
-func (r *run) ready(ctx context.Context, calls *callers) error {
+// waitReady sends small requests until each entry serves both pools.
+func (r *demoRun) waitReady(ctx context.Context, calls *callers) error {
 	for _, entry := range r.site.Callers() {
-		for _, p := range []planned{warmModel(), warmService()} {
+		for _, p := range []plannedRequest{warmUpCompletion(), warmUpServiceCall()} {
 			err := r.retry(ctx, func(ctx context.Context) error { return calls.sendTo(ctx, entry, p) })
 			if err != nil {
 				return err
@@ -204,71 +211,74 @@
 	return nil
 }
 
-// underLoad sends the load, kills a runner and drains a daemon on the way, and
-// sums up.
-func (r *run) underLoad(ctx context.Context, calls *callers) (*Report, error) {
-	whole := ctx
+// runLoad sends the load, kills a runner and drains a daemon meanwhile, and
+// returns the report.
+func (r *demoRun) runLoad(ctx context.Context, calls *callers) (*Report, error) {
+	parent := ctx
 	ctx, cancel := context.WithTimeout(ctx, runTimeout)
 	defer cancel()
-	load := plan(r.opt.Seed, len(r.whole.Workspaces))
-	r.say("%d requests arrive over %.0f s, prompts of %d to %d tokens", len(load), loadTime.Seconds(), shortestPrompt, longestPrompt)
-	began := time.Now()
-	report := &Report{Seed: r.opt.Seed}
-	side := sync.WaitGroup{}
-	side.Go(func() { r.kill(ctx, began, report) })
-	drain := error(nil)
-	side.Go(func() { drain = r.drain(ctx, began, report) })
-	calls.run(ctx, load)
-	side.Wait()
-	if whole.Err() != nil {
+	requests := planLoad(r.options.Seed, len(r.config.Workspaces))
+	r.printProgress("%d requests arrive over %.0f s, prompts of %d to %d tokens", len(requests), loadDuration.Seconds(), shortestPrompt, longestPrompt)
+	start := time.Now()
+	report := &Report{Seed: r.options.Seed}
+	faults := sync.WaitGroup{}
+	faults.Go(func() { r.killRunner(ctx, start, report) })
+	drainErr := error(nil)
+	faults.Go(func() { drainErr = r.drainDaemon(ctx, start, report) })
+	calls.run(ctx, requests)
+	faults.Wait()
+	if parent.Err() != nil {
 		return nil, fault.New(fault.Canceled, "let it run to its end", "the demo was interrupted")
 	}
-	report.failed(drain)
-	r.say("no caller waits any more")
-	r.sumUp(calls, report)
+	report.addStopError(drainErr)
+	r.printProgress("all requests have ended")
+	r.fillReport(calls, report)
 	return report, nil
 }
 
-func (r *run) kill(ctx context.Context, began time.Time, report *Report) {
-	wait.For(ctx, time.Duration(killAt*float64(loadTime)))
-	r.back.kill(victim)
-	r.rec.lose(victim)
-	r.rec.record(promise.Event{Kind: promise.Leave, Upstream: victim, Pool: modelName})
-	report.Killed = Step{Name: victim, At: time.Since(began).Seconds()}
-	r.say("%s was killed", victim)
+// killRunner kills killedRunner at killFraction of the load.
+func (r *demoRun) killRunner(ctx context.Context, start time.Time, report *Report) {
+	wait.For(ctx, time.Duration(killFraction*float64(loadDuration)))
+	r.standIns.kill(killedRunner)
+	r.rec.forgetUpstream(killedRunner)
+	r.rec.record(promise.Event{Kind: promise.Leave, Upstream: killedRunner, Pool: modelName})
+	report.KilledRunner = Step{Name: killedRunner, At: time.Since(start).Seconds()}
+	r.printProgress("%s was killed", killedRunner)
 }
 
-func (r *run) drain(ctx context.Context, began time.Time, report *Report) error {
-	wait.For(ctx, time.Duration(drainAt*float64(loadTime)))
-	report.Drained = Step{Name: localsite.Name(drained), At: time.Since(began).Seconds()}
-	r.say("%s drains", localsite.Name(drained))
-	err := r.site.Stop(drained)
-	report.Drained.Until = time.Since(began).Seconds()
-	r.say("%s has stopped", localsite.Name(drained))
+// drainDaemon stops drainedDaemon gracefully at drainFraction of the load.
+func (r *demoRun) drainDaemon(ctx context.Context, start time.Time, report *Report) error {
+	wait.For(ctx, time.Duration(drainFraction*float64(loadDuration)))
+	report.DrainedDaemon = Step{Name: localsite.Name(drainedDaemon), At: time.Since(start).Seconds()}
+	r.printProgress("%s is draining", localsite.Name(drainedDaemon))
+	err := r.site.Stop(drainedDaemon)
+	report.DrainedDaemon.Until = time.Since(start).Seconds()
+	r.printProgress("%s has stopped", localsite.Name(drainedDaemon))
 	return err
 }
 
-func (r *run) sumUp(calls *callers, report *Report) {
-	whole := map[requestID]bool{}
+// fillReport summarizes the outcomes and checks the promises.
+func (r *demoRun) fillReport(calls *callers, report *Report) {
+	completed := map[requestID]bool{}
 	for _, o := range calls.outcomes {
-		if o.whole {
-			whole[requestID{workspace: o.workspace, key: o.key}] = true
+		if o.complete {
+			completed[requestID{workspace: o.workspace, key: o.key}] = true
 		}
-		if o.lost() {
-			report.Lost++
+		if o.isLost() {
+			report.LostRequests++
 		}
-		report.Resumed += o.resumed
+		report.ResumedStreams += o.resumed
 	}
-	report.Tiers = tally(r.whole, calls.outcomes)
-	report.Prefill.Processed, report.Prefill.Lost, report.Prefill.Repeated = r.rec.wasted(whole)
+	report.Tiers = countByTier(r.config, calls.outcomes)
+	report.Prefill.Processed, report.Prefill.Lost, report.Prefill.Repeated = r.rec.prefillTotals(completed)
 	names := []string{}
 	for i := range daemonCount {
 		names = append(names, localsite.Name(i))
 	}
-	report.Promises = judge(r.rec.all(), promise.Options{Daemons: names})
-	report.Held = report.Lost == 0 && len(report.Faults) == 0
+	report.Promises = checkPromises(r.rec.recorded(), promise.Options{Daemons: names})
+	report.Held = report.LostRequests == 0 && len(report.StopErrors) == 0
 	for _, v := range report.Promises {
 		report.Held = report.Held && v.Held()
 	}
-	report.Seconds = time.Since(r.began).Seconds()
+	report.Seconds = time.Since(r.start).Seconds()
 }
--- a/internal/demo/demo_test.go
+++ b/internal/demo/demo_test.go
@@ -13,19 +13,19 @@
 	"github.com/verbenastep/verbenastep/internal/standin"
 )
 
-func TestLoadDependsOnTheSeedAlone(t *testing.T) {
-	require.Equal(t, plan(3, 5), plan(3, 5))
-	require.NotEqual(t, plan(3, 5), plan(4, 5))
+func TestLoadIsDeterministicForSeed(t *testing.T) {
+	require.Equal(t, planLoad(3, 5), planLoad(3, 5))
+	require.NotEqual(t, planLoad(3, 5), planLoad(4, 5))
 }
 
-func TestLoadSpreadsAHundredfoldAndResends(t *testing.T) {
+func TestLoadCoversLengthRangeAndResends(t *testing.T) {
 	shortest, longest, resent := 1<<30, 0, 0
-	for _, p := range plan(1, 5) {
-		if !p.plain {
+	for _, p := range planLoad(1, 5) {
+		if !p.serviceCall {
 			shortest = min(shortest, len(p.request.Body))
 			longest = max(longest, len(p.request.Body))
 		}
-		if p.resend > 0 {
+		if p.resendDelay > 0 {
 			require.NotEmpty(t, p.request.Key)
 			resent++
 		}
@@ -36,18 +36,18 @@
 }
 
 func TestEmbeddedConfigurationIsValid(t *testing.T) {
-	r := &run{}
+	r := &demoRun{}
 	require.NoError(t, r.readConfig())
 	require.NoError(t, schema.CheckFiles(r.files))
-	require.Len(t, r.whole.Tiers, 3)
+	require.Len(t, r.config.Tiers, 3)
 }
 
-func TestTallyCountsEachOutcomeOnce(t *testing.T) {
-	r := &run{}
+func TestEachOutcomeIsCountedOnce(t *testing.T) {
+	r := &demoRun{}
 	require.NoError(t, r.readConfig())
-	tiers := tally(r.whole, []outcome{
-		{workspace: "judging", whole: true, took: time.Second},
-		{workspace: "judging", whole: true, took: time.Minute},
+	tiers := countByTier(r.config, []outcome{
+		{workspace: "judging", complete: true, latency: time.Second},
+		{workspace: "judging", complete: true, latency: time.Minute},
 		{workspace: "judging", failure: fault.New(fault.Overloaded, "", "")},
 		{workspace: "judging", failure: fault.New(fault.Unknown, "", "").WithRan(fault.MayHaveRun)},
 	})
@@ -55,43 +55,43 @@
 	require.InDelta(t, 0.25, tiers[0].Goodput(), 0)
 }
 
-func TestLostCallerIsNotARefusedOne(t *testing.T) {
-	require.True(t, outcome{failure: fault.New(client.ConnectionLost, "", "")}.lost())
-	require.False(t, outcome{failure: fault.New(fault.Unknown, "", "")}.lost())
+func TestLostConnectionIsNotARefusal(t *testing.T) {
+	require.True(t, outcome{failure: fault.New(client.ConnectionLost, "", "")}.isLost())
+	require.False(t, outcome{failure: fault.New(fault.Unknown, "", "")}.isLost())
 }
 
-func TestWastedPrefill(t *testing.T) {
+func TestPrefillTotalsCountLostAndRepeatedTokens(t *testing.T) {
 	rec := newRecorder()
 	for _, stream := range []string{"s1", "s2", "s3"} {
 		rec.record(promise.Event{Kind: promise.Dispatch, Workspace: "w", Key: stream, Stream: stream})
 	}
 	blocks := []uint64{1, 2}
-	rec.execution(standin.Execution{Upstream: "a", Stream: "s1", Blocks: blocks, Prefill: 100})
-	rec.execution(standin.Execution{Upstream: "b", Stream: "s2", Blocks: blocks, Prefill: 100})
-	rec.lose("a")
-	rec.lose("b")
-	rec.execution(standin.Execution{Upstream: "c", Stream: "s3", Blocks: blocks, Prefill: 100})
-	total, lost, repeated := rec.wasted(map[requestID]bool{{"w", "s2"}: true, {"w", "s3"}: true})
+	rec.recordExecution(standin.Execution{Upstream: "a", Stream: "s1", Blocks: blocks, Prefill: 100})
+	rec.recordExecution(standin.Execution{Upstream: "b", Stream: "s2", Blocks: blocks, Prefill: 100})
+	rec.forgetUpstream("a")
+	rec.forgetUpstream("b")
+	rec.recordExecution(standin.Execution{Upstream: "c", Stream: "s3", Blocks: blocks, Prefill: 100})
+	total, lost, repeated := rec.prefillTotals(map[requestID]bool{{"w", "s2"}: true, {"w", "s3"}: true})
 	require.Equal(t, 300, total)
 	require.Equal(t, 100, lost, "s1 did not reach its caller")
 	require.Equal(t, 100, repeated, "only s2 was held by a live upstream")
 }
 
 func TestPromiseWithoutEventsIsNotHeld(t *testing.T) {
-	for _, v := range judge(nil, promise.Options{}) {
+	for _, v := range checkPromises(nil, promise.Options{}) {
 		require.False(t, v.Held(), v.Promise)
 	}
 }
 
-func TestCrossedAnswerIsFound(t *testing.T) {
+func TestSwappedAnswerIsReported(t *testing.T) {
 	rec := newRecorder()
 	for _, key := range []string{"k1", "k2"} {
 		rec.record(promise.Event{Kind: promise.Accept, Workspace: "w", Key: key})
 		rec.record(promise.Event{Kind: promise.Dispatch, Workspace: "w", Key: key, Stream: "s" + key})
-		rec.execution(standin.Execution{Upstream: "a", Stream: "s" + key, Text: "answer to " + key})
+		rec.recordExecution(standin.Execution{Upstream: "a", Stream: "s" + key, Text: "answer to " + key})
 		rec.record(promise.Event{Kind: promise.Answer, Workspace: "w", Key: key, Complete: true, ReceivedHash: hash("answer to k1")})
 	}
-	verdicts := judge(rec.all(), promise.Options{})
+	verdicts := checkPromises(rec.recorded(), promise.Options{})
 	require.Equal(t, promise.OwnAnswer, verdicts[2].Promise)
-	require.Len(t, verdicts[2].Broken, 1, "k2 received k1's answer")
+	require.Len(t, verdicts[2].Violations, 1, "k2 received k1's answer")
 }
--- a/internal/demo/load.go
+++ b/internal/demo/load.go
@@ -12,59 +12,62 @@
 )
 
 const (
-	// loadTime is how long requests keep arriving.
-	loadTime = 7 * time.Second
-	// completions and calls are how many requests arrive, burst how many more
-	// completions arrive at once in the middle.
-	completions = 130
-	burst       = 50
-	lookups     = 40
-	transfers   = 24
-	// shortest and longest bound prompts and answers, in tokens: a hundredfold.
+	// loadDuration is how long requests keep arriving.
+	loadDuration = 7 * time.Second
+	// completions, lookups and transfers count the requests that arrive over the
+	// load, burstCompletions the further completions that arrive all at once.
+	completions      = 130
+	burstCompletions = 50
+	lookups          = 40
+	transfers        = 24
+	// Lengths of prompts and answers are in tokens and span a factor of 100.
 	shortestPrompt, longestPrompt = 40, 4000
 	shortestAnswer, longestAnswer = 4, 400
-	// bytesPerToken is how much text makes a prompt token.
+	// bytesPerToken is how many bytes of prompt the stand-ins count as a token.
 	bytesPerToken = 4
-	// documents is how many texts a workspace's prompts begin with.
-	documents = 6
-	// burstAt is when the burst comes, as a share of the load's time.
-	burstAt = 0.45
-	// resendEvery is how many transfers there are to one that is resent.
-	resendEvery = 2
-	// resendAfter bounds the time to the resend.
-	resendAfter = 150 * time.Millisecond
+	// documentsPerWorkspace is how many texts a workspace's prompts begin with.
+	documentsPerWorkspace = 6
+	// burstFraction places the burst in the load, as a share of loadDuration.
+	burstFraction = 0.45
+	// transfersPerResend is how many transfers there are for each that is resent.
+	transfersPerResend = 2
+	// maxResendDelay bounds the time from a request to its resend.
+	maxResendDelay = 150 * time.Millisecond
 )
 
-// planned is one request before it is sent.
-type planned struct {
-	at        time.Duration
+// plannedRequest is one request of the load.
+type plannedRequest struct {
+	// sendAt is the time since the load's start.
+	sendAt    time.Duration
 	workspace int
-	// plain says that it is a service's call, not a completion.
-	plain   bool
-	stream  bool
-	request client.Request
-	// resend is how long after the first the same request is sent again; zero
+	// serviceCall says that the request goes to a plain service, not to a model.
+	serviceCall bool
+	stream      bool
+	request     client.Request
+	// resendDelay is the time after which the same request is sent again; zero
 	// means never.
-	resend time.Duration
+	resendDelay time.Duration
 }
 
-// planner draws a load from a seed.
-type planner struct {
+// loadPlanner draws a load from a seed.
+type loadPlanner struct {
 	rng        *rand.Rand
 	workspaces int
-	texts      map[[2]int]string
-	keys       int
+	// documents holds the texts by workspace and number.
+	documents map[[2]int]string
+	keyCount  int
 }
 
-// plan returns the whole load; the same seed gives the same load.
-func plan(seed uint64, workspaces int) []planned {
-	p := &planner{rng: rand.New(rand.NewPCG(seed, 0)), workspaces: workspaces, texts: map[[2]int]string{}}
-	out := []planned{}
+// planLoad returns the load for a number of workspaces; it depends on the seed
+// alone.
+func planLoad(seed uint64, workspaces int) []plannedRequest {
+	p := &loadPlanner{rng: rand.New(rand.NewPCG(seed, 0)), workspaces: workspaces, documents: map[[2]int]string{}}
+	out := []plannedRequest{}
 	for range completions {
-		out = append(out, p.completion(p.arrival()))
+		out = append(out, p.completion(p.drawArrival()))
 	}
-	for range burst {
-		out = append(out, p.completion(time.Duration(burstAt*float64(loadTime))))
+	for range burstCompletions {
+		out = append(out, p.completion(time.Duration(burstFraction*float64(loadDuration))))
 	}
 	for i := range lookups {
 		out = append(out, p.lookup(i))
@@ -75,21 +78,25 @@
 	return out
 }
 
-func (p *planner) arrival() time.Duration {
-	return time.Duration(p.rng.Float64() * float64(loadTime))
+// drawArrival draws a time that is uniform over the load.
+func (p *loadPlanner) drawArrival() time.Duration {
+	return time.Duration(p.rng.Float64() * float64(loadDuration))
 }
 
-// length draws evenly on a logarithmic scale.
-func (p *planner) length(low, high int) int {
+// drawLength draws a log-uniform length between low and high.
+func (p *loadPlanner) drawLength(low, high int) int {
 	return int(math.Round(float64(low) * math.Pow(float64(high)/float64(low), p.rng.Float64())))
 }
 
-func (p *planner) key() string {
-	p.keys++
-	return fmt.Sprintf("demo-%d", p.keys)
+// nextKey returns an idempotency key that is unique in the load.
+func (p *loadPlanner) nextKey() string {
+	p.keyCount++
+	return fmt.Sprintf("demo-%d", p.keyCount)
 }
 
-func (p *planner) completion(at time.Duration) planned {
+// completion draws a completion of either form, half of them streamed and a third
+// with a caller's key.
+func (p *loadPlanner) completion(at time.Duration) plannedRequest {
 	w := p.rng.IntN(p.workspaces)
 	c := client.Completion{Form: client.Text, Model: modelName, Prompt: p.prompt(w), MaxTokens: longestAnswer, Stream: p.rng.IntN(2) == 0}
 	if p.rng.IntN(2) == 0 {
@@ -97,54 +104,58 @@
 	}
 	key := ""
 	if p.rng.IntN(3) == 0 {
-		key = p.key()
+		key = p.nextKey()
 	}
-	return planned{at: at, workspace: w, stream: c.Stream, request: c.Request(key)}
+	return plannedRequest{sendAt: at, workspace: w, stream: c.Stream, request: c.Request(key)}
 }
 
-// prompt is the beginning of one of the workspace's documents, a question, and
-// the answer's length for the stand-in.
-func (p *planner) prompt(workspace int) string {
-	doc := p.document(workspace, p.rng.IntN(documents))
-	size := p.length(shortestPrompt, longestPrompt) * bytesPerToken
-	return fmt.Sprintf("%s question %d #%d", doc[:size], p.rng.IntN(1_000_000), p.length(shortestAnswer, longestAnswer))
+// prompt returns the beginning of one of the workspace's documents, a question,
+// and the answer's length in the form that the stand-in reads.
+func (p *loadPlanner) prompt(workspace int) string {
+	doc := p.document(workspace, p.rng.IntN(documentsPerWorkspace))
+	size := p.drawLength(shortestPrompt, longestPrompt) * bytesPerToken
+	return fmt.Sprintf("%s question %d #%d", doc[:size], p.rng.IntN(1_000_000), p.drawLength(shortestAnswer, longestAnswer))
 }
 
-func (p *planner) document(workspace, number int) string {
+// document returns one of a workspace's texts, drawing it on first use.
+func (p *loadPlanner) document(workspace, number int) string {
 	id := [2]int{workspace, number}
-	if doc, ok := p.texts[id]; ok {
+	if doc, ok := p.documents[id]; ok {
 		return doc
 	}
 	b := strings.Builder{}
 	for b.Len() < longestPrompt*bytesPerToken {
 		fmt.Fprintf(&b, "chassis %05d ", p.rng.IntN(100_000))
 	}
-	p.texts[id] = b.String()
-	return p.texts[id]
+	p.documents[id] = b.String()
+	return p.documents[id]
 }
 
-func (p *planner) lookup(i int) planned {
+// lookup draws an idempotent service call without a key.
+func (p *loadPlanner) lookup(i int) plannedRequest {
 	path := fmt.Sprintf("/services/%s/chassis/%d", serviceName, i)
-	return planned{at: p.arrival(), workspace: p.rng.IntN(p.workspaces), plain: true, request: client.Request{Method: http.MethodGet, Path: path}}
+	return plannedRequest{sendAt: p.drawArrival(), workspace: p.rng.IntN(p.workspaces), serviceCall: true, request: client.Request{Method: http.MethodGet, Path: path}}
 }
 
-// transfer may not be repeated; it carries a key, and some are sent twice.
-func (p *planner) transfer(i int) planned {
+// transfer draws a service call that must not execute twice. It carries a key, and
+// one in transfersPerResend is sent twice.
+func (p *loadPlanner) transfer(i int) plannedRequest {
 	path := fmt.Sprintf("/services/%s/transfers/%d", serviceName, i)
-	r := client.Request{Method: http.MethodPost, Path: path, Body: []byte(`{"owner":"new"}`), Key: p.key()}
-	out := planned{at: p.arrival(), workspace: p.rng.IntN(p.workspaces), plain: true, request: r}
-	if i%resendEvery == 0 {
-		out.resend = 1 + time.Duration(p.rng.Int64N(int64(resendAfter)))
+	r := client.Request{Method: http.MethodPost, Path: path, Body: []byte(`{"owner":"new"}`), Key: p.nextKey()}
+	out := plannedRequest{sendAt: p.drawArrival(), workspace: p.rng.IntN(p.workspaces), serviceCall: true, request: r}
+	if i%transfersPerResend == 0 {
+		out.resendDelay = 1 + time.Duration(p.rng.Int64N(int64(maxResendDelay)))
 	}
 	return out
 }
 
-// warmModel and warmService are the smallest requests.
-func warmModel() planned {
+// warmUpCompletion returns a completion of one token.
+func warmUpCompletion() plannedRequest {
 	c := client.Completion{Form: client.Text, Model: modelName, Prompt: "warm #1", MaxTokens: 1}
-	return planned{request: c.Request("")}
+	return plannedRequest{request: c.Request("")}
 }
 
-func warmService() planned {
-	return planned{plain: true, request: client.Request{Method: http.MethodGet, Path: "/services/" + serviceName + "/chassis/warm"}}
+// warmUpServiceCall returns an idempotent service call.
+func warmUpServiceCall() plannedRequest {
+	return plannedRequest{serviceCall: true, request: client.Request{Method: http.MethodGet, Path: "/services/" + serviceName + "/chassis/warm"}}
 }
--- a/internal/demo/recorder.go
+++ b/internal/demo/recorder.go
@@ -10,49 +10,52 @@
 	"github.com/verbenastep/verbenastep/internal/standin"
 )
 
-// requestID is a request over all its resends.
+// requestID identifies a request including its resends.
 type requestID struct {
 	workspace string
 	key       string
 }
 
-// recorder merges the events of daemons, stand-ins and callers on one clock,
-// in the order in which they happened.
+// recorder collects the events of daemons, stand-ins and callers with the times
+// of one clock, in the order in which they were recorded. It is safe for
+// concurrent use.
 type recorder struct {
-	began time.Time
+	start time.Time
 
-	mu      sync.Mutex
-	events  []promise.Event
-	streams map[requestID]string
-	owners  map[string]requestID
-	prefill prefill
+	mu              sync.Mutex
+	events          []promise.Event
+	streamByRequest map[requestID]string
+	requestByStream map[string]requestID
+	prefill         prefillTracker
 }
 
 func newRecorder() *recorder {
 	return &recorder{
-		began: time.Now(), streams: map[requestID]string{}, owners: map[string]requestID{},
-		prefill: prefill{tokens: map[string]int{}, repeated: map[string]int{}, held: map[string]map[uint64]bool{}},
+		start: time.Now(), streamByRequest: map[requestID]string{}, requestByStream: map[string]requestID{},
+		prefill: prefillTracker{processedTokens: map[string]int{}, repeatedTokens: map[string]int{}, heldBlocks: map[string]map[uint64]bool{}},
 	}
 }
 
-// record stamps an event; a daemon's own stamp is on another clock.
+// record adds an event with the time since the recorder's start. It replaces a
+// daemon's own time, which counts from another start.
 func (r *recorder) record(e promise.Event) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	e.At = time.Since(r.began)
+	e.At = time.Since(r.start)
 	id := requestID{workspace: e.Workspace, key: e.Key}
 	if e.Kind == promise.Dispatch {
-		r.streams[id] = e.Stream
-		r.owners[e.Stream] = id
+		r.streamByRequest[id] = e.Stream
+		r.requestByStream[e.Stream] = id
 	}
 	if e.Kind == promise.Answer && e.Stream == "" {
-		e.Stream = r.streams[id]
+		e.Stream = r.streamByRequest[id]
 	}
 	r.events = append(r.events, e)
 }
 
-// execution records what a stand-in does.
-func (r *recorder) execution(x standin.Execution) {
+// recordExecution records a stand-in's answer as an event, and its prefill for
+// prefillTotals.
+func (r *recorder) recordExecution(x standin.Execution) {
 	if x.Text != "" {
 		r.record(promise.Event{Kind: promise.Execute, Upstream: x.Upstream, Stream: x.Stream, SentHash: hash(x.Text)})
 		return
@@ -62,67 +65,69 @@
 	r.prefill.add(x)
 }
 
-// lose forgets what a dead upstream held.
-func (r *recorder) lose(upstream string) {
+// forgetUpstream drops the prompt blocks that a killed upstream held.
+func (r *recorder) forgetUpstream(upstream string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	delete(r.prefill.held, upstream)
+	delete(r.prefill.heldBlocks, upstream)
 }
 
-// all returns the events so far.
-func (r *recorder) all() []promise.Event {
+// recorded returns a copy of the events recorded so far.
+func (r *recorder) recorded() []promise.Event {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return append([]promise.Event{}, r.events...)
 }
 
-// wasted returns the prompt tokens processed, those whose answer did not reach
-// its caller whole, and of the others those that another live upstream held.
-func (r *recorder) wasted(whole map[requestID]bool) (total, lost, repeated int) {
+// prefillTotals returns the prompt tokens processed, those of requests without a
+// complete answer, and of the others those that another live upstream held.
+func (r *recorder) prefillTotals(completed map[requestID]bool) (total, lost, repeated int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for stream, tokens := range r.prefill.tokens {
+	for stream, tokens := range r.prefill.processedTokens {
 		total += tokens
-		if !whole[r.owners[stream]] {
+		if !completed[r.requestByStream[stream]] {
 			lost += tokens
 			continue
 		}
-		repeated += r.prefill.repeated[stream]
+		repeated += r.prefill.repeatedTokens[stream]
 	}
 	return total, lost, repeated
 }
 
-// prefill follows which prompt blocks each upstream holds.
-type prefill struct {
-	// tokens counts processed prompt tokens by stream.
-	tokens map[string]int
-	// repeated counts those of them that another live upstream held.
-	repeated map[string]int
-	held     map[string]map[uint64]bool
+// prefillTracker tracks which prompt blocks each upstream holds.
+type prefillTracker struct {
+	// processedTokens counts processed prompt tokens by stream.
+	processedTokens map[string]int
+	// repeatedTokens counts those of them that another live upstream held.
+	repeatedTokens map[string]int
+	// heldBlocks holds the prompt blocks of each live upstream.
+	heldBlocks map[string]map[uint64]bool
 }
 
-func (p *prefill) add(x standin.Execution) {
-	p.tokens[x.Stream] += x.Prefill
+// add counts an execution's prefill and adds its blocks to its upstream.
+func (p *prefillTracker) add(x standin.Execution) {
+	p.processedTokens[x.Stream] += x.Prefill
 	if len(x.Blocks) > 0 {
-		best := 0
-		for _, held := range p.held {
-			best = max(best, leading(held, x.Blocks))
+		longest := 0
+		for _, held := range p.heldBlocks {
+			longest = max(longest, heldPrefixLength(held, x.Blocks))
 		}
 		perBlock := (x.Prefill + x.Cached) / len(x.Blocks)
-		p.repeated[x.Stream] += min(x.Prefill, max(0, best*perBlock-x.Cached))
+		p.repeatedTokens[x.Stream] += min(x.Prefill, max(0, longest*perBlock-x.Cached))
 	}
-	mine := p.held[x.Upstream]
-	if mine == nil {
-		mine = map[uint64]bool{}
-		p.held[x.Upstream] = mine
+	own := p.heldBlocks[x.Upstream]
+	if own == nil {
+		own = map[uint64]bool{}
+		p.heldBlocks[x.Upstream] = own
 	}
 	for _, b := range x.Blocks {
-		mine[b] = true
+		own[b] = true
 	}
 }
 
-// leading counts the blocks held from the first on.
-func leading(held map[uint64]bool, blocks []uint64) int {
+// heldPrefixLength returns how many leading blocks are held.
+func heldPrefixLength(held map[uint64]bool, blocks []uint64) int {
 	for i, b := range blocks {
 		if !held[b] {
 			return i
@@ -131,7 +136,7 @@
 	return len(blocks)
 }
 
-// hash identifies an answer's text.
+// hash returns the hex SHA-256 of an answer's text.
 func hash(text string) string {
 	sum := sha256.Sum256([]byte(text))
 	return hex.EncodeToString(sum[:])
--- a/internal/demo/site.go
+++ b/internal/demo/site.go
@@ -9,21 +9,22 @@
 )
 
 const (
-	// daemonCount is how many daemons run; each keeps the durable state.
+	// daemonCount is how many daemons run; each is a replica of the logs.
 	daemonCount = 3
 	// stopTimeout bounds a graceful shutdown; it exceeds the request timeout of
 	// the embedded configuration, after which no request is in flight.
 	stopTimeout = 18 * time.Second
 )
 
-// places are where the daemons are.
+// places are the regions and data centres of the daemons.
 var places = []localsite.Place{
 	{Region: "gauteng", DataCentre: "jhb-north"},
 	{Region: "gauteng", DataCentre: "pta-east"},
 	{Region: "western-cape", DataCentre: "cpt-south"},
 }
 
-// newSite prepares three daemons whose events go to the recorder.
+// newSite prepares the daemons, whose events go to the recorder; they are not
+// started yet.
 func newSite(folder string, log *zap.Logger, rec *recorder) (*localsite.Site, error) {
 	return localsite.New(localsite.Options{
 		Folder: folder, Places: places, Replicas: daemonCount,
