--- a/internal/capacity/failures.go
+++ b/internal/capacity/failures.go
@@ -59,12 +59,12 @@
 		f := Failure{Event: kind.event, PerYear: kind.perYear, Daemons: kind.daemons}
 		f.DispatchersMoved = kind.daemons * pools / daemons
 		if !kind.drained {
-			f.StreamsCut = kind.daemons * requestsPerEntry * streamSeconds
+			f.StreamsCut = kind.daemons * requestsPerSecPerEntry * streamSeconds
 		}
-		f.RequestsReoffered = f.DispatchersMoved * requestsPerPool * streamSeconds
+		f.RequestsReoffered = f.DispatchersMoved * requestsPerSecPerPool * streamSeconds
 		f.ReofferBytes = f.RequestsReoffered * offerBytes
-		f.RequestsDelayed = f.DispatchersMoved * requestsPerPool * takeoverSeconds
-		f.PeakReofferBytes = requestsPerPool * streamSeconds * offerBytes
+		f.RequestsDelayed = f.DispatchersMoved * requestsPerSecPerPool * takeoverSeconds
+		f.PeakReofferBytes = requestsPerSecPerPool * streamSeconds * offerBytes
 		out = append(out, f)
 	}
 	return out, lookup.err
--- a/internal/capacity/tables.go
+++ b/internal/capacity/tables.go
@@ -125,7 +125,7 @@
 // entryIndex returns the index of the entry role, or 0 if it is missing.
 func entryIndex(requirements []Requirement) int {
 	for i, r := range requirements {
-		if r.Role == roleEntry {
+		if r.Role == entryRole {
 			return i
 		}
 	}
--- a/internal/capacity/target.go
+++ b/internal/capacity/target.go
@@ -35,15 +35,15 @@
 	budgetRequestCores = float64(tokensPerSec) / daemons / 50_000
 )
 
-// Counts that follow from the target.
+// Counts derived from the target sizes.
 const (
-	pools            = models * regions
-	daemonsPerRegion = float64(daemons) / regions
-	runnersPerPool   = float64(runners) / pools
-	requestsPerPool  = float64(requestsPerSec) / pools
-	requestsPerEntry = float64(requestsPerSec) / daemons
-	tokensPerEntry   = float64(tokensPerSec) / daemons
-	changesPerSec    = float64(changesPerDay) / secondsPerDay
+	pools                  = models * regions
+	daemonsPerRegion       = float64(daemons) / regions
+	runnersPerPool         = float64(runners) / pools
+	requestsPerSecPerPool  = float64(requestsPerSec) / pools
+	requestsPerSecPerEntry = float64(requestsPerSec) / daemons
+	tokensPerSecPerEntry   = float64(tokensPerSec) / daemons
+	changesPerSec          = float64(changesPerDay) / secondsPerDay
 )
 
 // Class groups the costs of roles.
@@ -116,8 +116,8 @@
 	return s.At(size)
 }
 
-// roleEntry names the role that serves callers' requests and streams.
-const roleEntry = "entry"
+// entryRole names the role that serves callers' requests and streams.
+const entryRole = "entry"
 
 // Requirements calculates what each role needs at the target size. It returns a
 // *SlopeError if a series is missing.
@@ -139,12 +139,12 @@
 
 func entryRequirement(lookup *slopeLookup) Requirement {
 	authenticateTime := lookup.cost("entry.authenticate", workspaces)
-	tokenTime := lookup.cost("entry.token", requestsPerEntry*streamSeconds)
+	tokenTime := lookup.cost("entry.token", requestsPerSecPerEntry*streamSeconds)
 	return Requirement{
-		Role: roleEntry, Class: Path, Mechanism: "internal/entry, internal/answer",
-		StateBytes:     lookup.cost("entry.answer.memory", requestsPerEntry*streamSeconds),
-		CoreShare:      (requestsPerEntry*authenticateTime + tokensPerEntry*tokenTime) / nsPerSec,
-		MessagesPerSec: requestsPerEntry + tokensPerEntry,
+		Role: entryRole, Class: Path, Mechanism: "internal/entry, internal/answer",
+		StateBytes:     lookup.cost("entry.answer.memory", requestsPerSecPerEntry*streamSeconds),
+		CoreShare:      (requestsPerSecPerEntry*authenticateTime + tokensPerSecPerEntry*tokenTime) / nsPerSec,
+		MessagesPerSec: requestsPerSecPerEntry + tokensPerSecPerEntry,
 		Derivation:     "requests x authentication at 1,700 workspaces, plus tokens x cost of one streamed token",
 	}
 }
@@ -173,9 +173,9 @@
 	bytesPerRequest := lookup.cost("wire.offer", 1) + lookup.cost("wire.grant", 1) + lookup.cost("wire.release", 1)
 	return Requirement{
 		Role: "dispatcher", Class: Path, Mechanism: "core/sched by a lease: one a pool and region",
-		StateBytes:      lookup.cost("dispatcher.upstream.memory", runnersPerPool) + lookup.cost("dispatcher.queue.memory", requestsPerPool),
-		WireBytesPerSec: requestsPerPool*bytesPerRequest + daemonsPerRegion*maxBatchesPerSec*2*frameOverheadBytes,
-		CoreShare:       requestsPerPool * timePerGrant / nsPerSec,
+		StateBytes:      lookup.cost("dispatcher.upstream.memory", runnersPerPool) + lookup.cost("dispatcher.queue.memory", requestsPerSecPerPool),
+		WireBytesPerSec: requestsPerSecPerPool*bytesPerRequest + daemonsPerRegion*maxBatchesPerSec*2*frameOverheadBytes,
+		CoreShare:       requestsPerSecPerPool * timePerGrant / nsPerSec,
 		MessagesPerSec:  daemonsPerRegion * maxBatchesPerSec * 2,
 		Derivation:      "2,171 requests/s and 286 upstreams a pool; one second of requests queued",
 	}
@@ -237,14 +237,14 @@
 )
 
 func claimRequirement(lookup *slopeLookup) Requirement {
-	claimsPerGroup := float64(requestsPerSec) / regions * keyedShare
+	claimsPerSecPerGroup := float64(requestsPerSec) / regions * keyedShare
 	claimBytes := lookup.cost("claim.bytes", 1)
 	return Requirement{
 		Role: "claims replica", Class: Path, Mechanism: "core/state in a log group a region",
-		StateBytes:      lookup.cost("claim.memory", claimsPerGroup*claimRetentionSeconds),
-		WireBytesPerSec: claimsPerGroup * claimBytes * 2,
-		CoreShare:       claimsPerGroup * 2 * lookup.cost("claim.apply", claimsPerGroup*claimRetentionSeconds) / nsPerSec,
-		MessagesPerSec:  claimsPerGroup,
+		StateBytes:      lookup.cost("claim.memory", claimsPerSecPerGroup*claimRetentionSeconds),
+		WireBytesPerSec: claimsPerSecPerGroup * claimBytes * 2,
+		CoreShare:       claimsPerSecPerGroup * 2 * lookup.cost("claim.apply", claimsPerSecPerGroup*claimRetentionSeconds) / nsPerSec,
+		MessagesPerSec:  claimsPerSecPerGroup,
 		Derivation:      "one request in ten carries a key; two commands each; claims kept for 30 minutes",
 	}
 }
@@ -257,7 +257,7 @@
 )
 
 func directoryRequirement(lookup *slopeLookup) Requirement {
-	lookupsPerSec := requestsPerEntry / requestsPerDirectoryAnswer
+	lookupsPerSec := requestsPerSecPerEntry / requestsPerDirectoryAnswer
 	return Requirement{
 		Role: "directory", Class: Path, Mechanism: "internal/entry: any daemon answers, kept for 5 s by callers",
 		WireBytesPerSec: lookupsPerSec * lookup.cost("directory.bytes", addressesPerDirectoryAnswer),
