--- a/internal/dispatch/codec.go
+++ b/internal/dispatch/codec.go
@@ -12,18 +12,18 @@
 )
 
 const (
-	// queueLimit is the most requests that wait at one dispatcher.
-	queueLimit = 50_000
-	// linkRoundTrip is between two regions.
+	// maxQueueLength is the maximum number of requests queued at one dispatcher.
+	maxQueueLength = 50_000
+	// linkRoundTrip is the assumed round-trip time between two regions.
 	linkRoundTrip = 40 * time.Millisecond
-	// linkBytesPerSecond is what the link between two regions carries.
+	// linkBytesPerSecond is the assumed bandwidth between two regions: 30 Mbit/s.
 	linkBytesPerSecond = 30e6 / 8
 )
 
-// params derives a dispatcher's parameters from the configuration.
-func params(c *config.Config, pool, region string) sched.Params {
+// schedParams derives a dispatcher's parameters from the configuration.
+func schedParams(c *config.Config, pool, region string) sched.Params {
 	out := sched.Params{
-		Region: region, QueueLimit: queueLimit, Spill: len(c.Regions) > 1,
+		Region: region, QueueLimit: maxQueueLength, Spill: len(c.Regions) > 1,
 		Link: sched.Link{RoundTrip: linkRoundTrip, BytesPerSecond: linkBytesPerSecond},
 	}
 	if m, ok := c.Model(pool); ok {
@@ -36,9 +36,10 @@
 	return out
 }
 
-// standing returns a workspace's tier, weight and limits as this region
-// enforces them; one that is not declared any more ranks below all tiers.
-func standing(c *config.Config, workspace, region string) (tier, weight int, l limits.Limits) {
+// workspaceTerms returns the tier, weight and limits that this region applies
+// to a workspace. A workspace that is no longer declared gets weight 1, no
+// limits and a tier below all declared ones.
+func workspaceTerms(c *config.Config, workspace, region string) (tier, weight int, l limits.Limits) {
 	w, ok := c.Workspace(workspace)
 	if !ok {
 		return len(c.Tiers), 1, limits.Limits{}
@@ -58,7 +59,7 @@
 		Deadline: now + time.Duration(o.WaitMs)*time.Millisecond, Fingerprint: o.Fingerprint, RunningOn: o.Running,
 		SpilledFrom: o.Spilled, Admitted: o.Admitted, Final: o.Final,
 	}
-	out.Tier, out.Weight, out.Limits = standing(p.view.Snapshot().Config, o.Workspace, p.region)
+	out.Tier, out.Weight, out.Limits = workspaceTerms(p.view.Snapshot().Config, o.Workspace, p.region)
 	return out
 }
 
@@ -84,18 +85,18 @@
 }
 
 func encodeGrant(g sched.Grant) *rpc.Grant {
-	why, err := json.Marshal(g.Explanation)
+	explanation, err := json.Marshal(g.Explanation)
 	if err != nil {
-		why = nil
+		explanation = nil
 	}
-	return &rpc.Grant{Id: g.ID.Number, Upstream: g.Upstream, Address: g.Address, Incarnation: g.Incarnation, Why: why}
+	return &rpc.Grant{Id: g.ID.Number, Upstream: g.Upstream, Address: g.Address, Incarnation: g.Incarnation, Why: explanation}
 }
 
 func encodeRefusal(r sched.Refusal) *rpc.Refusal {
 	return &rpc.Refusal{Id: r.ID.Number, Code: string(r.Code), RetryAfterMs: uint32(r.RetryAfter.Milliseconds()), Why: r.Reason}
 }
 
-// offerName is how events name an offer.
+// offerName returns the name of an offer in recorded events: "entry/number".
 func offerName(id sched.ID) string {
 	return id.Entry + "/" + strconv.FormatUint(id.Number, 10)
 }
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -1,8 +1,8 @@
-// Package dispatch runs the dispatchers of the pools whose lease this daemon
-// holds, and serves them to the entries over drpc.
+// Package dispatch runs a dispatcher for each pool whose lease this daemon
+// holds, and serves scheduling sessions to the entries over drpc.
 //
-// Invariant: a dispatcher grants only while this daemon's own clock says that
-// the lease, renewed by a call sent before, still holds.
+// Invariant: a dispatcher grants only while its lease is valid by this daemon's
+// monotonic clock, counted from before the renewal was sent.
 package dispatch
 
 import (
@@ -31,11 +31,11 @@
 	events  port.Events
 	metrics *metrics
 	self    port.Holder
-	// crashes are counts on their way to the replicated log.
-	crashes chan state.Suspect
-	ctx     context.Context
-	cancel  context.CancelFunc
-	done    sync.WaitGroup
+	// crashCounts queues crash counts for the replicated log.
+	crashCounts chan state.Suspect
+	ctx         context.Context
+	cancel      context.CancelFunc
+	done        sync.WaitGroup
 
 	mu    sync.Mutex
 	pools map[string]*pool
@@ -43,18 +43,18 @@
 
 // New returns the service.
 func New(set *settings.Settings, log *zap.Logger, self port.Holder) *Service {
-	return &Service{set: set, log: log.Named("dispatch"), self: self, pools: map[string]*pool{}, crashes: make(chan state.Suspect, crashesWaiting)}
+	return &Service{set: set, log: log.Named("dispatch"), self: self, pools: map[string]*pool{}, crashCounts: make(chan state.Suspect, maxPendingCrashCounts)}
 }
 
 // Name returns the service's name.
 func (s *Service) Name() string { return port.NameDispatcher }
 
-// Needs returns what leases and messages come through.
+// Needs lists the services that leases, sessions, events and metrics require.
 func (s *Service) Needs() []string {
 	return []string{port.NameLink, port.NameView, port.NameLog, port.NameMembers, port.NameEvents, port.NameMetrics}
 }
 
-// Start registers with the link and begins to seek leases.
+// Start registers the drpc service and starts to acquire leases.
 func (s *Service) Start(_ context.Context, k *kernel.Kernel) error {
 	link, err := kernel.Find[port.Link](k, port.NameLink)
 	if err != nil {
@@ -80,28 +80,29 @@
 		return err
 	}
 	s.ctx, s.cancel = context.WithCancel(context.Background())
-	s.done.Go(func() { s.seek(s.ctx) })
-	s.done.Go(s.shareCrashes)
+	s.done.Go(func() { s.maintainPools(s.ctx) })
+	s.done.Go(s.proposeCrashCounts)
 	return rpc.DRPCRegisterDispatch(link.Mux(), s)
 }
 
-// seek keeps one keeper running for each declared pool.
-func (s *Service) seek(ctx context.Context) {
-	keepers := map[string]context.CancelFunc{}
+// maintainPools runs maintainLease for each declared pool and stops it when the
+// pool is no longer declared.
+func (s *Service) maintainPools(ctx context.Context) {
+	cancels := map[string]context.CancelFunc{}
 	for ctx.Err() == nil {
 		changed := s.view.Changed()
 		wanted := poolNames(s.view.Snapshot().Config)
 		for name := range wanted {
-			if keepers[name] == nil {
+			if cancels[name] == nil {
 				sub, cancel := context.WithCancel(ctx)
-				keepers[name] = cancel
-				s.done.Go(func() { s.keep(sub, name) })
+				cancels[name] = cancel
+				s.done.Go(func() { s.maintainLease(sub, name) })
 			}
 		}
-		for name, cancel := range keepers {
+		for name, cancel := range cancels {
 			if !wanted[name] {
 				cancel()
-				delete(keepers, name)
+				delete(cancels, name)
 			}
 		}
 		select {
@@ -122,7 +123,8 @@
 	return out
 }
 
-// Session serves one entry.
+// Session serves one entry until its stream ends. It returns a *fault.Error of
+// kind unavailable if this daemon does not hold the lease at the entry's epoch.
 func (s *Service) Session(stream rpc.DRPCDispatch_SessionStream) error {
 	first, err := stream.Recv()
 	if err != nil {
@@ -131,23 +133,23 @@
 	s.mu.Lock()
 	p := s.pools[first.Pool]
 	s.mu.Unlock()
-	if p == nil || p.epoch != first.Epoch || !p.holds() {
+	if p == nil || p.epoch != first.Epoch || !p.holdsLease() {
 		return fault.New(fault.Unavailable, "look up the lease again", "this daemon does not dispatch pool %q at epoch %d", first.Pool, first.Epoch)
 	}
 	return p.serve(stream, first)
 }
 
-// Stop gives up all leases.
+// Stop releases all leases and waits until the dispatchers have ended.
 func (s *Service) Stop(context.Context) error {
 	s.cancel()
 	s.done.Wait()
 	return nil
 }
 
-// Health returns nil.
+// Health always returns nil.
 func (s *Service) Health() error { return nil }
 
-// Dump shows the dispatchers that run here.
+// Dump returns the state of the dispatchers on this daemon, by pool.
 func (s *Service) Dump() any {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/dispatch/keeper.go
+++ b/internal/dispatch/keeper.go
@@ -15,59 +15,60 @@
 )
 
 const (
-	// renewEvery is the pause between renewals.
-	renewEvery = 400 * time.Millisecond
-	// renewTimeout bounds one renewal.
+	// renewInterval is the time between two renewals of a lease.
+	renewInterval = 400 * time.Millisecond
+	// renewTimeout bounds one proposal to the replicated log.
 	renewTimeout = time.Second
-	// rankPause is how much longer each daemon waits than the one before it in
-	// the pool's order, before it takes a free lease.
-	rankPause = 150 * time.Millisecond
-	// maxRank bounds that wait.
+	// rankDelay is the delay per rank before a daemon acquires a free lease, so
+	// that the daemon that ranks first for the pool usually gets it.
+	rankDelay = 150 * time.Millisecond
+	// maxRank bounds that delay to maxRank times rankDelay.
 	maxRank = 6
-	// crashesWaiting is how many crash counts wait for the log.
-	crashesWaiting = 1024
-	// sharePause is the wait before a crash count is proposed again.
-	sharePause = 200 * time.Millisecond
+	// maxPendingCrashCounts is the maximum number of crash counts queued for the log.
+	maxPendingCrashCounts = 1024
+	// proposeRetryDelay is the delay before a crash count is proposed again.
+	proposeRetryDelay = 200 * time.Millisecond
 )
 
-// keep acquires and renews one pool's lease and runs its dispatcher meanwhile.
-func (s *Service) keep(ctx context.Context, name string) {
+// maintainLease acquires and renews the lease of one pool and runs the pool's
+// dispatcher while this daemon holds it. It releases the lease when ctx ends.
+func (s *Service) maintainLease(ctx context.Context, name string) {
 	lease := port.DispatchLease(name, s.set.Region)
 	for ctx.Err() == nil {
-		held := s.view.Lease(lease)
-		pause := renewEvery
-		switch held.Holder {
+		current := s.view.Lease(lease)
+		delay := renewInterval
+		switch current.Holder {
 		case s.self.String():
 			s.renew(ctx, name, lease)
 		case "":
-			s.await(ctx, time.Duration(s.rank(name))*rankPause)
+			s.sleep(ctx, time.Duration(s.rank(name))*rankDelay)
 			if s.view.Lease(lease).Holder == "" {
 				s.renew(ctx, name, lease)
 			}
 		default:
-			s.drop(name)
-			pause = rankPause
+			s.stopPool(name)
+			delay = rankDelay
 		}
-		s.await(ctx, pause)
+		s.sleep(ctx, delay)
 	}
-	s.giveUp(name, lease)
+	s.releaseLease(name, lease)
 }
 
-func (s *Service) await(ctx context.Context, d time.Duration) {
+func (s *Service) sleep(ctx context.Context, d time.Duration) {
 	select {
 	case <-ctx.Done():
 	case <-time.After(d):
 	}
 }
 
-// rank returns this daemon's place in the pool's order among the live daemons
-// of the region.
+// rank returns this daemon's rank for a pool among the live daemons of the
+// region, at most maxRank.
 func (s *Service) rank(pool string) int {
 	return min(maxRank, rankOf(pool, s.set.Name, s.set.Region, s.members.Live()))
 }
 
-// rankOf orders daemons by rendezvous hashing, so that pools spread evenly and
-// few move when a daemon comes or goes.
+// rankOf ranks daemons for a pool by rendezvous hashing, so that pools spread
+// evenly and few change their daemon when one joins or leaves.
 func rankOf(pool, self, region string, live []port.Member) int {
 	names := []string{}
 	for _, m := range live {
@@ -81,8 +82,9 @@
 	return max(0, slices.Index(names, self))
 }
 
-// renew acquires or renews the lease. Its end counts from before the call, on
-// the monotonic clock.
+// renew acquires or renews the lease and starts the pool's dispatcher if none
+// runs at the lease's epoch. The lease ends port.LeaseTTL after the proposal was
+// sent, by the monotonic clock.
 func (s *Service) renew(ctx context.Context, name, lease string) {
 	sent := time.Now()
 	ctx, cancel := context.WithTimeout(ctx, renewTimeout)
@@ -92,7 +94,7 @@
 		return
 	}
 	if result.Status != state.OK {
-		s.drop(name)
+		s.stopPool(name)
 		return
 	}
 	s.mu.Lock()
@@ -103,21 +105,21 @@
 		p = nil
 	}
 	if p != nil {
-		p.extend(sent.Add(port.LeaseTTL))
+		p.extendLease(sent.Add(port.LeaseTTL))
 		return
 	}
-	p = newPool(name, result.Lease.Epoch, s.place())
-	p.extend(sent.Add(port.LeaseTTL))
+	p = newPool(name, result.Lease.Epoch, s.poolDeps())
+	p.extendLease(sent.Add(port.LeaseTTL))
 	s.pools[name] = p
 	s.done.Go(p.run)
 	s.log.Info("dispatcher started", zap.String("pool", name), zap.Uint64("epoch", p.epoch))
 }
 
-func (s *Service) place() place {
-	return place{region: s.set.Region, view: s.view, members: s.members, events: s.events, metrics: s.metrics, log: s.log, share: s.share}
+func (s *Service) poolDeps() poolDeps {
+	return poolDeps{region: s.set.Region, view: s.view, members: s.members, events: s.events, metrics: s.metrics, log: s.log, shareCrashCounts: s.queueCrashCounts}
 }
 
-func (s *Service) drop(name string) {
+func (s *Service) stopPool(name string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if p := s.pools[name]; p != nil {
@@ -127,56 +129,60 @@
 	}
 }
 
-// giveUp ends the lease so that a successor need not wait for it to run out.
-func (s *Service) giveUp(name, lease string) {
+// releaseLease stops the dispatcher and expires the lease in the log, so that a
+// successor need not wait until it times out.
+func (s *Service) releaseLease(name, lease string) {
 	s.mu.Lock()
 	p := s.pools[name]
 	s.mu.Unlock()
 	if p == nil {
 		return
 	}
-	s.drop(name)
+	s.stopPool(name)
 	ctx, cancel := context.WithTimeout(context.Background(), renewTimeout)
 	defer cancel()
 	_, err := s.logs.Propose(ctx, port.GroupMain, state.Command{Expire: &state.Expire{Name: lease, Epoch: p.epoch}})
 	if err != nil {
-		s.log.Warn("lease could not be given up", zap.String("lease", lease), zap.Error(err))
+		s.log.Warn("lease was not released; a successor waits until it expires", zap.String("lease", lease), zap.Error(err))
 	}
 }
 
-// share queues crash counts for the replicated log; where too many wait, the
-// newest are dropped, and this dispatcher alone knows them.
-func (s *Service) share(pool string, changes []quarantine.Change) {
+// queueCrashCounts queues crash counts for the replicated log. If the queue is
+// full, the count is dropped and remains known to this dispatcher only.
+func (s *Service) queueCrashCounts(pool string, changes []quarantine.Change) {
 	for _, c := range changes {
-		x := state.Suspect{Pool: pool, Fingerprint: c.Fingerprint, Crashes: c.Crashes, AtMS: time.Now().UnixMilli()}
+		suspect := state.Suspect{Pool: pool, Fingerprint: c.Fingerprint, Crashes: c.Crashes, AtMS: time.Now().UnixMilli()}
 		select {
-		case s.crashes <- x:
+		case s.crashCounts <- suspect:
 		default:
-			s.log.Warn("crash count not shared", zap.String("pool", pool))
+			s.log.Warn("crash count not shared; the queue for the log is full", zap.String("pool", pool))
 		}
 	}
 }
 
-// shareCrashes proposes crash counts until each is committed.
-func (s *Service) shareCrashes() {
+// proposeCrashCounts proposes queued crash counts one after the other until the
+// service stops.
+func (s *Service) proposeCrashCounts() {
 	for {
 		select {
-		case x := <-s.crashes:
-			s.propose(x)
+		case suspect := <-s.crashCounts:
+			s.proposeCrashCount(suspect)
 		case <-s.ctx.Done():
 			return
 		}
 	}
 }
 
-func (s *Service) propose(x state.Suspect) {
+// proposeCrashCount proposes a crash count until it is committed or the service
+// stops.
+func (s *Service) proposeCrashCount(suspect state.Suspect) {
 	for s.ctx.Err() == nil {
 		ctx, cancel := context.WithTimeout(s.ctx, renewTimeout)
-		_, err := s.logs.Propose(ctx, port.GroupMain, state.Command{Suspect: &x})
+		_, err := s.logs.Propose(ctx, port.GroupMain, state.Command{Suspect: &suspect})
 		cancel()
 		if err == nil {
 			return
 		}
-		s.await(s.ctx, sharePause)
+		s.sleep(s.ctx, proposeRetryDelay)
 	}
 }
--- a/internal/dispatch/metrics.go
+++ b/internal/dispatch/metrics.go
@@ -8,7 +8,7 @@
 	"github.com/verbenastep/verbenastep/core/sched"
 )
 
-// metrics are the dispatchers' figures, by pool.
+// metrics are the dispatchers' metrics, labelled by pool.
 type metrics struct {
 	queue    *prometheus.GaugeVec
 	grants   *prometheus.CounterVec
@@ -43,23 +43,23 @@
 	return m, nil
 }
 
-func (m *metrics) granted(pool string, g sched.Grant) {
+func (m *metrics) recordGrant(pool string, g sched.Grant) {
 	tier := strconv.Itoa(g.Tier)
 	m.grants.WithLabelValues(pool, tier).Inc()
 	m.wait.WithLabelValues(pool, tier).Observe(g.Waited.Seconds())
 }
 
-func (m *metrics) refused(pool string, r sched.Refusal) {
+func (m *metrics) recordRefusal(pool string, r sched.Refusal) {
 	m.refusals.WithLabelValues(pool, strconv.Itoa(r.Tier), string(r.Code)).Inc()
 }
 
-func (m *metrics) queued(pool string, byTier []int) {
+func (m *metrics) setQueueLengths(pool string, byTier []int) {
 	for tier, n := range byTier {
 		m.queue.WithLabelValues(pool, strconv.Itoa(tier)).Set(float64(n))
 	}
 }
 
-func (m *metrics) ended(pool string, e sched.Ended) {
+func (m *metrics) recordWastedTokens(pool string, e sched.Ended) {
 	if e.WastedTokens > 0 {
 		m.wasted.WithLabelValues(pool, e.Workspace, "lost").Add(float64(e.WastedTokens))
 	}
--- a/internal/dispatch/pool.go
+++ b/internal/dispatch/pool.go
@@ -15,85 +15,88 @@
 )
 
 const (
-	// idleWake is the longest pause between two decisions.
-	idleWake = 100 * time.Millisecond
-	// settleTime is the longest that a new dispatcher waits for the live
-	// daemons to offer again what runs, before it grants.
-	settleTime = 1200 * time.Millisecond
-	// settleStep is how often it looks whether all have.
-	settleStep = 20 * time.Millisecond
+	// maxDecideInterval is the maximum time between two scheduling decisions.
+	maxDecideInterval = 100 * time.Millisecond
+	// resyncTimeout bounds how long a new dispatcher waits, before it grants, for
+	// the live daemons to report the requests that they run.
+	resyncTimeout = 1200 * time.Millisecond
+	// resyncPollInterval is the interval at which it checks whether all have.
+	resyncPollInterval = 20 * time.Millisecond
 )
 
-// place is what a pool needs of its daemon.
-type place struct {
+// poolDeps are the parts of the daemon that a pool uses.
+type poolDeps struct {
 	region  string
 	view    port.View
 	members port.Members
 	events  port.Events
 	metrics *metrics
 	log     *zap.Logger
-	// share passes crash counts on to the replicated log; it must not block.
-	share func(pool string, changes []quarantine.Change)
+	// shareCrashCounts queues crash counts for the replicated log without blocking.
+	shareCrashCounts func(pool string, changes []quarantine.Change)
 }
 
-// pool runs one dispatcher.
+// pool runs the dispatcher of one pool under one epoch of its lease.
 type pool struct {
-	place
-	name  string
-	epoch uint64
-	began time.Time
-	wake  chan struct{}
-	ctx   context.Context
-	close context.CancelFunc
-
-	mu       sync.Mutex
-	core     *sched.Dispatcher
-	until    time.Time
-	settled  bool
-	sessions map[string]*session
-	version  uint64
-}
-
-func newPool(name string, epoch uint64, at place) *pool {
+	poolDeps
+	name      string
+	epoch     uint64
+	startedAt time.Time
+	wake      chan struct{}
+	ctx       context.Context
+	close     context.CancelFunc
+
+	mu sync.Mutex
+	// dispatcher decides; its times are relative to startedAt.
+	dispatcher *sched.Dispatcher
+	leaseEnd   time.Time
+	// resynced says that the dispatcher may grant; see awaitResync.
+	resynced bool
+	// sessions holds the current session of each entry, by the entry's holder.
+	sessions      map[string]*session
+	configVersion uint64
+}
+
+func newPool(name string, epoch uint64, deps poolDeps) *pool {
 	ctx, cancel := context.WithCancel(context.Background())
 	p := &pool{
-		place: at, name: name, epoch: epoch, began: time.Now(), wake: make(chan struct{}, 1),
-		ctx: ctx, close: cancel, core: sched.New(sched.Params{}), sessions: map[string]*session{},
+		poolDeps: deps, name: name, epoch: epoch, startedAt: time.Now(), wake: make(chan struct{}, 1),
+		ctx: ctx, close: cancel, dispatcher: sched.New(sched.Params{}), sessions: map[string]*session{},
 	}
 	p.configure()
 	return p
 }
 
 func (p *pool) now() time.Duration {
-	return time.Since(p.began)
+	return time.Since(p.startedAt)
 }
 
-// extend moves the end of the lease, on this daemon's monotonic clock.
-func (p *pool) extend(until time.Time) {
+// extendLease sets the end of the lease, on this daemon's monotonic clock.
+func (p *pool) extendLease(end time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.until = until
+	p.leaseEnd = end
 }
 
-// holds says whether the lease has not run out.
-func (p *pool) holds() bool {
+// holdsLease tells whether the lease is still valid.
+func (p *pool) holdsLease() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return time.Now().Before(p.until)
+	return time.Now().Before(p.leaseEnd)
 }
 
-// run decides whenever something came in, and now and then by itself, until
-// the lease runs out.
+// run makes scheduling decisions until the lease ends: whenever a batch or a
+// configuration arrives, and at least every maxDecideInterval.
 func (p *pool) run() {
 	defer p.close()
-	p.settle()
-	timer := time.NewTimer(idleWake)
+	p.awaitResync()
+	timer := time.NewTimer(maxDecideInterval)
 	defer timer.Stop()
-	for p.ctx.Err() == nil && p.holds() {
+	for p.ctx.Err() == nil && p.holdsLease() {
 		changed := p.view.Changed()
 		p.configure()
 		p.decide()
-		timer.Reset(idleWake)
+		timer.Reset(maxDecideInterval)
 		select {
 		case <-p.wake:
 		case <-changed:
@@ -103,97 +106,102 @@
 	}
 }
 
-// settle waits until every live daemon has offered again what it runs, or for
-// the longest time.
-func (p *pool) settle() {
-	end := time.Now().Add(settleTime)
-	for time.Now().Before(end) && p.ctx.Err() == nil && !p.heardAll() {
+// awaitResync waits until every live daemon has a session, and has thereby
+// reported what it runs, or until resyncTimeout. Without it, a new dispatcher
+// would grant slots that requests of its predecessor still occupy.
+func (p *pool) awaitResync() {
+	end := time.Now().Add(resyncTimeout)
+	for time.Now().Before(end) && p.ctx.Err() == nil && !p.allDaemonsConnected() {
 		select {
-		case <-time.After(settleStep):
+		case <-time.After(resyncPollInterval):
 		case <-p.ctx.Done():
 		}
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.settled = true
+	p.resynced = true
 }
 
-// settleLeast is the shortest time to settle: daemons learn of each other and
-// of upstreams meanwhile.
-const settleLeast = 300 * time.Millisecond
+// minResyncTime is the minimum wait before a new dispatcher grants; daemons
+// discover each other and upstreams during it.
+const minResyncTime = 300 * time.Millisecond
 
-func (p *pool) heardAll() bool {
-	if p.now() < settleLeast {
+// allDaemonsConnected tells whether minResyncTime has passed and every live
+// daemon has a session.
+func (p *pool) allDaemonsConnected() bool {
+	if p.now() < minResyncTime {
 		return false
 	}
 	live := p.members.Live()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	heard := map[string]bool{}
+	connected := map[string]bool{}
 	for entry := range p.sessions {
 		if h, ok := port.ParseHolder(entry); ok {
-			heard[h.Name] = true
+			connected[h.Name] = true
 		}
 	}
 	for _, m := range live {
-		if !heard[m.Name] {
+		if !connected[m.Name] {
 			return false
 		}
 	}
 	return true
 }
 
-// configure takes over the configuration in force and the shared suspects.
+// configure applies the configuration in force and the shared crash counts.
 func (p *pool) configure() {
-	snap := p.view.Snapshot()
+	snapshot := p.view.Snapshot()
 	suspects := p.view.Suspects(p.name)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if snap.Version != p.version || p.version == 0 {
-		p.version = snap.Version
-		p.core.Configure(params(snap.Config, p.name, p.region))
+	if snapshot.Version != p.configVersion || p.configVersion == 0 {
+		p.configVersion = snapshot.Version
+		p.dispatcher.Configure(schedParams(snapshot.Config, p.name, p.region))
 	}
-	p.core.SyncSuspects(p.now(), suspects)
+	p.dispatcher.SyncSuspects(p.now(), suspects)
 }
 
-// decide sends out what the core decides, while the lease holds.
+// decide makes one round of decisions and sends them to the entries. It does
+// nothing before the resync has ended or after the lease has.
 func (p *pool) decide() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if !p.settled || !time.Now().Before(p.until) {
+	if !p.resynced || !time.Now().Before(p.leaseEnd) {
 		return
 	}
 	now := p.now()
-	decided := p.core.Decide(now)
-	batches := batchSet{pool: p, live: uint32(p.core.LiveUpstreams(now)), byEntry: map[string]*rpc.GrantBatch{}}
-	p.ended(decided.Ended)
-	for _, g := range decided.Grants {
-		b := batches.of(g.ID.Entry)
+	decisions := p.dispatcher.Decide(now)
+	batches := batchSet{pool: p, live: uint32(p.dispatcher.LiveUpstreams(now)), byEntry: map[string]*rpc.GrantBatch{}}
+	p.recordEnded(decisions.Ended)
+	for _, g := range decisions.Grants {
+		b := batches.batchFor(g.ID.Entry)
 		b.Grants = append(b.Grants, encodeGrant(g))
-		p.metrics.granted(p.name, g)
-		p.event(promise.Grant, g.ID, g.Tier, g.Workspace, g.Upstream, "")
+		p.metrics.recordGrant(p.name, g)
+		p.recordEvent(promise.Grant, g.ID, g.Tier, g.Workspace, g.Upstream, "")
 	}
-	for _, r := range decided.Refusals {
-		batches.refuse(r)
+	for _, r := range decisions.Refusals {
+		batches.addRefusal(r)
 	}
-	for _, name := range decided.LostUpstreams {
+	for _, name := range decisions.LostUpstreams {
 		p.events.Record(promise.Event{Kind: promise.Leave, Pool: p.name, Region: p.region, Upstream: name, Epoch: p.epoch})
 	}
-	if len(decided.Suspects) > 0 {
-		p.share(p.name, decided.Suspects)
+	if len(decisions.Suspects) > 0 {
+		p.shareCrashCounts(p.name, decisions.Suspects)
 	}
-	p.metrics.queued(p.name, p.core.QueuedByTier())
-	batches.send()
+	p.metrics.setQueueLengths(p.name, p.dispatcher.QueuedByTier())
+	batches.sendAll()
 }
 
-// batchSet collects one batch for each entry.
+// batchSet collects the decisions of one round in a batch per entry.
 type batchSet struct {
-	pool    *pool
+	pool *pool
+	// live is the number of live upstreams that each batch reports.
 	live    uint32
 	byEntry map[string]*rpc.GrantBatch
 }
 
-func (s *batchSet) of(entry string) *rpc.GrantBatch {
+func (s *batchSet) batchFor(entry string) *rpc.GrantBatch {
 	b, ok := s.byEntry[entry]
 	if !ok {
 		b = &rpc.GrantBatch{Epoch: s.pool.epoch, Upstreams: s.live}
@@ -202,36 +210,36 @@
 	return b
 }
 
-func (s *batchSet) refuse(r sched.Refusal) {
-	b := s.of(r.ID.Entry)
+func (s *batchSet) addRefusal(r sched.Refusal) {
+	b := s.batchFor(r.ID.Entry)
 	b.Refusals = append(b.Refusals, encodeRefusal(r))
-	s.pool.metrics.refused(s.pool.name, r)
+	s.pool.metrics.recordRefusal(s.pool.name, r)
 	if r.Code == sched.Overloaded {
-		s.pool.event(promise.Shed, r.ID, r.Tier, r.Workspace, "", string(r.Code))
+		s.pool.recordEvent(promise.Shed, r.ID, r.Tier, r.Workspace, "", string(r.Code))
 	}
 }
 
-func (s *batchSet) send() {
+func (s *batchSet) sendAll() {
 	for entry, b := range s.byEntry {
 		s.pool.send(entry, b)
 	}
 }
 
-// ended records requests that left the queue or their slot.
-func (p *pool) ended(all []sched.Ended) {
+// recordEnded records the requests that left the queue or their slot.
+func (p *pool) recordEnded(all []sched.Ended) {
 	for _, e := range all {
-		p.event(promise.Release, e.ID, e.Tier, e.Workspace, e.Upstream, "")
+		p.recordEvent(promise.Release, e.ID, e.Tier, e.Workspace, e.Upstream, "")
 	}
 }
 
-func (p *pool) event(kind promise.Kind, id sched.ID, tier int, workspace, upstream, code string) {
+func (p *pool) recordEvent(kind promise.Kind, id sched.ID, tier int, workspace, upstream, code string) {
 	p.events.Record(promise.Event{
 		Kind: kind, Offer: offerName(id), Pool: p.name, Region: p.region, Tier: tier,
 		Workspace: workspace, Upstream: upstream, Code: code, Epoch: p.epoch,
 	})
 }
 
-// dump shows the dispatcher's state.
+// dump returns the dispatcher's state, for operators.
 func (p *pool) dump() any {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -240,5 +248,5 @@
 		Settled  bool       `json:"settled"`
 		Sessions int        `json:"sessions"`
 		State    sched.Dump `json:"state"`
-	}{p.epoch, p.settled, len(p.sessions), p.core.Dump(p.now())}
+	}{p.epoch, p.resynced, len(p.sessions), p.dispatcher.Dump(p.now())}
 }
--- a/internal/dispatch/pool_test.go
+++ b/internal/dispatch/pool_test.go
@@ -20,7 +20,7 @@
 	"github.com/verbenastep/verbenastep/internal/port"
 )
 
-// fakeView holds a configuration with one model and one workspace.
+// fakeView serves a fixed configuration and fixed crash counts.
 type fakeView struct {
 	port.View
 	config   config.Config
@@ -49,21 +49,21 @@
 
 func (e *fakeEvents) Record(x promise.Event) { e.kinds = append(e.kinds, x.Kind) }
 
-// fakeStream is one entry's end of a session.
+// fakeStream is the entry's side of a session.
 type fakeStream struct {
-	in   chan *rpc.EntryBatch
-	out  chan *rpc.GrantBatch
-	ends context.Context
-	end  context.CancelFunc
+	in     chan *rpc.EntryBatch
+	out    chan *rpc.GrantBatch
+	ctx    context.Context
+	cancel context.CancelFunc
 }
 
 func newStream() *fakeStream {
 	ctx, cancel := context.WithCancel(context.Background())
-	return &fakeStream{in: make(chan *rpc.EntryBatch, 100), out: make(chan *rpc.GrantBatch, 1000), ends: ctx, end: cancel}
+	return &fakeStream{in: make(chan *rpc.EntryBatch, 100), out: make(chan *rpc.GrantBatch, 1000), ctx: ctx, cancel: cancel}
 }
 
 func (s *fakeStream) Send(b *rpc.GrantBatch) error {
-	if s.ends.Err() != nil {
+	if s.ctx.Err() != nil {
 		return io.EOF
 	}
 	s.out <- b
@@ -74,12 +74,12 @@
 	select {
 	case b := <-s.in:
 		return b, nil
-	case <-s.ends.Done():
+	case <-s.ctx.Done():
 		return nil, io.EOF
 	}
 }
 
-// grants empties the stream and returns what was granted and refused.
+// grants drains the stream and returns the grants and refusals in it.
 func (s *fakeStream) grants() (grants []*rpc.Grant, refusals []*rpc.Refusal) {
 	synctest.Wait()
 	for len(s.out) > 0 {
@@ -90,14 +90,14 @@
 	return grants, refusals
 }
 
-// bench is a pool with its fakes.
-type bench struct {
+// testPool is a running pool whose collaborators are fakes.
+type testPool struct {
 	*pool
 	events *fakeEvents
 	shared []quarantine.Change
 }
 
-func newBench(t *testing.T, members ...string) *bench {
+func newTestPool(t *testing.T, members ...string) *testPool {
 	c := config.Config{
 		Tiers:      []config.Tier{{Name: "top"}, {Name: "low"}},
 		Models:     []config.Model{{Name: "m"}},
@@ -105,33 +105,33 @@
 	}
 	collect, err := newMetrics(prometheus.NewRegistry())
 	require.NoError(t, err)
-	b := &bench{events: &fakeEvents{}}
-	b.pool = newPool("m", 3, place{
+	b := &testPool{events: &fakeEvents{}}
+	b.pool = newPool("m", 3, poolDeps{
 		region: "r", view: &fakeView{config: c}, members: fakeMembers{names: members}, events: b.events, metrics: collect, log: zap.NewNop(),
-		share: func(_ string, changes []quarantine.Change) { b.shared = append(b.shared, changes...) },
+		shareCrashCounts: func(_ string, changes []quarantine.Change) { b.shared = append(b.shared, changes...) },
 	})
-	b.extend(time.Now().Add(time.Hour))
+	b.extendLease(time.Now().Add(time.Hour))
 	go b.run()
 	t.Cleanup(func() { b.close(); synctest.Wait() })
 	return b
 }
 
-func (b *bench) join(t *testing.T, entry string, first *rpc.EntryBatch) *fakeStream {
+func (b *testPool) join(t *testing.T, entry string, first *rpc.EntryBatch) *fakeStream {
 	s := newStream()
 	first.Entry = entry
 	go func() { _ = b.serve(s, first) }()
-	go s.beat()
-	t.Cleanup(s.end)
+	go s.sendHeartbeats()
+	t.Cleanup(s.cancel)
 	return s
 }
 
-// beat sends the entry's heartbeats until the stream ends.
-func (s *fakeStream) beat() {
-	for s.ends.Err() == nil {
+// sendHeartbeats sends the entry's heartbeats until the stream ends.
+func (s *fakeStream) sendHeartbeats() {
+	for s.ctx.Err() == nil {
 		s.in <- &rpc.EntryBatch{}
 		select {
-		case <-time.After(heartbeat):
-		case <-s.ends.Done():
+		case <-time.After(heartbeatInterval):
+		case <-s.ctx.Done():
 		}
 	}
 }
@@ -144,33 +144,38 @@
 	return &rpc.Offer{Id: id, Workspace: "w", PromptTokens: 10, MaxTokens: 10, WaitMs: 3_600_000}
 }
 
-func TestSuccessorWaitsForEveryLiveDaemonOrTheBound(t *testing.T) {
+// TestNewDispatcherWaitsForAllLiveDaemonsOrTimeout guards against a new
+// dispatcher that grants slots still occupied by requests of its predecessor,
+// because it has not heard yet what every daemon runs.
+func TestNewDispatcherWaitsForAllLiveDaemonsOrTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(t, "one", "two")
+		b := newTestPool(t, "one", "two")
 		s := b.join(t, "one#1@a", &rpc.EntryBatch{Offers: []*rpc.Offer{offer(1)}, Upstreams: []*rpc.UpstreamState{upstreamState(1)}})
-		time.Sleep(settleTime - time.Millisecond)
+		time.Sleep(resyncTimeout - time.Millisecond)
 		grants, _ := s.grants()
-		require.Empty(t, grants, "daemon two may run work on the upstream")
-		time.Sleep(2 * settleStep)
+		require.Empty(t, grants, "daemon two may still run requests on the upstream")
+		time.Sleep(2 * resyncPollInterval)
 		grants, _ = s.grants()
 		require.Len(t, grants, 1)
 	})
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(t, "one", "two")
+		b := newTestPool(t, "one", "two")
 		running := offer(9)
 		running.Running = "u"
 		s := b.join(t, "one#1@a", &rpc.EntryBatch{Offers: []*rpc.Offer{offer(1), offer(2)}, Upstreams: []*rpc.UpstreamState{upstreamState(1)}})
 		b.join(t, "two#1@b", &rpc.EntryBatch{Offers: []*rpc.Offer{running}})
-		time.Sleep(settleLeast + 2*settleStep)
+		time.Sleep(minResyncTime + 2*resyncPollInterval)
 		grants, _ := s.grants()
-		require.Len(t, grants, 1, "one of two slots is taken by what runs already")
+		require.Len(t, grants, 1, "one of two slots is occupied by a running request")
 	})
 }
 
-func TestCutOffDispatcherStopsByItsOwnClock(t *testing.T) {
+// TestDispatcherStopsWhenLeaseEnds guards against grants by a dispatcher that
+// can no longer renew its lease, while a successor may already grant.
+func TestDispatcherStopsWhenLeaseEnds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(t, "one")
-		b.extend(time.Now().Add(2 * time.Second))
+		b := newTestPool(t, "one")
+		b.extendLease(time.Now().Add(2 * time.Second))
 		s := b.join(t, "one#1@a", &rpc.EntryBatch{Upstreams: []*rpc.UpstreamState{upstreamState(1)}})
 		time.Sleep(1900 * time.Millisecond)
 		s.in <- &rpc.EntryBatch{Offers: []*rpc.Offer{offer(1)}}
@@ -185,14 +190,16 @@
 	})
 }
 
-func TestGrantLostWithItsSessionIsGivenAgain(t *testing.T) {
+// TestGrantLostWithSessionIsGrantedAgain guards against a slot that stays
+// occupied when its grant was lost because the session broke.
+func TestGrantLostWithSessionIsGrantedAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(t, "one")
+		b := newTestPool(t, "one")
 		s := b.join(t, "one#1@a", &rpc.EntryBatch{Offers: []*rpc.Offer{offer(1)}, Upstreams: []*rpc.UpstreamState{upstreamState(1)}})
-		time.Sleep(settleTime + time.Second)
+		time.Sleep(resyncTimeout + time.Second)
 		grants, _ := s.grants()
 		require.Len(t, grants, 1)
-		s.end()
+		s.cancel()
 		again := offer(1)
 		again.Admitted = true
 		s = b.join(t, "one#1@a", &rpc.EntryBatch{Offers: []*rpc.Offer{again}})
@@ -204,14 +211,14 @@
 	})
 }
 
-func TestCrashIsSharedAndEventsTellTheStory(t *testing.T) {
+func TestCrashIsSharedAndEventsAreRecorded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(t, "one")
-		bad := offer(1)
-		bad.Fingerprint = 66
+		b := newTestPool(t, "one")
+		crashing := offer(1)
+		crashing.Fingerprint = 66
 		s := b.join(t, "one#1@a", &rpc.EntryBatch{Upstreams: []*rpc.UpstreamState{upstreamState(1)}})
-		time.Sleep(settleTime + time.Second)
-		s.in <- &rpc.EntryBatch{Offers: []*rpc.Offer{bad}}
+		time.Sleep(resyncTimeout + time.Second)
+		s.in <- &rpc.EntryBatch{Offers: []*rpc.Offer{crashing}}
 		s.grants()
 		s.in <- &rpc.EntryBatch{Releases: []*rpc.Release{{Id: 1, Outcome: uint32(sched.ConnectionLost)}}}
 		s.in <- &rpc.EntryBatch{Upstreams: []*rpc.UpstreamState{upstreamState(2)}}
@@ -225,17 +232,19 @@
 	})
 }
 
-// TestEveryOfferThatIsQueuedEndsInTheEvents withdraws, loses and refuses.
-func TestEveryOfferThatIsQueuedEndsInTheEvents(t *testing.T) {
+// TestEveryQueuedOfferHasAnEndEvent cancels one queued offer and ends the session
+// of two others, one of which has a deadline of 1 ms. Each must record one event
+// when it is queued and one when it ends.
+func TestEveryQueuedOfferHasAnEndEvent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(t, "one")
+		b := newTestPool(t, "one")
 		late := offer(3)
 		late.WaitMs = 1
 		s := b.join(t, "one#1@a", &rpc.EntryBatch{Offers: []*rpc.Offer{offer(1), offer(2), late}})
 		s.in <- &rpc.EntryBatch{Cancels: []uint64{1}}
 		synctest.Wait()
-		s.end()
-		time.Sleep(settleTime + time.Second)
+		s.cancel()
+		time.Sleep(resyncTimeout + time.Second)
 		synctest.Wait()
 		count := map[promise.Kind]int{}
 		for _, k := range b.events.kinds {
@@ -245,9 +254,9 @@
 	})
 }
 
-func TestLimitsHoldOverAllEntriesAndAreAQuarterAwayFromHome(t *testing.T) {
+func TestLimitsApplyAcrossEntriesAndAreAQuarterOutsideHomeRegion(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(t, "one")
+		b := newTestPool(t, "one")
 		refused := 0
 		for _, entry := range []string{"one#1@a", "two#1@b", "three#1@c"} {
 			o := offer(1)
@@ -260,7 +269,7 @@
 	})
 }
 
-func TestPoolsSpreadOverDaemons(t *testing.T) {
+func TestPoolsSpreadEvenlyOverDaemons(t *testing.T) {
 	live := fakeMembers{names: []string{"a", "b", "c", "d", "e", "f", "g", "h", "i"}}.Live()
 	first := map[string]int{}
 	for n := range 900 {
--- a/internal/dispatch/session.go
+++ b/internal/dispatch/session.go
@@ -14,126 +14,132 @@
 )
 
 const (
-	// heartbeat is the longest pause between two batches on a session.
-	heartbeat = 300 * time.Millisecond
-	// sessionSilence ends a session that carries nothing.
-	sessionSilence = 1200 * time.Millisecond
-	// outboxSize is how many batches may wait for a slow entry.
-	outboxSize = 256
+	// heartbeatInterval is the maximum time between two batches on a session.
+	heartbeatInterval = 300 * time.Millisecond
+	// sessionTimeout ends a session on which nothing arrives.
+	sessionTimeout = 1200 * time.Millisecond
+	// maxOutbox is the maximum number of batches queued for a slow entry.
+	maxOutbox = 256
 )
 
-// session is one entry's stream.
+// session is the sending side of one entry's stream.
 type session struct {
-	out chan *rpc.GrantBatch
-	end context.CancelFunc
+	outbox chan *rpc.GrantBatch
+	cancel context.CancelFunc
 }
 
-// send queues a batch for an entry. A session that can't keep up is ended; the
-// entry then offers again what it still waits for.
+// send queues a batch for an entry. If the queue is full, the session is ended,
+// and the entry offers its waiting requests again over a new one. The pool's
+// lock is held.
 func (p *pool) send(entry string, b *rpc.GrantBatch) {
 	s, ok := p.sessions[entry]
 	if !ok {
 		return
 	}
 	select {
-	case s.out <- b:
+	case s.outbox <- b:
 	default:
-		s.end()
+		s.cancel()
 	}
 }
 
-// stream is what a session needs of the drpc stream.
+// stream is the part of the drpc stream that a session uses.
 type stream interface {
 	Send(*rpc.GrantBatch) error
 	Recv() (*rpc.EntryBatch, error)
 }
 
-// serve runs one entry's session until it ends or falls silent.
+// serve runs one entry's session until its stream breaks, nothing arrives for
+// sessionTimeout, or the pool closes.
 func (p *pool) serve(stream stream, first *rpc.EntryBatch) error {
 	ctx, cancel := context.WithCancel(p.ctx)
 	defer cancel()
-	s := &session{out: make(chan *rpc.GrantBatch, outboxSize), end: cancel}
-	p.join(first, s)
-	defer p.leave(first.Entry, s)
+	s := &session{outbox: make(chan *rpc.GrantBatch, maxOutbox), cancel: cancel}
+	p.resyncEntry(first, s)
+	defer p.removeSession(first.Entry, s)
 	return duplex.Server[*rpc.EntryBatch, *rpc.GrantBatch]{
-		Recv: stream.Recv, Send: func(b *rpc.GrantBatch) error { return p.pass(stream, b) }, Out: s.out,
-		Heartbeat: heartbeat, Silence: sessionSilence, Beat: func() *rpc.GrantBatch { return &rpc.GrantBatch{Epoch: p.epoch} },
-		Take: func(b *rpc.EntryBatch) { p.take(first.Entry, s, b) },
+		Recv: stream.Recv, Send: func(b *rpc.GrantBatch) error { return p.sendUnderLease(stream, b) }, Out: s.outbox,
+		Heartbeat: heartbeatInterval, Silence: sessionTimeout, Beat: func() *rpc.GrantBatch { return &rpc.GrantBatch{Epoch: p.epoch} },
+		Take: func(b *rpc.EntryBatch) { p.applyBatch(first.Entry, s, b) },
 	}.Run(ctx)
 }
 
-// pass sends a batch while the lease holds: what a cut-off dispatcher decided
-// goes to nobody.
-func (p *pool) pass(stream stream, b *rpc.GrantBatch) error {
-	if !p.holds() {
+// sendUnderLease sends a batch only while the lease is valid, so that decisions
+// of a dispatcher that lost its lease never reach an entry.
+func (p *pool) sendUnderLease(stream stream, b *rpc.GrantBatch) error {
+	if !p.holdsLease() {
 		return context.DeadlineExceeded
 	}
 	return stream.Send(b)
 }
 
-// join replaces all that is known of an entry by what it offers now.
-func (p *pool) join(first *rpc.EntryBatch, s *session) {
+// resyncEntry replaces the state held for an entry by the entry's first batch,
+// and ends an earlier session of the same entry.
+func (p *pool) resyncEntry(first *rpc.EntryBatch, s *session) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if old, ok := p.sessions[first.Entry]; ok {
-		old.end()
+		old.cancel()
 	}
 	p.sessions[first.Entry] = s
 	now := p.now()
 	for _, u := range first.Upstreams {
-		p.takeUpstream(now, u)
+		p.applyUpstream(now, u)
 	}
 	for _, r := range first.Releases {
-		p.takeRelease(now, first.Entry, r)
+		p.applyRelease(now, first.Entry, r)
 	}
 	offers := make([]sched.Offer, 0, len(first.Offers))
 	for _, o := range first.Offers {
 		offers = append(offers, p.decodeOffer(now, first.Entry, o))
 	}
-	refusals, failed := p.core.Resync(now, first.Entry, offers)
+	refusals, failed := p.dispatcher.Resync(now, first.Entry, offers)
 	for _, err := range failed {
-		p.log.Warn("offer refused", zap.String("pool", p.name), zap.Error(err))
+		p.log.Warn("offer rejected", zap.String("pool", p.name), zap.Error(err))
 	}
-	p.ended(p.core.TakeEnded())
-	p.queueEvents(offers, refusals)
-	p.refuse(refusals)
+	p.recordEnded(p.dispatcher.TakeEnded())
+	p.recordQueued(offers, refusals)
+	p.sendRefusals(refusals)
 	wait.Signal(p.wake)
 }
 
-// queueEvents records the offers of a first batch that now wait.
-func (p *pool) queueEvents(offers []sched.Offer, refusals []sched.Refusal) {
+// recordQueued records an event for each offer of a first batch that is now
+// queued: those that neither run nor were refused.
+func (p *pool) recordQueued(offers []sched.Offer, refusals []sched.Refusal) {
 	refused := map[sched.ID]bool{}
 	for _, r := range refusals {
 		refused[r.ID] = true
 	}
 	for _, o := range offers {
 		if o.RunningOn == "" && !refused[o.ID] {
-			p.event(promise.Queue, o.ID, o.Tier, o.Workspace, "", "")
+			p.recordEvent(promise.Queue, o.ID, o.Tier, o.Workspace, "", "")
 		}
 	}
 }
 
-func (p *pool) refuse(refusals []sched.Refusal) {
+func (p *pool) sendRefusals(refusals []sched.Refusal) {
 	set := batchSet{pool: p, byEntry: map[string]*rpc.GrantBatch{}}
 	for _, r := range refusals {
-		set.refuse(r)
+		set.addRefusal(r)
 	}
-	set.send()
+	set.sendAll()
 }
 
-// leave forgets what an entry whose session ended has waiting. What it runs
-// keeps its slots for a bounded time.
-func (p *pool) leave(entry string, s *session) {
+// removeSession drops the queued requests of an entry whose session ended. Its
+// running requests keep their slots for a bounded time. It does nothing if a
+// newer session has replaced this one.
+func (p *pool) removeSession(entry string, s *session) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.sessions[entry] == s {
 		delete(p.sessions, entry)
-		p.core.LoseEntry(p.now(), entry)
+		p.dispatcher.LoseEntry(p.now(), entry)
 	}
 }
 
-// take reads one batch; one of a session that was replaced changes nothing.
-func (p *pool) take(entry string, s *session, b *rpc.EntryBatch) {
+// applyBatch applies one batch of an entry. It ignores batches of a session that
+// was replaced.
+func (p *pool) applyBatch(entry string, s *session, b *rpc.EntryBatch) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.sessions[entry] != s {
@@ -141,51 +147,51 @@
 	}
 	now := p.now()
 	for _, u := range b.Upstreams {
-		p.takeUpstream(now, u)
+		p.applyUpstream(now, u)
 	}
 	for _, o := range b.Offers {
-		p.takeOffer(now, entry, o)
+		p.applyOffer(now, entry, o)
 	}
 	for _, r := range b.Releases {
-		p.takeRelease(now, entry, r)
+		p.applyRelease(now, entry, r)
 	}
 	for _, id := range b.Cancels {
-		p.core.Cancel(sched.ID{Entry: entry, Number: id})
+		p.dispatcher.Cancel(sched.ID{Entry: entry, Number: id})
 	}
 	wait.Signal(p.wake)
 }
 
-func (p *pool) takeUpstream(now time.Duration, u *rpc.UpstreamState) {
+func (p *pool) applyUpstream(now time.Duration, u *rpc.UpstreamState) {
 	if u.Leaving {
-		if p.core.Drain(now, u.Name, u.Incarnation) {
+		if p.dispatcher.Drain(now, u.Name, u.Incarnation) {
 			p.events.Record(promise.Event{Kind: promise.Leave, Pool: p.name, Region: p.region, Upstream: u.Name, Epoch: p.epoch})
 		}
 		return
 	}
-	if err := p.core.Announce(now, decodeUpstream(u)); err != nil {
+	if err := p.dispatcher.Announce(now, decodeUpstream(u)); err != nil {
 		p.log.Debug("announcement ignored", zap.String("pool", p.name), zap.Error(err))
 	}
 }
 
-func (p *pool) takeOffer(now time.Duration, entry string, o *rpc.Offer) {
+func (p *pool) applyOffer(now time.Duration, entry string, o *rpc.Offer) {
 	offer := p.decodeOffer(now, entry, o)
-	refusal, err := p.core.Offer(now, offer)
+	refusal, err := p.dispatcher.Offer(now, offer)
 	switch {
 	case err != nil:
-		p.log.Warn("offer refused", zap.String("pool", p.name), zap.Error(err))
+		p.log.Warn("offer rejected", zap.String("pool", p.name), zap.Error(err))
 	case refusal != nil:
-		p.refuse([]sched.Refusal{*refusal})
+		p.sendRefusals([]sched.Refusal{*refusal})
 	case offer.RunningOn == "":
-		p.event(promise.Queue, offer.ID, offer.Tier, offer.Workspace, "", "")
+		p.recordEvent(promise.Queue, offer.ID, offer.Tier, offer.Workspace, "", "")
 	}
 }
 
-func (p *pool) takeRelease(now time.Duration, entry string, r *rpc.Release) {
+func (p *pool) applyRelease(now time.Duration, entry string, r *rpc.Release) {
 	release := decodeRelease(entry, r)
-	ended, err := p.core.Release(now, release)
+	ended, err := p.dispatcher.Release(now, release)
 	if err != nil {
 		p.log.Debug("release ignored", zap.String("pool", p.name), zap.Error(err))
 		return
 	}
-	p.metrics.ended(p.name, ended)
+	p.metrics.recordWastedTokens(p.name, ended)
 }
