--- a/internal/schedclient/acquire.go
+++ b/internal/schedclient/acquire.go
@@ -9,12 +9,12 @@
 	"github.com/verbenastep/verbenastep/internal/port"
 )
 
-// kindSpill is the refusal of a dispatcher that would shed the request, before
-// the other regions were asked. It never reaches a caller.
+// kindSpill is the refusal of a dispatcher that would shed the request although
+// the other regions have not been asked yet. It never reaches a caller.
 const kindSpill = fault.Kind(sched.Spill)
 
-// others lists the regions besides the daemon's own.
-func (s *Service) others() []string {
+// otherRegions lists the declared regions besides the daemon's own.
+func (s *Service) otherRegions() []string {
 	out := []string{}
 	for _, r := range s.view.Snapshot().Config.Regions {
 		if r.Name != s.set.Region {
@@ -24,22 +24,23 @@
 	return out
 }
 
-// Acquire waits for a grant, in the daemon's own region first. Where that
-// region has no upstream of the pool, or would shed the request, the others
-// are asked; what they refuse too is decided finally in the own region.
+// Acquire waits for a grant, in the daemon's own region first. If that region
+// has no upstream of the pool, or would shed the request, Acquire asks the other
+// regions one after the other. If they refuse too, the own region's dispatcher
+// makes the final decision. The error is a *fault.Error.
 func (s *Service) Acquire(ctx context.Context, r port.Request) (port.Ticket, error) {
 	home := port.Place{Pool: r.Pool, Region: s.set.Region}
-	t, first := s.acquireIn(ctx, home, s.waiter(r))
-	if first == nil {
+	t, refusal := s.acquireIn(ctx, home, s.newAcquisition(r))
+	if refusal == nil {
 		return t, nil
 	}
-	if !worthSpilling(first) {
-		return nil, first
+	if !worthSpilling(refusal) {
+		return nil, refusal
 	}
-	for _, region := range s.others() {
-		w := s.waiter(r)
-		w.spilled = s.set.Region
-		t, err := s.acquireIn(ctx, port.Place{Pool: r.Pool, Region: region}, w)
+	for _, region := range s.otherRegions() {
+		a := s.newAcquisition(r)
+		a.spilledFrom = s.set.Region
+		t, err := s.acquireIn(ctx, port.Place{Pool: r.Pool, Region: region}, a)
 		if err == nil {
 			return t, nil
 		}
@@ -47,66 +48,66 @@
 			return nil, err
 		}
 	}
-	if first.Kind != kindSpill {
-		return nil, first
+	if refusal.Kind != kindSpill {
+		return nil, refusal
 	}
-	w := s.waiter(r)
-	w.final = true
-	t, err := s.acquireIn(ctx, home, w)
+	a := s.newAcquisition(r)
+	a.final = true
+	t, err := s.acquireIn(ctx, home, a)
 	if err != nil {
 		return nil, err
 	}
 	return t, nil
 }
 
-func (s *Service) waiter(r port.Request) *waiter {
+func (s *Service) newAcquisition(r port.Request) *acquisition {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.nextID++
-	return &waiter{id: s.nextID, request: r, settled: make(chan struct{})}
+	return &acquisition{id: s.nextID, request: r, decided: make(chan struct{})}
 }
 
 func worthSpilling(e *fault.Error) bool {
 	return e.Kind == kindSpill || e.Kind == fault.NoUpstream
 }
 
-// isFinal says whether another region's refusal holds everywhere.
+// isFinal tells whether a refusal by one region applies to all regions.
 func isFinal(e *fault.Error) bool {
 	return e.Kind == fault.Canceled || e.Kind == fault.Quarantined
 }
 
-// acquireIn waits for a grant in one place. A request that was passed on waits
-// only while the session to that place holds.
-func (s *Service) acquireIn(ctx context.Context, p port.Place, w *waiter) (*ticket, *fault.Error) {
-	sess := s.session(p, time.Now().Add(connectWait))
-	down := (<-chan struct{})(nil)
-	if w.spilled != "" {
-		if down = sess.connected(ctx); down == nil {
+// acquireIn waits for a grant by the dispatcher of one pool and region. A request
+// spilled from another region waits only while the session to it lasts.
+func (s *Service) acquireIn(ctx context.Context, p port.Place, a *acquisition) (*ticket, *fault.Error) {
+	sess := s.session(p, time.Now().Add(connectTimeout))
+	disconnected := (<-chan struct{})(nil)
+	if a.spilledFrom != "" {
+		if disconnected = sess.awaitConnection(ctx); disconnected == nil {
 			return nil, unreachable(p)
 		}
 	}
-	sess.offer(w)
-	gaveUp := (*fault.Error)(nil)
-	expired := time.NewTimer(time.Until(w.request.Deadline))
+	sess.offer(a)
+	failure := (*fault.Error)(nil)
+	expired := time.NewTimer(time.Until(a.request.Deadline))
 	defer expired.Stop()
 	select {
-	case <-w.settled:
+	case <-a.decided:
 	case <-ctx.Done():
-		gaveUp = fault.New(fault.Canceled, "send the request again", "the caller went away while the request waited")
+		failure = fault.New(fault.Canceled, "send the request again", "the caller went away while the request waited")
 	case <-expired.C:
-		gaveUp = fault.New(fault.Deadline, "send the request again later", "no grant came before the deadline").After(time.Second)
-	case <-down:
-		gaveUp = unreachable(p)
+		failure = fault.New(fault.Deadline, "send the request again later", "no grant came before the deadline").After(time.Second)
+	case <-disconnected:
+		failure = unreachable(p)
 	}
-	if gaveUp != nil && sess.withdraw(w) {
-		return nil, gaveUp
+	if failure != nil && sess.withdraw(a) {
+		return nil, failure
 	}
-	<-w.settled
-	if w.failure != nil {
-		return nil, w.failure
+	<-a.decided
+	if a.failure != nil {
+		return nil, a.failure
 	}
-	sess.promptCrosses(w.request.PromptTokens)
-	return &ticket{session: sess, waiter: w}, nil
+	sess.countPrompt(a.request.PromptTokens)
+	return &ticket{session: sess, acquisition: a}, nil
 }
 
 func unreachable(p port.Place) *fault.Error {
--- a/internal/schedclient/bytes.go
+++ b/internal/schedclient/bytes.go
@@ -5,20 +5,21 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// cause is why bytes cross the link between two regions.
+// cause is the reason why bytes cross the link between two regions.
 type cause string
 
-// Causes. Prompts and answers are estimated from their tokens.
+// Causes, as metric labels. The sizes of prompts and answers are estimated from
+// their token counts.
 const (
 	causeScheduling cause = "scheduling"
 	causePrompt     cause = "prompt"
 	causeAnswer     cause = "answer"
 )
 
-// bytesPerToken estimates the bytes of a token's text.
+// bytesPerToken is the assumed average length of a token's text, in bytes.
 const bytesPerToken = 4
 
-// linkBytes counts bytes across the link by cause.
+// linkBytes counts the bytes sent over inter-region links, by region and cause.
 type linkBytes struct {
 	total *prometheus.CounterVec
 }
@@ -30,20 +31,20 @@
 	return l, r.Register(l.total)
 }
 
-// crossed counts bytes where the place is in another region.
-func (s *session) crossed(c cause, bytes int) {
-	if s.place.Region == s.service.set.Region || s.service.bytes == nil {
+// countLinkBytes counts bytes if the session's dispatcher is in another region.
+func (s *session) countLinkBytes(c cause, bytes int) {
+	if s.pool.Region == s.service.set.Region || s.service.bytes == nil {
 		return
 	}
-	s.service.bytes.total.WithLabelValues(s.place.Region, string(c)).Add(float64(bytes))
+	s.service.bytes.total.WithLabelValues(s.pool.Region, string(c)).Add(float64(bytes))
 }
 
-func (s *session) promptCrosses(tokens int) {
-	s.crossed(causePrompt, tokens*bytesPerToken)
+func (s *session) countPrompt(tokens int) {
+	s.countLinkBytes(causePrompt, tokens*bytesPerToken)
 }
 
-func (s *session) answerCrossed(tokens int) {
-	s.crossed(causeAnswer, tokens*bytesPerToken)
+func (s *session) countAnswer(tokens int) {
+	s.countLinkBytes(causeAnswer, tokens*bytesPerToken)
 }
 
 func sizeOf(m proto.Message) int { return proto.Size(m) }
--- a/internal/schedclient/client.go
+++ b/internal/schedclient/client.go
@@ -1,6 +1,8 @@
-// Package schedclient is the entry's side of scheduling: it offers requests to
-// the dispatchers, waits for grants, and offers again what waits or runs when
-// a dispatcher moves.
+// Package schedclient is the entry's side of scheduling. It keeps a session to
+// the dispatcher of each pool and region, offers requests to it, waits for
+// grants and passes on upstreams' announcements. After a dispatcher has moved to
+// another daemon or a session broke, it offers all waiting and running requests
+// again. internal/entry uses it as port.Scheduler.
 package schedclient
 
 import (
@@ -17,7 +19,7 @@
 	"github.com/verbenastep/verbenastep/internal/settings"
 )
 
-// Service is the "sched.client" service.
+// Service is the "sched.client" service. Its methods are safe for concurrent use.
 type Service struct {
 	set       *settings.Settings
 	log       *zap.Logger
@@ -26,7 +28,7 @@
 	view      port.View
 	upstreams port.Upstreams
 	bytes     *linkBytes
-	// open begins a session with the dispatcher at an address.
+	// open opens a session to the dispatcher at an address.
 	open   func(ctx context.Context, address string) (stream, error)
 	ctx    context.Context
 	cancel context.CancelFunc
@@ -45,12 +47,12 @@
 // Name returns the service's name.
 func (s *Service) Name() string { return port.NameScheduler }
 
-// Needs returns what offers and announcements pass through.
+// Needs lists the services that sessions and metrics require.
 func (s *Service) Needs() []string {
 	return []string{port.NameLink, port.NameView, port.NameUpstreams, port.NameMetrics}
 }
 
-// Start keeps sessions to all declared pools.
+// Start starts to maintain the sessions.
 func (s *Service) Start(_ context.Context, k *kernel.Kernel) error {
 	err := error(nil)
 	if s.link, err = kernel.Find[port.Link](k, port.NameLink); err != nil {
@@ -70,54 +72,55 @@
 		return err
 	}
 	s.open = s.dial
-	s.begin()
+	s.startSessions()
 	return nil
 }
 
-func (s *Service) begin() {
+func (s *Service) startSessions() {
 	s.ctx, s.cancel = context.WithCancel(context.Background())
-	s.done.Go(s.maintain)
+	s.done.Go(s.maintainSessions)
 }
 
 func (s *Service) dial(ctx context.Context, address string) (stream, error) {
 	return rpc.NewDRPCDispatchClient(s.link.Conn(address)).Session(ctx)
 }
 
-// ticket is a granted slot.
+// ticket is a granted slot; it implements port.Ticket.
 type ticket struct {
-	session *session
-	waiter  *waiter
-	once    sync.Once
+	session     *session
+	acquisition *acquisition
+	once        sync.Once
 }
 
 // Upstream returns the upstream's name.
-func (t *ticket) Upstream() string { return t.waiter.grant.Upstream }
+func (t *ticket) Upstream() string { return t.acquisition.grant.Upstream }
 
 // Address returns the upstream's address.
-func (t *ticket) Address() string { return t.waiter.grant.Address }
+func (t *ticket) Address() string { return t.acquisition.grant.Address }
 
 // Why returns the decision's explanation.
-func (t *ticket) Why() json.RawMessage { return t.waiter.grant.Why }
+func (t *ticket) Why() json.RawMessage { return t.acquisition.grant.Why }
 
-// Release frees the slot.
+// Release frees the slot; calls after the first have no effect.
 func (t *ticket) Release(r sched.Release) {
 	t.once.Do(func() {
-		t.session.answerCrossed(r.OutputTokens)
-		t.session.release(t.waiter, r)
+		t.session.countAnswer(r.OutputTokens)
+		t.session.release(t.acquisition, r)
 	})
 }
 
-// Stop ends all sessions.
+// Stop ends all sessions and waits until they have ended.
 func (s *Service) Stop(context.Context) error {
 	s.cancel()
 	s.done.Wait()
 	return nil
 }
 
-// Health returns nil: pools without a dispatcher refuse by themselves.
+// Health always returns nil; requests to a pool without a dispatcher fail on
+// their own.
 func (s *Service) Health() error { return nil }
 
-// sessionDump is one session's state, for operators.
+// sessionDump is one session's state in the state dump.
 type sessionDump struct {
 	Pool    string `json:"pool"`
 	Region  string `json:"region"`
@@ -126,7 +129,7 @@
 	Running int    `json:"running"`
 }
 
-// Dump lists the sessions.
+// Dump lists the sessions with their numbers of waiting and running requests.
 func (s *Service) Dump() any {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/schedclient/places.go
+++ b/internal/schedclient/places.go
@@ -10,52 +10,53 @@
 )
 
 const (
-	// standingPlaces is the most places to which an entry keeps a session all
-	// the time. Beyond it, heartbeats to each pool of each region would cost
-	// more than control may, and other regions' places are spoken with only
-	// while they are needed.
-	standingPlaces = 16
-	// farIdle is how long a session to another region is kept without use.
-	farIdle = time.Minute
-	// connectWait is how long a request that is passed on waits for a session
-	// that was opened for it.
-	connectWait = 500 * time.Millisecond
-	// tidyEvery is the pause between two looks at what is needed.
-	tidyEvery = time.Second
+	// maxPermanentSessions is the number of pools, counted once per region, up to
+	// which an entry keeps a permanent session to every one. In larger deployments
+	// the heartbeats would exceed the budget for control traffic, and sessions to
+	// other regions are opened on demand.
+	maxPermanentSessions = 16
+	// idleTimeout closes an on-demand session to another region that is not used.
+	idleTimeout = time.Minute
+	// connectTimeout bounds how long a spilled request waits for a session that
+	// was opened for it.
+	connectTimeout = 500 * time.Millisecond
+	// maintainInterval is the maximum time between two checks of which sessions are
+	// needed.
+	maintainInterval = time.Second
 )
 
-// maintain keeps the standing sessions open, so that announcements reach the
-// dispatcher before any request does, and closes others that are idle.
-func (s *Service) maintain() {
+// maintainSessions keeps the permanent sessions open, so that announcements reach
+// a dispatcher before the first request does, and closes idle ones of the others.
+func (s *Service) maintainSessions() {
 	for s.ctx.Err() == nil {
 		changed := s.view.Changed()
-		standing := s.standing()
-		for _, p := range standing {
+		permanent := s.permanentPools()
+		for _, p := range permanent {
 			s.session(p, time.Time{})
 		}
-		s.closeIdle(standing)
+		s.closeIdle(permanent)
 		select {
 		case <-changed:
-		case <-time.After(tidyEvery):
+		case <-time.After(maintainInterval):
 		case <-s.ctx.Done():
 		}
 	}
 }
 
-// standing lists the places that need a session all the time: all of a small
-// site's; else those of the own region, and those whose upstreams announce
-// themselves here.
-func (s *Service) standing() []port.Place {
-	all := places(s.view.Snapshot().Config)
-	if len(all) <= standingPlaces {
+// permanentPools lists the pools that need a permanent session: all of a small
+// deployment; otherwise those of the own region and those whose upstreams
+// announce themselves to this daemon.
+func (s *Service) permanentPools() []port.Place {
+	all := poolRegions(s.view.Snapshot().Config)
+	if len(all) <= maxPermanentSessions {
 		return all
 	}
-	near := slices.DeleteFunc(all, func(p port.Place) bool { return p.Region != s.set.Region })
-	return append(near, s.upstreams.Places()...)
+	local := slices.DeleteFunc(all, func(p port.Place) bool { return p.Region != s.set.Region })
+	return append(local, s.upstreams.Places()...)
 }
 
-// places lists each pool in each region.
-func places(c *config.Config) []port.Place {
+// poolRegions lists every declared pool in every region.
+func poolRegions(c *config.Config) []port.Place {
 	out := []port.Place{}
 	for _, r := range c.Regions {
 		for _, m := range c.Models {
@@ -68,29 +69,29 @@
 	return out
 }
 
-// session returns the session to a place, and opens it where there is none;
-// until then requests that are passed on wait for it.
-func (s *Service) session(p port.Place, until time.Time) *session {
+// session returns the session to a pool in a region and opens one if there is
+// none; spilled requests wait for a new one until connectDeadline.
+func (s *Service) session(p port.Place, connectDeadline time.Time) *session {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if old, ok := s.sessions[p]; ok {
-		old.used = time.Now()
+		old.lastUsed = time.Now()
 		return old
 	}
-	made := newSession(s, p)
-	made.used = time.Now()
-	made.awaited = until
-	s.sessions[p] = made
-	s.done.Go(made.run)
-	return made
+	opened := newSession(s, p)
+	opened.lastUsed = time.Now()
+	opened.connectDeadline = connectDeadline
+	s.sessions[p] = opened
+	s.done.Go(opened.run)
+	return opened
 }
 
-// closeIdle ends the sessions that are neither standing nor in use.
-func (s *Service) closeIdle(standing []port.Place) {
+// closeIdle ends the sessions that are neither permanent nor in use.
+func (s *Service) closeIdle(permanent []port.Place) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for p, sess := range s.sessions {
-		if slices.Contains(standing, p) || time.Since(sess.used) < farIdle || !sess.idle() {
+		if slices.Contains(permanent, p) || time.Since(sess.lastUsed) < idleTimeout || !sess.isIdle() {
 			continue
 		}
 		sess.cancel()
@@ -98,31 +99,31 @@
 	}
 }
 
-// idle tells whether nothing waits, runs or is still to be sent.
-func (s *session) idle() bool {
+// isIdle tells whether no request waits or runs and no release is unsent.
+func (s *session) isIdle() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.waiting)+len(s.running)+len(s.pending.Releases) == 0
 }
 
-// connected returns a channel that is closed when the present session ends, or
-// nil where there is none. It waits a moment for a session that was only just
-// opened.
-func (s *session) connected(ctx context.Context) <-chan struct{} {
+// awaitConnection returns a channel that is closed when the current connection
+// ends, or nil if there is none. It waits for a newly opened session to connect,
+// until connectDeadline.
+func (s *session) awaitConnection(ctx context.Context) <-chan struct{} {
 	if s.lease().Holder == "" {
 		return nil
 	}
-	deadline := time.NewTimer(time.Until(s.awaited))
+	deadline := time.NewTimer(time.Until(s.connectDeadline))
 	defer deadline.Stop()
 	for {
 		s.mu.Lock()
-		down, up := s.down, s.up
+		disconnected, connected := s.disconnected, s.connected
 		s.mu.Unlock()
-		if down != nil {
-			return down
+		if disconnected != nil {
+			return disconnected
 		}
 		select {
-		case <-up:
+		case <-connected:
 		case <-deadline.C:
 			return nil
 		case <-ctx.Done():
--- a/internal/schedclient/session.go
+++ b/internal/schedclient/session.go
@@ -15,108 +15,111 @@
 	"github.com/verbenastep/verbenastep/internal/wait"
 )
 
-// waiter is a request on its way to a grant and through it.
-type waiter struct {
+// acquisition is a request that waits for a grant or holds one.
+type acquisition struct {
 	id      uint64
 	request port.Request
-	// settled is closed once grant or failure is set.
-	settled chan struct{}
+	// decided is closed once grant or failure is set.
+	decided chan struct{}
 	grant   *rpc.Grant
 	failure *fault.Error
-	// offered says that a session has carried the offer.
+	// offered says that the offer was sent before.
 	offered bool
-	// spilled names the region that passed the request on; final says that the
-	// other regions refused it.
-	spilled string
-	final   bool
+	// spilledFrom is the region that could not serve the request; it is empty in
+	// the daemon's own region. final says that the other regions refused it.
+	spilledFrom string
+	final       bool
 }
 
-// session speaks with the dispatcher of one place, wherever it is now.
+// session is the connection to the dispatcher of one pool and region. It follows
+// the dispatcher's lease from daemon to daemon.
 type session struct {
 	service *Service
-	place   port.Place
+	pool    port.Place
 	wake    chan struct{}
 	ctx     context.Context
 	cancel  context.CancelFunc
-	// used is when it was last asked for; the service's lock guards it.
-	used time.Time
-	// awaited is how long requests wait for the first connection.
-	awaited time.Time
+	// lastUsed is when the session was last requested; the service's lock guards it.
+	lastUsed time.Time
+	// connectDeadline is until when spilled requests wait for a connection.
+	connectDeadline time.Time
 
 	mu    sync.Mutex
 	epoch uint64
-	// down is closed when the present session ends; nil where there is none.
-	down chan struct{}
-	// up is closed when the next session begins.
-	up      chan struct{}
-	waiting map[uint64]*waiter
-	running map[uint64]*waiter
+	// disconnected is closed when the current connection ends; nil if there is none.
+	disconnected chan struct{}
+	// connected is closed when the next connection is made.
+	connected chan struct{}
+	waiting   map[uint64]*acquisition
+	running   map[uint64]*acquisition
+	// pending is what the next batch will send.
 	pending rpc.EntryBatch
 }
 
 func newSession(s *Service, p port.Place) *session {
 	ctx, cancel := context.WithCancel(s.ctx)
 	return &session{
-		service: s, place: p, wake: make(chan struct{}, 1), ctx: ctx, cancel: cancel, up: make(chan struct{}),
-		waiting: map[uint64]*waiter{}, running: map[uint64]*waiter{},
+		service: s, pool: p, wake: make(chan struct{}, 1), ctx: ctx, cancel: cancel, connected: make(chan struct{}),
+		waiting: map[uint64]*acquisition{}, running: map[uint64]*acquisition{},
 	}
 }
 
-func (s *session) offer(w *waiter) {
+func (s *session) offer(a *acquisition) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.waiting[w.id] = w
-	s.pending.Offers = append(s.pending.Offers, encodeOffer(w))
+	s.waiting[a.id] = a
+	s.pending.Offers = append(s.pending.Offers, encodeOffer(a))
 	wait.Signal(s.wake)
 }
 
-func encodeOffer(w *waiter) *rpc.Offer {
-	r := w.request
+func encodeOffer(a *acquisition) *rpc.Offer {
+	r := a.request
 	o := &rpc.Offer{
-		Id: w.id, Workspace: r.Workspace, Operation: r.Operation,
+		Id: a.id, Workspace: r.Workspace, Operation: r.Operation,
 		PromptTokens: uint32(r.PromptTokens), MaxTokens: uint32(r.MaxTokens),
 		Blocks: r.Blocks, Fingerprint: r.Fingerprint,
 		WaitMs:  uint32(max(0, time.Until(r.Deadline).Milliseconds())),
-		Spilled: w.spilled, Final: w.final, Admitted: w.offered,
+		Spilled: a.spilledFrom, Final: a.final, Admitted: a.offered,
 	}
-	w.offered = true
-	if w.grant != nil {
-		o.Running = w.grant.Upstream
+	a.offered = true
+	if a.grant != nil {
+		o.Running = a.grant.Upstream
 	}
 	return o
 }
 
-// withdraw gives up waiting; it returns false where the request is settled.
-func (s *session) withdraw(w *waiter) bool {
+// withdraw cancels a waiting request. It returns false if the request was already
+// granted or refused.
+func (s *session) withdraw(a *acquisition) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if _, ok := s.waiting[w.id]; !ok {
+	if _, ok := s.waiting[a.id]; !ok {
 		return false
 	}
-	delete(s.waiting, w.id)
-	s.pending.Cancels = append(s.pending.Cancels, w.id)
+	delete(s.waiting, a.id)
+	s.pending.Cancels = append(s.pending.Cancels, a.id)
 	wait.Signal(s.wake)
 	return true
 }
 
-func (s *session) release(w *waiter, r sched.Release) {
+func (s *session) release(a *acquisition, r sched.Release) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	delete(s.running, w.id)
+	delete(s.running, a.id)
 	s.pending.Releases = append(s.pending.Releases, &rpc.Release{
-		Id: w.id, Outcome: uint32(r.Outcome), PrefillMs: uint32(r.Prefill.Milliseconds()), DecodeMs: uint32(r.Decode.Milliseconds()),
+		Id: a.id, Outcome: uint32(r.Outcome), PrefillMs: uint32(r.Prefill.Milliseconds()), DecodeMs: uint32(r.Decode.Milliseconds()),
 		OutputTokens: uint32(r.OutputTokens), CachedTokens: uint32(r.CachedTokens),
 	})
 	wait.Signal(s.wake)
 }
 
-// maxPendingEvents bounds the cache events of one upstream that wait for a
-// session. Where more come, the oldest are dropped: a gap that the dispatcher
-// sees by the sequence numbers.
+// maxPendingEvents bounds the unsent cache events per upstream. If there are
+// more, the oldest are dropped; the dispatcher detects the gap by the sequence
+// numbers.
 const maxPendingEvents = 256
 
-// announce passes on an announcement. One that still waits is replaced, and its
-// cache events are kept.
+// announce queues an upstream's announcement. It replaces an unsent one of the
+// same incarnation, but keeps that one's cache events.
 func (s *session) announce(u *rpc.UpstreamState) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -137,35 +140,36 @@
 	s.pending.Upstreams = append(s.pending.Upstreams, u)
 }
 
-// hello offers again all that waits or runs. What was pending is part of it.
-func (s *session) hello(epoch uint64) *rpc.EntryBatch {
+// resyncBatch returns the first batch of a connection: all waiting and running
+// requests as offers, with the pending announcements and releases.
+func (s *session) resyncBatch(epoch uint64) *rpc.EntryBatch {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.epoch = epoch
-	b := s.frame(epoch)
+	b := s.newBatch(epoch)
 	b.Synced = true
 	b.Upstreams = s.pending.Upstreams
 	b.Releases = s.pending.Releases
 	s.pending = rpc.EntryBatch{}
-	s.down = make(chan struct{})
-	close(s.up)
-	s.up = make(chan struct{})
-	for _, w := range s.running {
-		b.Offers = append(b.Offers, encodeOffer(w))
+	s.disconnected = make(chan struct{})
+	close(s.connected)
+	s.connected = make(chan struct{})
+	for _, a := range s.running {
+		b.Offers = append(b.Offers, encodeOffer(a))
 	}
-	for _, w := range s.waiting {
-		b.Offers = append(b.Offers, encodeOffer(w))
+	for _, a := range s.waiting {
+		b.Offers = append(b.Offers, encodeOffer(a))
 	}
 	return b
 }
 
-func (s *session) frame(epoch uint64) *rpc.EntryBatch {
-	return &rpc.EntryBatch{Entry: s.service.self.String(), Pool: s.place.Pool, Epoch: epoch}
+func (s *session) newBatch(epoch uint64) *rpc.EntryBatch {
+	return &rpc.EntryBatch{Entry: s.service.self.String(), Pool: s.pool.Pool, Epoch: epoch}
 }
 
-// drain returns what is pending, or an empty heartbeat. Who sends it, and under
-// which epoch, the session's first batch has said.
-func (s *session) drain() *rpc.EntryBatch {
+// takePending returns the pending batch, which is empty for a mere heartbeat. It
+// lacks entry, pool and epoch, which the connection's first batch has given.
+func (s *session) takePending() *rpc.EntryBatch {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	b := &rpc.EntryBatch{
@@ -175,39 +179,39 @@
 	return b
 }
 
-// take settles what the dispatcher decided. Decisions of an earlier epoch, and
-// on requests that no longer wait, have no effect; the latter's slots are
-// given back.
-func (s *session) take(epoch uint64, b *rpc.GrantBatch) {
+// applyDecisions applies a dispatcher's grants and refusals. It ignores those of
+// another epoch and those for requests that no longer wait; slots granted to the
+// latter are released as not sent.
+func (s *session) applyDecisions(epoch uint64, b *rpc.GrantBatch) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if b.Epoch != epoch {
 		return
 	}
 	for _, g := range b.Grants {
-		w, ok := s.waiting[g.Id]
+		a, ok := s.waiting[g.Id]
 		if !ok {
 			s.pending.Releases = append(s.pending.Releases, &rpc.Release{Id: g.Id, Outcome: uint32(sched.NotSent)})
 			wait.Signal(s.wake)
 			continue
 		}
 		delete(s.waiting, g.Id)
-		w.grant = g
-		s.running[g.Id] = w
-		close(w.settled)
+		a.grant = g
+		s.running[g.Id] = a
+		close(a.decided)
 	}
 	for _, r := range b.Refusals {
-		w, ok := s.waiting[r.Id]
+		a, ok := s.waiting[r.Id]
 		if !ok {
 			continue
 		}
 		delete(s.waiting, r.Id)
-		w.failure = refusal(r)
-		close(w.settled)
+		a.failure = refusalError(r)
+		close(a.decided)
 	}
 }
 
-func refusal(r *rpc.Refusal) *fault.Error {
+func refusalError(r *rpc.Refusal) *fault.Error {
 	e := fault.New(fault.Kind(r.Code), "send the request again after the stated time", "%s", r.Why)
 	return e.After(time.Duration(r.RetryAfterMs) * time.Millisecond)
 }
@@ -215,5 +219,5 @@
 func (s *session) dump() sessionDump {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return sessionDump{Pool: s.place.Pool, Region: s.place.Region, Epoch: s.epoch, Waiting: len(s.waiting), Running: len(s.running)}
+	return sessionDump{Pool: s.pool.Pool, Region: s.pool.Region, Epoch: s.epoch, Waiting: len(s.waiting), Running: len(s.running)}
 }
--- a/internal/schedclient/session_test.go
+++ b/internal/schedclient/session_test.go
@@ -21,7 +21,7 @@
 	"github.com/verbenastep/verbenastep/internal/settings"
 )
 
-// fakeView holds the leases of two regions, which tests move.
+// fakeView holds the leases of the dispatchers, which tests move between daemons.
 type fakeView struct {
 	port.View
 	mu      sync.Mutex
@@ -44,7 +44,7 @@
 	return v.leases[name]
 }
 
-// move gives a region's dispatcher to a daemon.
+// move assigns the lease of a region's dispatcher to a daemon.
 func (v *fakeView) move(region, daemon string, epoch uint64) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -59,53 +59,53 @@
 func (fakeUpstreams) Subscribe(port.Place, func(*rpc.UpstreamState)) func() { return func() {} }
 func (fakeUpstreams) Places() []port.Place                                  { return nil }
 
-// fakeDispatcher is one daemon's end of a session.
+// fakeDispatcher is the dispatcher's side of a connection.
 type fakeDispatcher struct {
-	got  chan *rpc.EntryBatch
-	send chan *rpc.GrantBatch
-	ends context.Context
-	end  context.CancelFunc
+	received chan *rpc.EntryBatch
+	toSend   chan *rpc.GrantBatch
+	ctx      context.Context
+	cancel   context.CancelFunc
 }
 
 func (d *fakeDispatcher) Send(b *rpc.EntryBatch) error {
-	if d.ends.Err() != nil {
+	if d.ctx.Err() != nil {
 		return io.EOF
 	}
-	d.got <- b
+	d.received <- b
 	return nil
 }
 
 func (d *fakeDispatcher) Recv() (*rpc.GrantBatch, error) {
 	select {
-	case b := <-d.send:
+	case b := <-d.toSend:
 		return b, nil
-	case <-d.ends.Done():
+	case <-d.ctx.Done():
 		return nil, io.EOF
 	}
 }
 
 func (d *fakeDispatcher) Close() error {
-	d.end()
+	d.cancel()
 	return nil
 }
 
-// beat sends heartbeats until the session ends.
-func (d *fakeDispatcher) beat(epoch uint64) {
-	for d.ends.Err() == nil {
-		d.send <- &rpc.GrantBatch{Epoch: epoch}
+// sendHeartbeats sends heartbeats until the connection ends.
+func (d *fakeDispatcher) sendHeartbeats(epoch uint64) {
+	for d.ctx.Err() == nil {
+		d.toSend <- &rpc.GrantBatch{Epoch: epoch}
 		select {
-		case <-time.After(heartbeat):
-		case <-d.ends.Done():
+		case <-time.After(heartbeatInterval):
+		case <-d.ctx.Done():
 		}
 	}
 }
 
-// read empties what the entry sent, as one batch.
+// read returns all that the entry has sent, merged into one batch.
 func (d *fakeDispatcher) read() *rpc.EntryBatch {
 	synctest.Wait()
 	all := &rpc.EntryBatch{}
-	for len(d.got) > 0 {
-		b := <-d.got
+	for len(d.received) > 0 {
+		b := <-d.received
 		all.Offers = append(all.Offers, b.Offers...)
 		all.Releases = append(all.Releases, b.Releases...)
 		all.Cancels = append(all.Cancels, b.Cancels...)
@@ -114,17 +114,17 @@
 }
 
 func (d *fakeDispatcher) grant(epoch, id uint64) {
-	d.send <- &rpc.GrantBatch{Epoch: epoch, Grants: []*rpc.Grant{{Id: id, Upstream: "u"}}}
+	d.toSend <- &rpc.GrantBatch{Epoch: epoch, Grants: []*rpc.Grant{{Id: id, Upstream: "u"}}}
 	synctest.Wait()
 }
 
 func (d *fakeDispatcher) refuse(epoch, id uint64, code sched.Code) {
-	d.send <- &rpc.GrantBatch{Epoch: epoch, Refusals: []*rpc.Refusal{{Id: id, Code: string(code)}}}
+	d.toSend <- &rpc.GrantBatch{Epoch: epoch, Refusals: []*rpc.Refusal{{Id: id, Code: string(code)}}}
 	synctest.Wait()
 }
 
-// bench is a client whose dispatchers the test plays.
-type bench struct {
+// testClient is a client whose dispatchers are fakes.
+type testClient struct {
 	*Service
 	view    *fakeView
 	mu      sync.Mutex
@@ -132,14 +132,15 @@
 	down    map[string]bool
 }
 
-func newBench(t *testing.T) *bench {
-	return newBenchOf(t, &config.Config{
+func newTestClient(t *testing.T) *testClient {
+	return newTestClientWith(t, &config.Config{
 		Models: []config.Model{{Name: "m"}}, Regions: []config.Region{{Name: "here"}, {Name: "there"}},
 	})
 }
 
-func newBenchOf(t *testing.T, c *config.Config) *bench {
-	b := &bench{
+// newTestClientWith returns a client under a configuration.
+func newTestClientWith(t *testing.T, c *config.Config) *testClient {
+	b := &testClient{
 		Service: New(&settings.Settings{Region: "here"}, zap.NewNop(), port.Holder{Name: "self", Incarnation: 1}),
 		view:    &fakeView{leases: map[string]state.Lease{}, changed: make(chan struct{}), config: c}, daemons: map[string]*fakeDispatcher{}, down: map[string]bool{},
 	}
@@ -151,30 +152,31 @@
 			return nil, errors.New("unreachable")
 		}
 		ctx, cancel := context.WithCancel(context.Background())
-		d := &fakeDispatcher{got: make(chan *rpc.EntryBatch, 1000), send: make(chan *rpc.GrantBatch, 1000), ends: ctx, end: cancel}
+		d := &fakeDispatcher{received: make(chan *rpc.EntryBatch, 1000), toSend: make(chan *rpc.GrantBatch, 1000), ctx: ctx, cancel: cancel}
 		b.daemons[address] = d
 		return d, nil
 	}
-	b.begin()
+	b.startSessions()
 	t.Cleanup(func() { require.NoError(t, b.Stop(context.Background())) })
 	return b
 }
 
-// at returns the present session's other end on a daemon.
-func (b *bench) at(daemon string) *fakeDispatcher {
-	time.Sleep(2 * retryPause)
+// dispatcherOn returns the dispatcher's side of the current connection to a daemon.
+func (b *testClient) dispatcherOn(daemon string) *fakeDispatcher {
+	time.Sleep(2 * reconnectDelay)
 	synctest.Wait()
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.daemons[daemon]
 }
 
+// outcome is the result of one Acquire.
 type outcome struct {
 	ticket port.Ticket
 	err    error
 }
 
-func (b *bench) acquire(ctx context.Context) chan outcome {
+func (b *testClient) acquire(ctx context.Context) chan outcome {
 	out := make(chan outcome, 1)
 	go func() {
 		t, err := b.Acquire(ctx, port.Request{Pool: "m", Workspace: "w", Deadline: time.Now().Add(time.Minute)})
@@ -184,28 +186,30 @@
 	return out
 }
 
-func TestMoveOffersAgainAndOldGrantsDoNothing(t *testing.T) {
+// TestLeaseMoveRepeatsOffersAndIgnoresOldGrants guards against requests lost or
+// granted twice when a dispatcher's lease moves to another daemon.
+func TestLeaseMoveRepeatsOffersAndIgnoresOldGrants(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(t)
+		b := newTestClient(t)
 		b.view.move("here", "a", 1)
-		first := b.at("a")
-		go first.beat(1)
+		first := b.dispatcherOn("a")
+		go first.sendHeartbeats(1)
 		running, waiting := b.acquire(t.Context()), b.acquire(t.Context())
 		require.Len(t, first.read().Offers, 2)
 		first.grant(1, 1)
 		got := <-running
 		require.NoError(t, got.err)
 		b.view.move("here", "b", 2)
-		second := b.at("b")
-		go second.beat(2)
-		require.Error(t, first.ends.Err(), "the entry leaves a dispatcher whose lease moved")
+		second := b.dispatcherOn("b")
+		go second.sendHeartbeats(2)
+		require.Error(t, first.ctx.Err(), "the session to a dispatcher that lost its lease must end")
 		again := second.read().Offers
 		require.Len(t, again, 2)
-		require.Equal(t, "u", again[0].Running, "what runs takes its slot")
+		require.Equal(t, "u", again[0].Running, "a running request is offered with its upstream")
 		require.Empty(t, again[1].Running)
 		require.True(t, again[1].Admitted)
 		second.grant(1, 2)
-		require.Empty(t, waiting, "a grant of an earlier epoch")
+		require.Empty(t, waiting, "a grant of an earlier epoch has no effect")
 		second.grant(2, 2)
 		require.NoError(t, (<-waiting).err)
 		got.ticket.Release(sched.Release{Outcome: sched.Completed})
@@ -214,12 +218,14 @@
 	})
 }
 
-func TestGrantAfterWithdrawGivesTheSlotBack(t *testing.T) {
+// TestGrantAfterCancelReleasesSlot guards against a leaked slot when a grant
+// crosses the cancellation of its request.
+func TestGrantAfterCancelReleasesSlot(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(t)
+		b := newTestClient(t)
 		b.view.move("here", "a", 1)
-		d := b.at("a")
-		go d.beat(1)
+		d := b.dispatcherOn("a")
+		go d.sendHeartbeats(1)
 		ctx, cancel := context.WithCancel(t.Context())
 		w := b.acquire(ctx)
 		d.read()
@@ -227,56 +233,58 @@
 		require.Equal(t, fault.Canceled, fault.From((<-w).err).Kind)
 		require.Equal(t, []uint64{1}, d.read().Cancels)
 		d.grant(1, 1)
-		back := d.read().Releases
-		require.Len(t, back, 1)
-		require.EqualValues(t, sched.NotSent, back[0].Outcome)
+		releases := d.read().Releases
+		require.Len(t, releases, 1)
+		require.EqualValues(t, sched.NotSent, releases[0].Outcome)
 	})
 }
 
-func TestReleaseOutlivesABrokenSession(t *testing.T) {
+// TestReleaseIsSentAfterReconnect guards against a leaked slot when a request
+// ends while the session is down.
+func TestReleaseIsSentAfterReconnect(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(t)
+		b := newTestClient(t)
 		b.view.move("here", "a", 1)
-		d := b.at("a")
-		go d.beat(1)
+		d := b.dispatcherOn("a")
+		go d.sendHeartbeats(1)
 		w := b.acquire(t.Context())
 		d.grant(1, 1)
 		got := <-w
-		d.end()
+		d.cancel()
 		got.ticket.Release(sched.Release{Outcome: sched.ConnectionLost})
-		d = b.at("a")
-		go d.beat(1)
-		hello := d.read()
-		require.Len(t, hello.Releases, 1)
-		require.Empty(t, hello.Offers)
+		d = b.dispatcherOn("a")
+		go d.sendHeartbeats(1)
+		resync := d.read()
+		require.Len(t, resync.Releases, 1)
+		require.Empty(t, resync.Offers)
 	})
 }
 
-func TestSilentDispatcherIsLeft(t *testing.T) {
+func TestSessionEndsAfterTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(t)
+		b := newTestClient(t)
 		b.view.move("here", "a", 1)
-		d := b.at("a")
-		time.Sleep(silence + time.Millisecond)
+		d := b.dispatcherOn("a")
+		time.Sleep(sessionTimeout + time.Millisecond)
 		synctest.Wait()
-		require.Error(t, d.ends.Err())
+		require.Error(t, d.ctx.Err())
 	})
 }
 
-func TestSpillAsksTheOtherRegionThenTheFirstAgain(t *testing.T) {
+func TestSpillAsksOtherRegionThenOwnRegionFinally(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(t)
+		b := newTestClient(t)
 		b.view.move("here", "a", 1)
 		b.view.move("there", "b", 1)
-		here, there := b.at("a"), b.at("b")
-		go here.beat(1)
-		go there.beat(1)
+		here, there := b.dispatcherOn("a"), b.dispatcherOn("b")
+		go here.sendHeartbeats(1)
+		go there.sendHeartbeats(1)
 		w := b.acquire(t.Context())
 		here.refuse(1, 1, sched.Spill)
-		passed := there.read().Offers
-		require.Len(t, passed, 1)
-		require.Equal(t, "here", passed[0].Spilled)
-		there.refuse(1, passed[0].Id, sched.Overloaded)
+		spilled := there.read().Offers
+		require.Len(t, spilled, 1)
+		require.Equal(t, "here", spilled[0].Spilled)
+		there.refuse(1, spilled[0].Id, sched.Overloaded)
 		here.read()
 		here.refuse(1, 3, sched.Overloaded)
 		e := fault.From((<-w).err)
@@ -285,14 +293,16 @@
 	})
 }
 
-func TestPartitionMakesTheDecisionHereFinal(t *testing.T) {
+// TestUnreachableRegionMakesOwnDecisionFinal: a spilled request whose other
+// regions cannot be reached goes back to the own region as final.
+func TestUnreachableRegionMakesOwnDecisionFinal(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(t)
+		b := newTestClient(t)
 		b.down["b"] = true
 		b.view.move("here", "a", 1)
 		b.view.move("there", "b", 1)
-		here := b.at("a")
-		go here.beat(1)
+		here := b.dispatcherOn("a")
+		go here.sendHeartbeats(1)
 		b.acquire(t.Context())
 		require.False(t, here.read().Offers[0].Final)
 		here.refuse(1, 1, sched.Spill)
@@ -303,18 +313,20 @@
 	})
 }
 
-func TestSpilledRequestComesBackWhenTheLinkBreaks(t *testing.T) {
+// TestSpilledRequestReturnsWhenLinkBreaks guards against a spilled request that
+// waits until its deadline for a region that is no longer connected.
+func TestSpilledRequestReturnsWhenLinkBreaks(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(t)
+		b := newTestClient(t)
 		b.view.move("here", "a", 1)
 		b.view.move("there", "b", 1)
-		here, there := b.at("a"), b.at("b")
-		go here.beat(1)
-		go there.beat(1)
+		here, there := b.dispatcherOn("a"), b.dispatcherOn("b")
+		go here.sendHeartbeats(1)
+		go there.sendHeartbeats(1)
 		w := b.acquire(t.Context())
 		here.refuse(1, 1, sched.Spill)
 		require.Len(t, there.read().Offers, 1)
-		there.end()
+		there.cancel()
 		synctest.Wait()
 		offers := here.read().Offers
 		last := offers[len(offers)-1]
@@ -324,9 +336,11 @@
 	})
 }
 
-func TestAnnouncementsDoNotPileUpWithoutASession(t *testing.T) {
+// TestUnsentAnnouncementsAreBounded guards against memory that grows with each
+// announcement while a pool has no dispatcher.
+func TestUnsentAnnouncementsAreBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(t)
+		b := newTestClient(t)
 		s := b.session(port.Place{Pool: "m", Region: "here"}, time.Time{})
 		for n := range 3 * maxPendingEvents {
 			s.announce(&rpc.UpstreamState{Name: "u", Incarnation: 1, Running: uint32(n), CacheEvents: []*rpc.CacheEvent{{Sequence: uint64(n)}}})
--- a/internal/schedclient/speak.go
+++ b/internal/schedclient/speak.go
@@ -14,15 +14,15 @@
 )
 
 const (
-	// heartbeat is the longest pause between two batches.
-	heartbeat = 300 * time.Millisecond
-	// silence ends a session that carries nothing.
-	silence = 1200 * time.Millisecond
-	// retryPause is the wait before a session is opened again.
-	retryPause = 50 * time.Millisecond
+	// heartbeatInterval is the maximum time between two batches.
+	heartbeatInterval = 300 * time.Millisecond
+	// sessionTimeout ends a connection on which nothing arrives.
+	sessionTimeout = 1200 * time.Millisecond
+	// reconnectDelay is the delay before a session is opened again.
+	reconnectDelay = 50 * time.Millisecond
 )
 
-// stream is what a session needs of the drpc stream.
+// stream is the part of the drpc stream that a session uses.
 type stream interface {
 	Send(*rpc.EntryBatch) error
 	Recv() (*rpc.GrantBatch, error)
@@ -30,38 +30,40 @@
 }
 
 var (
-	errSilent = errors.New("the dispatcher fell silent")
-	errMoved  = errors.New("the dispatcher moved")
+	errTimeout    = errors.New("the dispatcher sent nothing within the session timeout")
+	errLeaseMoved = errors.New("the dispatcher's lease changed its holder or epoch")
 )
 
-// run follows the pool's lease from daemon to daemon.
+// run connects to the holder of the pool's lease, again after each disconnection,
+// until the session is canceled.
 func (s *session) run() {
 	ctx := s.ctx
-	cancel := s.service.upstreams.Subscribe(s.place, s.announce)
+	cancel := s.service.upstreams.Subscribe(s.pool, s.announce)
 	defer cancel()
 	for ctx.Err() == nil {
 		changed := s.service.view.Changed()
 		lease := s.lease()
 		holder, ok := port.ParseHolder(lease.Holder)
 		if ok {
-			err := s.speak(ctx, holder.Address, lease)
-			s.service.log.Debug("dispatcher session ended", zap.String("pool", s.place.Pool), zap.String("region", s.place.Region), zap.Error(err))
+			err := s.exchange(ctx, holder.Address, lease)
+			s.service.log.Debug("dispatcher session ended", zap.String("pool", s.pool.Pool), zap.String("region", s.pool.Region), zap.Error(err))
 		}
 		select {
 		case <-changed:
-		case <-time.After(retryPause):
+		case <-time.After(reconnectDelay):
 		case <-ctx.Done():
 		}
 	}
 }
 
 func (s *session) lease() state.Lease {
-	return s.service.view.Lease(port.DispatchLease(s.place.Pool, s.place.Region))
+	return s.service.view.Lease(port.DispatchLease(s.pool.Pool, s.pool.Region))
 }
 
-// speak holds one session with one dispatcher, until it ends, falls silent or
-// the lease moves on.
-func (s *session) speak(ctx context.Context, address string, lease state.Lease) error {
+// exchange sends and receives batches over one connection to a dispatcher. It
+// returns when the connection breaks, nothing arrives for sessionTimeout, the
+// lease moves or ctx ends.
+func (s *session) exchange(ctx context.Context, address string, lease state.Lease) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	stream, err := s.service.open(ctx, address)
@@ -70,34 +72,34 @@
 	}
 	defer stream.Close()
 	defer s.disconnect()
-	if err := s.send(stream, s.hello(lease.Epoch)); err != nil {
+	if err := s.send(stream, s.resyncBatch(lease.Epoch)); err != nil {
 		return err
 	}
 	in := make(chan *rpc.GrantBatch)
 	failed := make(chan error, 1)
 	go func() { failed <- duplex.Receive(ctx, stream.Recv, in) }()
-	quiet := time.NewTimer(silence)
-	defer quiet.Stop()
-	beat := time.NewTicker(heartbeat)
-	defer beat.Stop()
+	timeout := time.NewTimer(sessionTimeout)
+	defer timeout.Stop()
+	heartbeats := time.NewTicker(heartbeatInterval)
+	defer heartbeats.Stop()
 	for {
 		changed := s.service.view.Changed()
 		if s.lease() != lease {
-			return errMoved
+			return errLeaseMoved
 		}
 		err := error(nil)
 		select {
 		case <-s.wake:
-			err = s.send(stream, s.drain())
-		case <-beat.C:
-			err = s.send(stream, s.drain())
+			err = s.send(stream, s.takePending())
+		case <-heartbeats.C:
+			err = s.send(stream, s.takePending())
 		case b := <-in:
-			quiet.Reset(silence)
-			s.take(lease.Epoch, b)
-			s.crossed(causeScheduling, sizeOf(b))
+			timeout.Reset(sessionTimeout)
+			s.applyDecisions(lease.Epoch, b)
+			s.countLinkBytes(causeScheduling, sizeOf(b))
 		case err = <-failed:
-		case <-quiet.C:
-			err = errSilent
+		case <-timeout.C:
+			err = errTimeout
 		case <-changed:
 		case <-ctx.Done():
 			err = ctx.Err()
@@ -108,11 +110,12 @@
 	}
 }
 
-// send sends a batch. Where that fails, its releases and announcements go with
-// the next session's first batch; offers are repeated there anyway, and
-// cancels are no longer needed.
+// send sends a batch. If that fails, its releases and announcements become
+// pending again and go with the next connection's first batch. That batch repeats
+// all offers anyway, and a dispatcher drops the offers of a lost connection, so
+// cancels need no repetition.
 func (s *session) send(stream stream, b *rpc.EntryBatch) error {
-	s.crossed(causeScheduling, sizeOf(b))
+	s.countLinkBytes(causeScheduling, sizeOf(b))
 	err := stream.Send(b)
 	if err == nil {
 		return nil
@@ -124,12 +127,12 @@
 	return err
 }
 
-// disconnect tells those who wait that the session ended.
+// disconnect notifies spilled requests that the connection ended.
 func (s *session) disconnect() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.down != nil {
-		close(s.down)
-		s.down = nil
+	if s.disconnected != nil {
+		close(s.disconnected)
+		s.disconnected = nil
 	}
 }
