--- a/internal/directory/choose.go
+++ b/internal/directory/choose.go
@@ -9,46 +9,47 @@
 )
 
 const (
-	// maxAddresses bounds an answer.
+	// maxAddresses is the maximum number of addresses in an answer.
 	maxAddresses = 8
-	// leastSpare is the spare capacity that a fully loaded daemon counts with,
-	// so that stale load reports hide nobody.
-	leastSpare = 0.02
+	// minSpareCapacity is the spare capacity assumed of a fully loaded daemon, so
+	// that a stale load report does not remove it from the answers.
+	minSpareCapacity = 0.02
 )
 
-// distance orders daemons as a caller sees them.
+// distance is how far a daemon is from a caller; smaller values are nearer.
 type distance int
 
 const (
 	sameDataCentre distance = iota
 	sameRegion
-	elsewhere
+	otherRegion
 )
 
-// candidate is a daemon with its place in the answer.
+// candidate is a daemon with its sort keys: distance, then sampling key.
 type candidate struct {
-	address  string
-	distance distance
-	draw     float64
+	address   string
+	distance  distance
+	sampleKey float64
 }
 
-// choose lists live entries that don't drain and have a configuration: nearest first, and at one
-// distance in an order drawn by spare capacity, so that many callers spread in
-// proportion to it. The draw is Efraimidis and Spirakis' weighted sampling;
-// random returns numbers in [0, 1).
+// choose lists the live entries that don't drain and have a configuration, at
+// most maxAddresses, the nearest first. Entries at the same distance are shuffled
+// with their spare capacity as weight, so that callers spread in proportion to
+// it, by Efraimidis and Spirakis' weighted sampling; random returns numbers in
+// [0, 1).
 func choose(live []port.Member, dataCentre string, random func() float64) []string {
 	region := regionOf(live, dataCentre)
-	oldest := leastVersion(live)
+	minVersion := requiredVersion(live)
 	all := []candidate{}
 	for _, m := range live {
-		if m.Leaving || m.Callers == "" || m.Version < oldest {
+		if m.Leaving || m.Callers == "" || m.Version < minVersion {
 			continue
 		}
-		spare := max(leastSpare, 1-m.Load)
-		all = append(all, candidate{address: m.Callers, distance: distanceTo(m, region, dataCentre), draw: -math.Log(1-random()) / spare})
+		spare := max(minSpareCapacity, 1-m.Load)
+		all = append(all, candidate{address: m.Callers, distance: distanceTo(m, region, dataCentre), sampleKey: -math.Log(1-random()) / spare})
 	}
 	slices.SortFunc(all, func(a, b candidate) int {
-		return cmp.Or(cmp.Compare(a.distance, b.distance), cmp.Compare(a.draw, b.draw))
+		return cmp.Or(cmp.Compare(a.distance, b.distance), cmp.Compare(a.sampleKey, b.sampleKey))
 	})
 	out := []string{}
 	for _, c := range all[:min(len(all), maxAddresses)] {
@@ -57,9 +58,10 @@
 	return out
 }
 
-// leastVersion is 1 once any daemon has a configuration: one that has just
-// started knows no workspace yet and would refuse every caller.
-func leastVersion(live []port.Member) uint64 {
+// requiredVersion returns the minimum configuration version of a listed entry: 1
+// if any daemon has a configuration, otherwise 0. A daemon that has just started
+// knows no workspace yet and would refuse every caller.
+func requiredVersion(live []port.Member) uint64 {
 	for _, m := range live {
 		if m.Version > 0 {
 			return 1
@@ -75,10 +77,11 @@
 	case m.Region == region:
 		return sameRegion
 	}
-	return elsewhere
+	return otherRegion
 }
 
-// regionOf finds a data centre's region by any daemon in it.
+// regionOf returns the region of any live daemon in a data centre, or an empty
+// string if there is none.
 func regionOf(live []port.Member, dataCentre string) string {
 	for _, m := range live {
 		if m.DataCentre == dataCentre {
--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -1,9 +1,9 @@
-// Package directory answers callers' question which entries they may use, and
-// for how long. No balancer stands before the daemons: callers keep the answer
-// for its lifetime and connect directly.
+// Package directory tells callers which entries they may use and for how long.
+// It replaces a load balancer in front of the daemons: callers cache the answer
+// for its TTL and connect to the entries directly.
 //
-// A daemon that drains leaves the answers of all daemons, then serves on until
-// every answer that may still name it has run out.
+// A draining daemon is removed from the answers of all daemons and continues to
+// serve until every answer that may still list it has expired.
 package directory
 
 import (
@@ -19,20 +19,20 @@
 )
 
 const (
-	// life is how long an answer may be kept.
-	life = 5 * time.Second
-	// spreadTime is how long the news that a daemon drains may take to reach
-	// all others, which give out its address until then.
-	spreadTime = 3 * time.Second
+	// answerTTL is how long callers may cache an answer.
+	answerTTL = 5 * time.Second
+	// propagationTimeout bounds how long the announcement that a daemon drains
+	// takes to reach all others, which list its address until then.
+	propagationTimeout = 3 * time.Second
 )
 
-// members is what the directory needs of membership.
+// members is the part of the member service that the directory uses.
 type members interface {
 	port.Members
 	port.Leaver
 }
 
-// Service is the "directory" service.
+// Service is the "directory" service. Its methods are safe for concurrent use.
 type Service struct {
 	set     *settings.Settings
 	log     *zap.Logger
@@ -47,40 +47,41 @@
 // Name returns the service's name.
 func (s *Service) Name() string { return port.NameDirectory }
 
-// Needs returns the members.
+// Needs returns the member list.
 func (s *Service) Needs() []string { return []string{port.NameMembers} }
 
-// Start finds the members.
+// Start looks up the member list.
 func (s *Service) Start(_ context.Context, k *kernel.Kernel) error {
 	err := error(nil)
 	s.members, err = kernel.Find[members](k, port.NameMembers)
 	return err
 }
 
-// Answer returns callers' addresses, the best first, and how long they may be
-// kept. A caller that doesn't say where it is counts as near this daemon.
+// Answer returns the callers' addresses of entries for a caller in a data centre,
+// the best first, and how long the answer may be cached. An empty dataCentre
+// means this daemon's.
 func (s *Service) Answer(dataCentre string) ([]string, time.Duration) {
 	if dataCentre == "" {
 		dataCentre = s.set.DataCentre
 	}
 	if s.set.Routing != nil {
-		kept := time.Duration(s.set.Routing.AnswerLifeMS) * time.Millisecond
-		return nearest(s.members.Live(), s.set.Routing.DataCentres, dataCentre), kept
+		ttl := time.Duration(s.set.Routing.AnswerLifeMS) * time.Millisecond
+		return nearest(s.members.Live(), s.set.Routing.DataCentres, dataCentre), ttl
 	}
-	return choose(s.members.Live(), dataCentre, rand.Float64), life
+	return choose(s.members.Live(), dataCentre, rand.Float64), answerTTL
 }
 
-// Drain leaves the directory and waits until no caller holds an answer that
-// names this daemon, or until the context ends. Meanwhile the daemon serves.
+// Drain removes this daemon from the directory and waits until every answer that
+// lists it has expired, or ctx ends. The daemon serves meanwhile.
 func (s *Service) Drain(ctx context.Context) error {
 	if s.set.Routing != nil {
-		// The entry itself serves those callers on; see internal/forward.
+		// internal/forward itself serves these callers until they have moved.
 		return nil
 	}
 	s.members.Announce()
-	s.log.Info("left the directory; serving callers that hold an older answer", zap.Duration("for", life+spreadTime))
+	s.log.Info("removed from the directory; still serving callers with a cached answer", zap.Duration("for", answerTTL+propagationTimeout))
 	select {
-	case <-time.After(life + spreadTime):
+	case <-time.After(answerTTL + propagationTimeout):
 		return nil
 	case <-ctx.Done():
 		return ctx.Err()
@@ -90,10 +91,10 @@
 // Stop does nothing.
 func (s *Service) Stop(context.Context) error { return nil }
 
-// Health returns nil.
+// Health always returns nil.
 func (s *Service) Health() error { return nil }
 
-// Dump shows the present answer for a caller nearby.
+// Dump returns the current answer for a caller in this daemon's data centre.
 func (s *Service) Dump() any {
 	addresses, _ := s.Answer("")
 	return struct {
--- a/internal/directory/directory_test.go
+++ b/internal/directory/directory_test.go
@@ -14,7 +14,9 @@
 	"github.com/verbenastep/verbenastep/internal/settings"
 )
 
-func fleet() []port.Member {
+// testMembers lists two daemons in data centre a, one elsewhere in its region, one
+// in another region and one that drains.
+func testMembers() []port.Member {
 	return []port.Member{
 		{Callers: "far", DataCentre: "c", Region: "s", Load: 0},
 		{Callers: "near", DataCentre: "b", Region: "r", Load: 0},
@@ -24,23 +26,25 @@
 	}
 }
 
-func TestNearestFirstWithoutThoseThatDrain(t *testing.T) {
-	got := choose(fleet(), "a", rand.New(rand.NewPCG(1, 1)).Float64)
+func TestNearestEntriesFirstWithoutDraining(t *testing.T) {
+	got := choose(testMembers(), "a", rand.New(rand.NewPCG(1, 1)).Float64)
 	require.ElementsMatch(t, []string{"busy", "idle"}, got[:2])
 	require.Equal(t, []string{"near", "far"}, got[2:])
 }
 
-func TestCallersSpreadBySpareCapacity(t *testing.T) {
+func TestCallersSpreadInProportionToSpareCapacity(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	first := map[string]int{}
 	for range 10_000 {
-		first[choose(fleet(), "a", rng.Float64)[0]]++
+		first[choose(testMembers(), "a", rng.Float64)[0]]++
 	}
 	require.InDelta(t, 9000, first["idle"], 300)
 	require.InDelta(t, 1000, first["busy"], 300)
 }
 
-func TestDaemonWithoutConfigurationIsNotNamed(t *testing.T) {
+// TestDaemonWithoutConfigurationIsNotListed guards against callers sent to a daemon
+// that has just started and refuses them because it knows no workspace yet.
+func TestDaemonWithoutConfigurationIsNotListed(t *testing.T) {
 	live := []port.Member{{Callers: "new", DataCentre: "a"}, {Callers: "old", DataCentre: "b", Version: 3}}
 	require.Equal(t, []string{"old"}, choose(live, "a", rand.New(rand.NewPCG(1, 1)).Float64))
 	require.Equal(t, []string{"new"}, choose(live[:1], "a", rand.New(rand.NewPCG(1, 1)).Float64))
@@ -54,7 +58,7 @@
 	require.Len(t, choose(live, "a", rand.New(rand.NewPCG(1, 1)).Float64), maxAddresses)
 }
 
-// fakeMembers marks itself as leaving once announced.
+// fakeMembers lists itself as leaving after Announce.
 type fakeMembers struct {
 	leaving bool
 }
@@ -67,15 +71,17 @@
 
 func (f *fakeMembers) Find(string) (port.Member, bool) { return port.Member{}, false }
 
-func TestDrainWaitsOutTheAnswers(t *testing.T) {
+// TestDrainWaitsUntilAnswersExpire guards against callers with a cached answer that
+// find the listed daemon stopped.
+func TestDrainWaitsUntilAnswersExpire(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := New(&settings.Settings{DataCentre: "a"}, zap.NewNop())
 		s.members = &fakeMembers{}
-		addresses, lifetime := s.Answer("")
+		addresses, ttl := s.Answer("")
 		require.Equal(t, []string{"self", "other"}, addresses)
-		began := time.Now()
+		started := time.Now()
 		require.NoError(t, s.Drain(t.Context()))
-		require.Greater(t, time.Since(began), lifetime)
+		require.Greater(t, time.Since(started), ttl)
 		addresses, _ = s.Answer("")
 		require.Equal(t, []string{"other"}, addresses)
 
--- a/internal/directory/nearest.go
+++ b/internal/directory/nearest.go
@@ -3,20 +3,21 @@
 import "github.com/verbenastep/verbenastep/internal/port"
 
 const (
-	// maxNearest bounds an answer.
+	// maxNearest is the maximum number of addresses in an answer.
 	maxNearest = 64
-	// enoughNearby is how many entries of a data centre are enough for its
-	// callers: with one fewer, the loss of one would leave none.
-	enoughNearby = 2
+	// minNearby is the minimum number of entries in an answer that is limited to a
+	// data centre or region: with one fewer, the loss of an entry would leave none.
+	minNearby = 2
 )
 
-// nearest lists the entries that callers of a data centre use: those there, or
-// where these are too few those of the region, or all. Callers pick at random.
+// nearest lists the entries for callers of a data centre: those in it, or if they
+// are fewer than minNearby those of its region, or else all. Callers pick one at
+// random. regions maps data centres to regions.
 func nearest(live []port.Member, regions map[string]string, dataCentre string) []string {
 	local, regional, all := []string{}, []string{}, []string{}
-	oldest := leastVersion(live)
+	minVersion := requiredVersion(live)
 	for _, m := range live {
-		if m.Leaving || m.Callers == "" || m.Version < oldest {
+		if m.Leaving || m.Callers == "" || m.Version < minVersion {
 			continue
 		}
 		all = append(all, m.Callers)
@@ -28,7 +29,7 @@
 		}
 	}
 	for _, list := range [][]string{local, regional, all} {
-		if len(list) >= enoughNearby {
+		if len(list) >= minNearby {
 			return list[:min(len(list), maxNearest)]
 		}
 	}
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -1,5 +1,7 @@
-// Package registry receives the announcements of upstreams and hands them to
-// the dispatchers of their pools.
+// Package registry receives the announcements of upstreams over HTTP and passes
+// them to subscribers; internal/schedclient subscribes and forwards them to the
+// dispatchers. An announcement is kept until its lease ends, and a later
+// incarnation of an upstream is never replaced by an earlier one.
 package registry
 
 import (
@@ -24,38 +26,40 @@
 )
 
 const (
-	// leaseMS is how long an announcement holds, in milliseconds.
+	// leaseMS is the validity of an announcement, in milliseconds.
 	leaseMS = 2000
-	// renewMS is how often upstreams announce, in milliseconds.
+	// renewMS is the interval at which upstreams repeat it, in milliseconds.
 	renewMS = 500
-	// maxAnnouncement is the largest announcement, in bytes.
-	maxAnnouncement = 1 << 20
-	// readTimeout bounds reading one announcement.
+	// maxAnnouncementBytes is the maximum size of an announcement's body.
+	maxAnnouncementBytes = 1 << 20
+	// readTimeout bounds reading an announcement, and writing its answer.
 	readTimeout = 5 * time.Second
-	// idleTimeout closes upstreams' connections that carry no announcement.
+	// idleTimeout closes upstreams' connections without announcements.
 	idleTimeout = 30 * time.Second
-	// maxAddresses is how many daemons a renewal names.
+	// maxAddresses is the maximum number of daemons listed in a renewal.
 	maxAddresses = 16
 )
 
-// held is an announcement until its lease ends.
-type held struct {
-	state   *rpc.UpstreamState
-	place   port.Place
-	expires time.Time
+// announced is an upstream's last announcement.
+type announced struct {
+	state     *rpc.UpstreamState
+	pool      port.Place
+	expiresAt time.Time
 }
 
-// Service is the "upstream.registry" service.
+// Service is the "upstream.registry" service. Its methods are safe for concurrent
+// use.
 type Service struct {
 	set    *settings.Settings
 	log    *zap.Logger
 	server *http.Server
 	ln     net.Listener
-	// members are the daemons that upstreams may announce themselves to.
+	// members lists the daemons to which upstreams may announce themselves.
 	members port.Members
 
-	mu          sync.Mutex
-	held        map[string]held
+	mu sync.Mutex
+	// upstreams holds the announcements by the upstream's name.
+	upstreams   map[string]announced
 	subscribers map[port.Place]map[int]func(*rpc.UpstreamState)
 	nextID      int
 }
@@ -63,7 +67,7 @@
 // New returns the service.
 func New(set *settings.Settings, log *zap.Logger) *Service {
 	return &Service{
-		set: set, log: log.Named("upstream"), held: map[string]held{},
+		set: set, log: log.Named("upstream"), upstreams: map[string]announced{},
 		subscribers: map[port.Place]map[int]func(*rpc.UpstreamState){},
 	}
 }
@@ -71,10 +75,10 @@
 // Name returns the service's name.
 func (s *Service) Name() string { return port.NameUpstreams }
 
-// Needs returns the members, whom upstreams are told of.
+// Needs returns the member list, whose addresses upstreams are told.
 func (s *Service) Needs() []string { return []string{port.NameMembers} }
 
-// Start listens for announcements.
+// Start listens on the upstreams' address.
 func (s *Service) Start(_ context.Context, k *kernel.Kernel) error {
 	members, err := kernel.Find[port.Members](k, port.NameMembers)
 	if err != nil {
@@ -93,35 +97,38 @@
 	return nil
 }
 
+// announce checks and keeps an announcement and answers with its renewal.
 func (s *Service) announce(w http.ResponseWriter, r *http.Request) {
-	if !s.authentic(r) {
-		refuse(w, fault.New(fault.Unauthenticated, "send a key whose hash the daemon's settings list", "the upstream's key is wrong"))
+	if !s.isAuthenticated(r) {
+		writeError(w, fault.New(fault.Unauthenticated, "send a key whose hash the daemon's settings list", "the upstream's key is wrong"))
 		return
 	}
 	a := upstream.Announcement{}
-	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxAnnouncement)).Decode(&a); err != nil {
-		refuse(w, fault.New(fault.Malformed, "see docs/UPSTREAMS.md", "the announcement is not readable: %v", err))
+	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxAnnouncementBytes)).Decode(&a); err != nil {
+		writeError(w, fault.New(fault.Malformed, "see docs/UPSTREAMS.md", "the announcement is not readable: %v", err))
 		return
 	}
 	if a.Name == "" || a.Pool == "" || a.Address == "" || a.Slots < 1 {
-		refuse(w, fault.New(fault.Malformed, "give name, pool, address and slots", "the announcement is incomplete"))
+		writeError(w, fault.New(fault.Malformed, "give name, pool, address and slots", "the announcement is incomplete"))
 		return
 	}
 	if !s.accept(a) {
-		refuse(w, fault.New(fault.Conflict, "give each upstream its own name, and a higher incarnation at each start", "a later incarnation of %q is announced", a.Name))
+		writeError(w, fault.New(fault.Conflict, "give each upstream its own name, and a higher incarnation at each start", "a later incarnation of %q is announced", a.Name))
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(w).Encode(upstream.Renewal{LeaseMS: leaseMS, RenewMS: renewMS, Addresses: s.addresses()})
 }
 
-func refuse(w http.ResponseWriter, e *fault.Error) {
+func writeError(w http.ResponseWriter, e *fault.Error) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(e.HTTPStatus())
 	_, _ = w.Write(e.Encode())
 }
 
-func (s *Service) authentic(r *http.Request) bool {
+// isAuthenticated tells whether a request has a known upstream key. Without
+// declared keys every request has.
+func (s *Service) isAuthenticated(r *http.Request) bool {
 	if len(s.set.UpstreamKeys) == 0 {
 		return true
 	}
@@ -129,8 +136,8 @@
 	return slices.Contains(s.set.UpstreamKeys, config.HashKey(key))
 }
 
-// addresses lists where else upstreams may announce themselves, this daemon
-// first.
+// addresses lists the daemons' upstream addresses, this daemon's first and at
+// most maxAddresses.
 func (s *Service) addresses() []string {
 	out := []string{s.set.Addresses.Upstreams}
 	for _, m := range s.members.Live() {
@@ -141,8 +148,8 @@
 	return out
 }
 
-// accept keeps an announcement and passes it on. It returns false where a later
-// incarnation of the same upstream is held.
+// accept stores an announcement and notifies the subscribers. It returns false if
+// a later incarnation of the same upstream is known.
 func (s *Service) accept(a upstream.Announcement) bool {
 	state := &rpc.UpstreamState{
 		Name: a.Name, Address: a.Address, Region: a.Region, DataCentre: a.DataCentre,
@@ -156,30 +163,32 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.prune()
-	if s.held[a.Name].state.GetIncarnation() > a.Incarnation {
+	if s.upstreams[a.Name].state.GetIncarnation() > a.Incarnation {
 		return false
 	}
-	s.held[a.Name] = held{state: state, place: at, expires: time.Now().Add(leaseMS * time.Millisecond)}
+	s.upstreams[a.Name] = announced{state: state, pool: at, expiresAt: time.Now().Add(leaseMS * time.Millisecond)}
 	for _, fn := range s.subscribers[at] {
 		fn(state)
 	}
 	return true
 }
 
-// prune forgets announcements whose lease has ended.
+// prune deletes the announcements whose lease has ended; the lock is held.
 func (s *Service) prune() {
 	now := time.Now()
-	for name, h := range s.held {
-		if h.expires.Before(now) {
-			delete(s.held, name)
+	for name, u := range s.upstreams {
+		if u.expiresAt.Before(now) {
+			delete(s.upstreams, name)
 		}
 	}
 }
 
-// Address returns where announcements are taken; it is known once started.
+// Address returns the listening address. It panics before Start.
 func (s *Service) Address() string { return s.ln.Addr().String() }
 
-// Subscribe passes on a place's announcements; fn must not block.
+// Subscribe calls fn for the known and each further announcement of a pool in a
+// region, until the returned function is called. fn is called with the lock held
+// and must not block.
 func (s *Service) Subscribe(at port.Place, fn func(*rpc.UpstreamState)) func() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -190,9 +199,9 @@
 	}
 	s.subscribers[at][id] = fn
 	s.prune()
-	for _, h := range s.held {
-		if h.place == at {
-			fn(h.state)
+	for _, u := range s.upstreams {
+		if u.pool == at {
+			fn(u.state)
 		}
 	}
 	return func() {
@@ -202,34 +211,34 @@
 	}
 }
 
-// Places lists what the upstreams that announce themselves here serve.
+// Places lists the pools that the upstreams announced to this daemon serve.
 func (s *Service) Places() []port.Place {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.prune()
 	out := []port.Place{}
-	for _, h := range s.held {
-		if !slices.Contains(out, h.place) {
-			out = append(out, h.place)
+	for _, u := range s.upstreams {
+		if !slices.Contains(out, u.pool) {
+			out = append(out, u.pool)
 		}
 	}
 	return out
 }
 
-// Stop closes the listener.
+// Stop closes the listener and waits for open requests until ctx ends.
 func (s *Service) Stop(ctx context.Context) error {
 	return s.server.Shutdown(ctx)
 }
 
-// Health returns nil.
+// Health always returns nil.
 func (s *Service) Health() error { return nil }
 
-// Dump lists the upstreams that announce themselves here.
+// Dump lists the names of the upstreams announced to this daemon.
 func (s *Service) Dump() any {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	out := []string{}
-	for name := range s.held {
+	for name := range s.upstreams {
 		out = append(out, name)
 	}
 	slices.Sort(out)
--- a/internal/registry/registry_test.go
+++ b/internal/registry/registry_test.go
@@ -17,7 +17,7 @@
 	"github.com/verbenastep/verbenastep/internal/standin"
 )
 
-// memberList is a fixed list of daemons.
+// memberList is a member service with a fixed list of daemons.
 type memberList []port.Member
 
 func (m memberList) Live() []port.Member                         { return m }
@@ -54,26 +54,28 @@
 	return ann.Announce(t.Context(), s.Address())
 }
 
-func TestAnnounceRenewLeave(t *testing.T) {
+func TestAnnouncementsReachSubscribers(t *testing.T) {
 	s := start(t)
-	heard := make(chan *rpc.UpstreamState, 8)
-	cancel := s.Subscribe(port.Place{Pool: "m", Region: "r"}, func(u *rpc.UpstreamState) { heard <- u })
+	received := make(chan *rpc.UpstreamState, 8)
+	cancel := s.Subscribe(port.Place{Pool: "m", Region: "r"}, func(u *rpc.UpstreamState) { received <- u })
 	defer cancel()
 	renewal, err := announce(t, s, "key", announcement(5))
 	require.NoError(t, err)
 	require.Subset(t, renewal.Addresses, []string{"127.0.0.1:1", "127.0.0.1:2"})
 	require.Positive(t, renewal.LeaseMS-renewal.RenewMS)
-	u := <-heard
+	u := <-received
 	require.Equal(t, uint64(5), u.Incarnation)
 	require.Equal(t, uint64(3), u.CacheEvents[0].Sequence)
 	leaving := announcement(5)
 	leaving.Leaving = true
 	_, err = announce(t, s, "key", leaving)
 	require.NoError(t, err)
-	require.True(t, (<-heard).Leaving)
+	require.True(t, (<-received).Leaving)
 }
 
-func TestRefusedAnnouncements(t *testing.T) {
+// TestInvalidAnnouncementsAreRefused sends a wrong key, an incomplete announcement
+// and one of an earlier incarnation.
+func TestInvalidAnnouncementsAreRefused(t *testing.T) {
 	s := start(t)
 	_, err := announce(t, s, "wrong", announcement(5))
 	require.ErrorContains(t, err, http.StatusText(http.StatusUnauthorized))
