--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -1,5 +1,6 @@
-// Package admin serves the administrative address: metrics, health, state
-// dumps, and what operators ask and apply.
+// Package admin serves the administrative HTTP address: metrics, health and
+// readiness without authentication, and for authenticated operators state dumps,
+// the configuration, explanations of requests, replicas and backups.
 package admin
 
 import (
@@ -27,24 +28,24 @@
 )
 
 const (
-	// maxApply is the largest configuration that is taken, in bytes.
-	maxApply = 16 << 20
-	// These bound how long a client may keep a connection waiting.
+	// maxApplyBytes is the maximum size of a configuration change.
+	maxApplyBytes = 16 << 20
+	// These timeouts bound how long a client may occupy a connection.
 	headerTimeout = 5 * time.Second
 	readTimeout   = 30 * time.Second
 	writeTimeout  = time.Minute
 	idleTimeout   = time.Minute
-	// maxHeader is the largest header, in bytes.
-	maxHeader = 16 << 10
+	// maxHeaderBytes is the maximum size of a request header.
+	maxHeaderBytes = 16 << 10
 )
 
-// filesView is the view with the files it holds.
+// filesView is a view that also returns the configuration files in force.
 type filesView interface {
 	port.View
 	Files() config.Files
 }
 
-// Service is the "admin.http" service.
+// Service is the "admin.http" service. Its methods are safe for concurrent use.
 type Service struct {
 	set     *settings.Settings
 	log     *zap.Logger
@@ -64,7 +65,7 @@
 // Name returns the service's name.
 func (s *Service) Name() string { return port.NameAdmin }
 
-// Needs returns what operators ask about.
+// Needs lists the services behind the operators' requests.
 func (s *Service) Needs() []string {
 	return []string{port.NameView, port.NameLog, port.NameMembers, port.NameMetrics}
 }
@@ -91,15 +92,16 @@
 	}
 	s.server = &http.Server{
 		Handler: s.routes(), ReadHeaderTimeout: headerTimeout, ReadTimeout: readTimeout,
-		WriteTimeout: writeTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeader,
+		WriteTimeout: writeTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes,
 	}
 	go func() { _ = s.server.Serve(ln) }()
 	return nil
 }
 
+// routes returns the HTTP handler.
 func (s *Service) routes() http.Handler {
 	e := echo.New()
-	e.HTTPErrorHandler = failed
+	e.HTTPErrorHandler = writeError
 	e.GET("/metrics", echo.WrapHandler(promhttp.HandlerFor(s.metrics.Gatherer(), promhttp.HandlerOpts{})))
 	e.GET("/healthz", s.healthz)
 	e.GET("/readyz", s.readyz)
@@ -112,7 +114,8 @@
 	return e
 }
 
-func failed(err error, c echo.Context) {
+// writeError answers an error as a fault, unless the response has begun.
+func writeError(err error, c echo.Context) {
 	if c.Response().Committed {
 		return
 	}
@@ -123,9 +126,10 @@
 	_ = c.JSON(e.HTTPStatus(), e)
 }
 
-// operatorID is the context key under which the operator's identity stands.
+// operatorID is the request context's key for the operator's identity.
 const operatorID = "operator"
 
+// authenticated is middleware that requires an operator's key.
 func (s *Service) authenticated(next echo.HandlerFunc) echo.HandlerFunc {
 	return func(c echo.Context) error {
 		id := identity(c.Request().Header.Get("Authorization"))
@@ -137,14 +141,16 @@
 	}
 }
 
-// identity names an operator in the log by the key's hash. The declared name
-// would not do: a change may declare or rename the operator who makes it, and
-// its resend must still count as the same operator's.
+// identity returns the hash of the key in an Authorization header, which
+// identifies an operator in the replicated log. The declared name is unsuitable:
+// a change may declare or rename the operator that makes it, and a repetition of
+// the change must still count as the same operator's.
 func identity(header string) string {
 	return config.HashKey(strings.TrimPrefix(header, "Bearer "))
 }
 
-// operatorOf finds the name behind an identity, for people.
+// operatorOf returns the declared name of an identity, or "settings" and whether
+// the settings list it.
 func (s *Service) operatorOf(id string) (string, bool) {
 	for _, o := range s.view.Snapshot().Config.Operators {
 		if slices.Contains(o.Keys, id) {
@@ -154,7 +160,7 @@
 	return "settings", slices.Contains(s.set.OperatorKeys, id)
 }
 
-// winner names who made the version that came first.
+// winner returns the name of the operator who made a version, for messages.
 func (s *Service) winner(id string) string {
 	if name, ok := s.operatorOf(id); ok {
 		return name
@@ -170,7 +176,7 @@
 	return c.String(http.StatusOK, "ok\n")
 }
 
-// readyz says whether callers may be sent here: a configuration is in force.
+// readyz answers 200 if a configuration is in force and no service is failing.
 func (s *Service) readyz(c echo.Context) error {
 	if s.view.Snapshot().Version == 0 || len(s.failing()) > 0 {
 		return c.String(http.StatusServiceUnavailable, "no configuration is in force, or a service is failing\n")
@@ -178,6 +184,7 @@
 	return c.String(http.StatusOK, "ready\n")
 }
 
+// failing returns the failing services' errors by name.
 func (s *Service) failing() map[string]string {
 	out := map[string]string{}
 	for name, err := range s.kernel.Health() {
@@ -195,13 +202,13 @@
 	return c.JSON(http.StatusOK, operator.Config{Version: snap.Version, Digest: snap.Digest, Files: operator.Files(s.view.Files())})
 }
 
-// readApply reads a change; what it holds is checked afterwards.
+// readApply decodes a change from the body; it does not check the files in it.
 func readApply(c echo.Context) (operator.Apply, error) {
 	a := operator.Apply{}
-	err := json.NewDecoder(http.MaxBytesReader(c.Response(), c.Request().Body, maxApply)).Decode(&a)
+	err := json.NewDecoder(http.MaxBytesReader(c.Response(), c.Request().Body, maxApplyBytes)).Decode(&a)
 	large := (*http.MaxBytesError)(nil)
 	if errors.As(err, &large) {
-		return a, fault.New(fault.TooLarge, "send fewer or smaller files", "the configuration is over %d bytes", maxApply)
+		return a, fault.New(fault.TooLarge, "send fewer or smaller files", "the configuration is over %d bytes", maxApplyBytes)
 	}
 	if err != nil {
 		return a, fault.New(fault.Malformed, "send an apply as docs/OPERATORS.md shows", "the body is not readable: %v", err)
@@ -209,6 +216,8 @@
 	return a, nil
 }
 
+// apply checks a change and proposes it to the log. The answer is a conflict if
+// another change was accepted on the same base.
 func (s *Service) apply(c echo.Context) error {
 	a, err := readApply(c)
 	if err != nil {
@@ -233,7 +242,8 @@
 	return c.JSON(http.StatusOK, operator.Applied{Version: result.Version, Digest: result.Digest})
 }
 
-// explain asks the entry, which is found at the request: it starts later.
+// explain answers how this daemon's entry handled a request. The entry starts
+// after this service, so it is looked up for each call.
 func (s *Service) explain(c echo.Context) error {
 	key := c.QueryParam("key")
 	if key == "" {
@@ -243,13 +253,14 @@
 	if err != nil {
 		return fault.New(fault.Unavailable, "ask another daemon", "this daemon explains no requests: %v", err)
 	}
-	why, ok := entry.Explain(key)
+	explanation, ok := entry.Explain(key)
 	if !ok {
 		return fault.New(fault.NotFound, "ask the daemon that took the request, or check the key", "this daemon has seen no request with the key")
 	}
-	return c.JSONBlob(http.StatusOK, why)
+	return c.JSONBlob(http.StatusOK, explanation)
 }
 
+// status answers which configuration version each live daemon has in force.
 func (s *Service) status(c echo.Context) error {
 	snap := s.view.Snapshot()
 	out := operator.Status{Daemon: s.set.Name, Version: snap.Version, Digest: snap.Digest, Failing: s.failing()}
@@ -267,13 +278,13 @@
 	return c.JSON(http.StatusOK, out)
 }
 
-// Stop closes the listener.
+// Stop closes the listener and waits for open requests until ctx ends.
 func (s *Service) Stop(ctx context.Context) error {
 	return s.server.Shutdown(ctx)
 }
 
-// Health returns nil while the server listens.
+// Health always returns nil.
 func (s *Service) Health() error { return nil }
 
-// Dump has nothing of its own.
+// Dump returns an empty object.
 func (s *Service) Dump() any { return struct{}{} }
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -25,7 +25,7 @@
 	"github.com/verbenastep/verbenastep/internal/settings"
 )
 
-// Planted secrets; none may show in a dump, a metric or a log.
+// Secrets that must not appear in a dump, a metric or a log.
 const (
 	plantedOperator  = "planted-operator-key"
 	plantedWorkspace = "planted-workspace-key"
@@ -33,7 +33,7 @@
 	plantedPeer      = "planted-peer-secret"
 )
 
-// safeBuffer collects log lines of several goroutines.
+// safeBuffer is a buffer for concurrent writers of log lines.
 type safeBuffer struct {
 	mu  sync.Mutex
 	buf bytes.Buffer
@@ -51,8 +51,9 @@
 	return b.buf.String()
 }
 
-// single starts a daemon that is its own only replica.
-func single(t *testing.T) (*settings.Settings, *safeBuffer) {
+// startDaemon starts a daemon that is the only replica, and returns its settings
+// and log.
+func startDaemon(t *testing.T) (*settings.Settings, *safeBuffer) {
 	t.Helper()
 	ports, err := freeport.Addresses(4)
 	require.NoError(t, err)
@@ -77,7 +78,7 @@
 	return set, logs
 }
 
-// get asks the administrative address.
+// get sends a GET request to the administrative address.
 func get(t *testing.T, set *settings.Settings, path, key string) (int, string) {
 	t.Helper()
 	return exchange(t, http.MethodGet, "http://"+set.Addresses.Admin+path, key, http.NoBody)
@@ -119,12 +120,15 @@
 	}
 }
 
+// TestAdministrativeAddress checks readiness, authentication, configuration changes and
+// that no secret appears in an answer, an error, a metric or the log. Keys are
+// planted in the settings, the configuration and requests before.
 func TestAdministrativeAddress(t *testing.T) {
-	set, logs := single(t)
+	set, logs := startDaemon(t)
 	op := client.Operator{Address: set.Addresses.Admin, Key: plantedOperator}
 
 	code, _ := get(t, set, "/readyz", "")
-	require.Equal(t, http.StatusServiceUnavailable, code, "ready without a configuration")
+	require.Equal(t, http.StatusServiceUnavailable, code, "a daemon without a configuration is not ready")
 	for _, path := range []string{operator.PathConfig, operator.PathState, operator.PathStatus, operator.PathExplain + "?key=k"} {
 		for _, key := range []string{"", "wrong", config.HashKey(plantedOperator), plantedUpstream} {
 			code, body := get(t, set, path, key)
@@ -136,7 +140,7 @@
 	_, err := op.Apply(t.Context(), operator.Apply{Files: configuration(plantedWorkspace)})
 	require.Equal(t, fault.Malformed, fault.From(err).Kind)
 	require.Contains(t, err.Error(), "all.json: $.workspaces[0].keys[0]")
-	require.NotContains(t, err.Error(), "planted", "a fault repeats a key")
+	require.NotContains(t, err.Error(), "planted", "an error must not contain a key")
 
 	apply(t, op, operator.Apply{Files: configuration(config.HashKey(plantedWorkspace))})
 	for code != http.StatusOK {
@@ -144,7 +148,7 @@
 		code, _ = get(t, set, "/readyz", "")
 	}
 	resent, err := op.Apply(t.Context(), operator.Apply{Files: configuration(config.HashKey(plantedWorkspace))})
-	require.NoError(t, err, "the resent change that gave the operator a name conflicts with itself")
+	require.NoError(t, err, "the repetition of a change that names its operator is the same change")
 	require.EqualValues(t, 1, resent.Version)
 	_, err = op.Apply(t.Context(), operator.Apply{Files: configuration(config.HashKey("another"))})
 	require.Equal(t, fault.Conflict, fault.From(err).Kind)
@@ -162,6 +166,6 @@
 		require.Equal(t, http.StatusOK, code, path)
 		seen += body
 	}
-	require.Contains(t, seen, config.HashKey(plantedWorkspace), "the dump is not the whole one")
-	require.NotContains(t, seen, "planted", "a secret shows in a dump, a metric or a log")
+	require.Contains(t, seen, config.HashKey(plantedWorkspace), "the dump contains the configuration")
+	require.NotContains(t, seen, "planted", "no dump, metric or log contains a secret")
 }
--- a/internal/admin/replicas.go
+++ b/internal/admin/replicas.go
@@ -23,28 +23,29 @@
 	return kernel.Find[port.Replicas](s.kernel, port.NameLog)
 }
 
-// replicas joins what each replica says of itself with what the leader knows.
+// replicas lists the replicas with their own status and the leader's view of
+// their membership and lag.
 func (s *Service) replicas(c echo.Context) error {
 	log, err := s.findReplicas()
 	if err != nil {
 		return err
 	}
 	list := log.Status(c.Request().Context(), port.GroupMain)
-	known := map[string]port.ReplicaMember{}
+	members := map[string]port.ReplicaMember{}
 	for _, st := range list {
 		for _, m := range st.Members {
 			if st.Role == "leader" {
-				known[m.Name] = m
+				members[m.Name] = m
 			}
 		}
 	}
 	out := make([]operator.Replica, 0, len(list))
 	for _, st := range list {
-		m, member := known[st.Name]
+		m, isMember := members[st.Name]
 		out = append(out, operator.Replica{
 			Name: st.Name, Address: st.Address, Role: st.Role, Term: st.Term, Leader: st.Leader, Last: st.Last,
 			Committed: st.Committed, Applied: st.Applied, Version: st.Version, Lag: m.Lag,
-			Voter: member && !m.Learner, Error: st.Error,
+			Voter: isMember && !m.Learner, Error: st.Error,
 		})
 	}
 	return c.JSON(http.StatusOK, out)
@@ -62,12 +63,13 @@
 	if err := log.Remove(c.Request().Context(), port.GroupMain, name); err != nil {
 		return err
 	}
-	who, _ := c.Get(operatorID).(string)
-	s.log.Info("replica removed", zap.String("replica", name), zap.String("operator", who))
+	id, _ := c.Get(operatorID).(string)
+	s.log.Info("replica removed", zap.String("replica", name), zap.String("operator", id))
 	return s.replicas(c)
 }
 
-// backup sends a snapshot, whole or not at all.
+// backup answers a snapshot of the log. It is buffered first, so that a failure
+// yields an error instead of a partial snapshot.
 func (s *Service) backup(c echo.Context) error {
 	log, err := s.findReplicas()
 	if err != nil {
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -1,5 +1,6 @@
-// Package explain reads the daemons' logs and tells what became of a request:
-// a timeline over all processes, and the cause that decided.
+// Package explain reconstructs the history of a request from the daemons' JSON
+// logs: a timeline over all daemons and the cause of the outcome. The command
+// verbenastep explain uses it.
 package explain
 
 import (
@@ -13,12 +14,13 @@
 )
 
 const (
-	// maxLine is the longest line that is read, in bytes.
-	maxLine = 1 << 20
-	// before and after bound what else is shown around a request: changes of
-	// what the entry believed take effect within seconds.
-	before = 1500 * time.Millisecond
-	after  = 300 * time.Millisecond
+	// maxLineBytes is the maximum length of a log line.
+	maxLineBytes = 1 << 20
+	// contextBefore and contextAfter are the times around a request in which other
+	// changes are shown; a change of the entry's state affects requests within
+	// seconds.
+	contextBefore = 1500 * time.Millisecond
+	contextAfter  = 300 * time.Millisecond
 )
 
 // Line is one line of a log.
@@ -29,11 +31,11 @@
 	Message string    `json:"msg"`
 	Daemon  string    `json:"daemon"`
 	Request string    `json:"request"`
-	// Fields are all fields as they stand.
+	// Fields holds all fields of the line, including the above.
 	Fields map[string]any `json:"-"`
 }
 
-// text gives a field as text, empty where the line lacks it.
+// text returns a field as text, or an empty string if the line lacks it.
 func (l Line) text(field string) string {
 	v, ok := l.Fields[field]
 	if !ok {
@@ -42,12 +44,13 @@
 	return fmt.Sprint(v)
 }
 
-// Read reads the JSON lines of a log; what stands before the first brace of a
-// line is skipped, and so are lines without any.
+// Read reads the JSON lines of a log. It skips the text before the first brace of
+// a line, such as a prefix added by a supervisor, and lines that are not JSON. It
+// fails on a line longer than 1 MiB.
 func Read(r io.Reader) ([]Line, error) {
 	out := []Line{}
 	s := bufio.NewScanner(r)
-	s.Buffer(nil, maxLine)
+	s.Buffer(nil, maxLineBytes)
 	for s.Scan() {
 		_, text, found := strings.Cut(s.Text(), "{")
 		if !found {
@@ -62,17 +65,17 @@
 	return out, s.Err()
 }
 
-// Report is what became of a request.
+// Report is the history of a request.
 type Report struct {
 	Request string
-	// Lines are those on the request and on what changed around it, in order.
+	// Lines are the lines about the request and about related changes, by time.
 	Lines []Line
-	// Cause is the decision that its outcome rests on.
+	// Cause is the decision that determined the outcome.
 	Cause string
 }
 
-// Explain finds a request in the lines of any number of daemons; false where
-// none names it.
+// Explain finds a request in the lines of any number of daemons. It returns false
+// if no line names it.
 func Explain(lines []Line, request string) (Report, bool) {
 	own := []Line{}
 	for _, l := range lines {
@@ -83,25 +86,25 @@
 	if len(own) == 0 {
 		return Report{}, false
 	}
-	byTime(own)
+	sortByTime(own)
 	r := Report{Request: request, Cause: cause(lines, own)}
-	from, to := own[0].Time.Add(-before), own[len(own)-1].Time.Add(after)
+	from, to := own[0].Time.Add(-contextBefore), own[len(own)-1].Time.Add(contextAfter)
 	for _, l := range lines {
-		if l.Request == request || (l.Request == "" && around(l, own) && !l.Time.Before(from) && !l.Time.After(to)) {
+		if l.Request == request || (l.Request == "" && isRelated(l, own) && !l.Time.Before(from) && !l.Time.After(to)) {
 			r.Lines = append(r.Lines, l)
 		}
 	}
-	byTime(r.Lines)
+	sortByTime(r.Lines)
 	return r, true
 }
 
-func byTime(lines []Line) {
+func sortByTime(lines []Line) {
 	slices.SortStableFunc(lines, func(a, b Line) int { return a.Time.Compare(b.Time) })
 }
 
-// around tells whether a line shows a change that may bear on a request: what
-// its entry lost or found, who leads, and what became of its upstreams.
-func around(l Line, own []Line) bool {
+// isRelated tells whether a line reports a change that may affect a request: of
+// its entry's connections and tables, of the leading broker or of its upstreams.
+func isRelated(l Line, own []Line) bool {
 	switch l.Message {
 	case "broker lost", "broker found", "route table in force", "daemon started", "settings reloaded":
 		return l.Daemon == own[0].Daemon
@@ -113,7 +116,7 @@
 	return false
 }
 
-// last returns the newest line of a message.
+// last returns the last of the lines with a message.
 func last(own []Line, message string) (Line, bool) {
 	for i := len(own) - 1; i >= 0; i-- {
 		if own[i].Message == message {
@@ -123,7 +126,7 @@
 	return Line{}, false
 }
 
-// cause names the decision that the outcome rests on.
+// cause describes the decision that determined the outcome.
 func cause(all, own []Line) string {
 	if l, ok := last(own, "request refused"); ok {
 		return fmt.Sprintf("refused with %s (%s): %s; route table version %s", l.text("status"), l.text("outcome"), l.text("why"), l.text("table"))
@@ -132,9 +135,9 @@
 	if !ok {
 		return unfinished(all, own)
 	}
-	tried := ""
+	attempt := ""
 	if l, ok := last(own, "try failed"); ok {
-		tried = fmt.Sprintf("upstream %s: %s (%s)", l.text("upstream"), l.text("outcome"), l.text("error"))
+		attempt = fmt.Sprintf("upstream %s: %s (%s)", l.text("upstream"), l.text("outcome"), l.text("error"))
 	}
 	switch end.text("outcome") {
 	case "answered":
@@ -144,32 +147,32 @@
 	case "overloaded":
 		return "the pool was overloaded: " + end.text("why")
 	case "caller_gone":
-		if l, ok := last(own, "granted"); ok && tried == "" {
-			tried = fmt.Sprintf("upstream %s had not answered", l.text("upstream"))
+		if l, ok := last(own, "granted"); ok && attempt == "" {
+			attempt = fmt.Sprintf("upstream %s had not answered", l.text("upstream"))
 		}
-		return strings.TrimSuffix(fmt.Sprintf("the caller went away after %s s; %s", end.text("took"), tried), "; ")
+		return strings.TrimSuffix(fmt.Sprintf("the caller went away after %s s; %s", end.text("took"), attempt), "; ")
 	case "timeout":
-		return fmt.Sprintf("no answer within %s s; %s", end.text("took"), tried)
+		return fmt.Sprintf("no answer within %s s; %s", end.text("took"), attempt)
 	case "upstream_failed":
-		return "the upstream's own failure was passed on; " + tried
+		return "the upstream's own failure was passed on; " + attempt
 	case "cut":
-		return fmt.Sprintf("the stream broke after %s events and may not be resumed elsewhere; %s", end.text("events"), tried)
+		return fmt.Sprintf("the stream broke after %s events and may not be resumed elsewhere; %s", end.text("events"), attempt)
 	}
-	return strings.TrimSuffix(fmt.Sprintf("%s: %s; %s", end.text("outcome"), end.text("why"), tried), "; ")
+	return strings.TrimSuffix(fmt.Sprintf("%s: %s; %s", end.text("outcome"), end.text("why"), attempt), "; ")
 }
 
-// unfinished explains a request whose entry says nothing of its end.
+// unfinished explains a request without a line about its end.
 func unfinished(all, own []Line) string {
-	newest := own[len(own)-1]
+	final := own[len(own)-1]
 	for _, l := range all {
-		if l.Daemon == newest.Daemon && l.Message == "daemon started" && l.Time.After(newest.Time) {
+		if l.Daemon == final.Daemon && l.Message == "daemon started" && l.Time.After(final.Time) {
 			return fmt.Sprintf("entry %s ended while it served the request; it started again at %s", l.Daemon, l.Time.Format(time.RFC3339Nano))
 		}
 	}
-	return fmt.Sprintf("entry %s says nothing of its end: the request still runs, or the daemon has ended", newest.Daemon)
+	return fmt.Sprintf("entry %s says nothing of its end: the request still runs, or the daemon has ended", final.Daemon)
 }
 
-// Write writes the timeline, the cause in the last line.
+// Write writes the timeline, a line each, followed by a line with the cause.
 func (r Report) Write(w io.Writer) error {
 	for _, l := range r.Lines {
 		fields := []string{}
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -22,7 +22,7 @@
 {"level":"info","ts":"2026-01-01T00:00:06Z","logger":"forward","msg":"request ended","daemon":"front-1","request":"r5","outcome":"cut","events":3}
 `
 
-func TestCauseStandsInTheLastLine(t *testing.T) {
+func TestLastLineStatesTheCause(t *testing.T) {
 	lines, err := Read(strings.NewReader(logs))
 	require.NoError(t, err)
 	for request, want := range map[string]string{
@@ -44,7 +44,8 @@
 	require.False(t, ok)
 }
 
-func TestTimelineShowsWhatChangedAround(t *testing.T) {
+// TestTimelineShowsRelatedChanges: changes of other upstreams are left out.
+func TestTimelineShowsRelatedChanges(t *testing.T) {
 	lines, err := Read(strings.NewReader(logs))
 	require.NoError(t, err)
 	r, _ := Explain(lines, "r1")
--- a/internal/kernel/kernel.go
+++ b/internal/kernel/kernel.go
@@ -1,8 +1,9 @@
-// Package kernel runs named services: it starts them in the order of their
-// needs, stops them in reverse, and collects their health and state dumps.
+// Package kernel is the service container of a daemon: it starts named services
+// in the order of their dependencies, stops them in reverse order, and collects
+// their health and state dumps. internal/daemon assembles it.
 //
-// Services find each other by name and typed interface; none imports another's
-// implementation. Invariant: a service starts only after all it needs, and
+// Services look each other up by name and interface type; none imports another's
+// implementation. Invariant: a service starts after all its dependencies and
 // stops before any of them.
 package kernel
 
@@ -14,32 +15,32 @@
 	"sync"
 )
 
-// Service is one part of a daemon.
+// Service is one component of a daemon.
 type Service interface {
-	// Name is dotted, such as "entry.http".
+	// Name returns the unique name, such as "entry.http".
 	Name() string
-	// Needs names the services that must run before this one.
+	// Needs lists the names of the services that must be started before this one.
 	Needs() []string
-	// Start returns once the service serves; the context covers starting only.
+	// Start returns once the service is running; ctx bounds the start only.
 	Start(ctx context.Context, k *Kernel) error
-	// Stop ends the service; it may wait for work in flight until the context
-	// ends.
+	// Stop ends the service; it may wait for operations in flight until ctx ends.
 	Stop(ctx context.Context) error
-	// Health returns nil while the service can do its work.
+	// Health returns nil while the service works, or why it does not.
 	Health() error
-	// Dump returns the state as a value that encodes to JSON, without secrets.
+	// Dump returns the state as a value that encodes to JSON. It contains no
+	// secrets.
 	Dump() any
 }
 
-// Drainer is a service that ends its part of the work in an orderly way before
-// any service stops.
+// Drainer is a service that finishes its operations before any service stops.
 type Drainer interface {
-	// Drain returns once the service may stop, or the context ends. All services
-	// run meanwhile.
+	// Drain returns once the service may stop, or when ctx ends. All services run
+	// meanwhile.
 	Drain(ctx context.Context) error
 }
 
-// Kernel holds the services of one daemon.
+// Kernel holds the services of one daemon. Its methods are safe for concurrent
+// use.
 type Kernel struct {
 	mu       sync.Mutex
 	services map[string]Service
@@ -54,7 +55,7 @@
 // Kind classifies a kernel error.
 type Kind string
 
-// Kinds.
+// Kinds of errors.
 const (
 	Missing     Kind = "missing service"
 	Duplicate   Kind = "duplicate service"
@@ -74,7 +75,7 @@
 	Cause   error
 }
 
-// Error names the remedy.
+// Error returns kind, service, detail, cause and remedy.
 func (e *Error) Error() string {
 	msg := fmt.Sprintf("%s %q: %s", e.Kind, e.Service, e.Detail)
 	if e.Cause != nil {
@@ -88,7 +89,8 @@
 	return e.Cause
 }
 
-// Register adds a service before Start.
+// Register adds a service; it must be called before Start. It returns an *Error of
+// kind Duplicate if the name is taken.
 func (k *Kernel) Register(s Service) error {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -99,7 +101,8 @@
 	return nil
 }
 
-// Find returns the service of a name as the interface T.
+// Find returns the service with a name as a T. It returns an *Error of kind
+// Missing or WrongType.
 func Find[T any](k *Kernel, name string) (T, error) {
 	k.mu.Lock()
 	s, ok := k.services[name]
@@ -114,7 +117,8 @@
 	return typed, nil
 }
 
-// Order returns the services' names in starting order.
+// Order returns the services' names in the order in which they start. It returns
+// an *Error of kind Missing or Cycle.
 func (k *Kernel) Order() ([]string, error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -134,7 +138,7 @@
 	visited
 )
 
-// ordering sorts services topologically, depth first.
+// ordering sorts services topologically by depth-first search.
 type ordering struct {
 	services map[string]Service
 	state    map[string]visit
@@ -173,8 +177,8 @@
 	return names
 }
 
-// Start starts all services in order. Where one fails, those already started
-// are stopped again.
+// Start starts all services in order. If one fails, it stops those already
+// started.
 func (k *Kernel) Start(ctx context.Context) error {
 	order, err := k.Order()
 	if err != nil {
@@ -202,8 +206,8 @@
 	return nil
 }
 
-// Drain drains the services that can, one after the other in the order in which
-// they will stop, and returns the first error; it tries all of them.
+// Drain drains each Drainer in the order in which they will stop, one after the
+// other. It drains all of them and returns the first error.
 func (k *Kernel) Drain(ctx context.Context) error {
 	started := k.running()
 	first := error(nil)
@@ -219,8 +223,8 @@
 	return first
 }
 
-// Stop stops the started services in reverse order and returns the first
-// error; it stops all of them whatever happens.
+// Stop stops the started services in reverse order. It stops all of them and
+// returns the first error.
 func (k *Kernel) Stop(ctx context.Context) error {
 	k.mu.Lock()
 	started := k.started
@@ -236,7 +240,7 @@
 	return first
 }
 
-// Health returns the failing services' errors by name; none means healthy.
+// Health returns the failing services' errors by name; empty means healthy.
 func (k *Kernel) Health() map[string]error {
 	out := map[string]error{}
 	for _, s := range k.running() {
--- a/internal/kernel/kernel_test.go
+++ b/internal/kernel/kernel_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// fake records when it starts and stops.
+// fake is a service that records its start and stop in a trace.
 type fake struct {
 	name  string
 	needs []string
@@ -41,7 +41,7 @@
 	return k
 }
 
-func TestStartsByNeedAndStopsInReverse(t *testing.T) {
+func TestStartsInDependencyOrderAndStopsInReverse(t *testing.T) {
 	trace := []string{}
 	k := assemble(t, &trace, &fake{name: "a", needs: []string{"c"}}, &fake{name: "b", needs: []string{"a"}}, &fake{name: "c"})
 	require.NoError(t, k.Start(t.Context()))
@@ -49,7 +49,7 @@
 	require.Equal(t, []string{"+c", "+a", "+b", "-b", "-a", "-c"}, trace)
 }
 
-func TestAssemblyErrorsNameTheRemedy(t *testing.T) {
+func TestStartErrorsHaveKindAndRemedy(t *testing.T) {
 	cases := []struct {
 		kind  Kind
 		fakes []*fake
@@ -68,14 +68,14 @@
 	}
 }
 
-func TestFailedStartStopsWhatRan(t *testing.T) {
+func TestFailedStartStopsStartedServices(t *testing.T) {
 	trace := []string{}
 	k := assemble(t, &trace, &fake{name: "a"}, &fake{name: "b", needs: []string{"a"}, fail: errors.New("no disk")})
 	require.Error(t, k.Start(t.Context()))
 	require.Equal(t, []string{"+a", "+b", "-a"}, trace)
 }
 
-func TestDuplicateAndWrongType(t *testing.T) {
+func TestDuplicateNameAndWrongTypeAreErrors(t *testing.T) {
 	trace := []string{}
 	k := assemble(t, &trace, &fake{name: "a"})
 	typed := (*Error)(nil)
@@ -96,7 +96,9 @@
 	return d.fail
 }
 
-func TestDrainsInStoppingOrderBeforeAnyStop(t *testing.T) {
+// TestDrainRunsInStopOrderBeforeAnyStop: a Drainer that fails keeps no other from
+// being drained.
+func TestDrainRunsInStopOrderBeforeAnyStop(t *testing.T) {
 	trace := []string{}
 	k := assemble(t, &trace, &fake{name: "a"})
 	failing := &drainer{fake{name: "b", needs: []string{"a"}, trace: &trace}}
--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -1,4 +1,6 @@
-// Package logging builds the daemons' loggers.
+// Package logging builds the daemon's logger. Logging never blocks: if the reader
+// of the output is slow or the rate too high, lines are dropped and counted, the
+// least important first.
 package logging
 
 import (
@@ -12,14 +14,14 @@
 	"github.com/verbenastep/verbenastep/internal/settings"
 )
 
-// New returns a logger that writes to standard error or, where the settings say
-// so, to standard output. It never waits for who reads: see sink.
+// New returns a logger that writes to standard error, or to standard output if
+// the settings say so. It returns an error if the level is unknown.
 func New(s settings.Log) (*zap.Logger, error) {
 	out := io.Writer(os.Stderr)
 	if s.Stdout {
 		out = os.Stdout
 	}
-	return newLogger(s, newSink(out, bufferBytes, bytesPerSecond))
+	return newLogger(s, newSink(out, maxBufferBytes, maxBytesPerSecond))
 }
 
 func newLogger(s settings.Log, to *sink) (*zap.Logger, error) {
--- a/internal/logging/sink.go
+++ b/internal/logging/sink.go
@@ -10,70 +10,72 @@
 )
 
 const (
-	// bufferBytes is the most that waits for a slow reader.
-	bufferBytes = 256 << 10
-	// bytesPerSecond is the most that is written over time, with a second's
-	// worth at once: 2,000 lines of 500 bytes.
-	bytesPerSecond = 1 << 20
-	// Below these parts of the room that is left, lines of a level are dropped:
-	// details first, what says why a request failed last.
-	infoRoom = 0.5
-	warnRoom = 0.1
+	// maxBufferBytes is the maximum number of bytes buffered for a slow reader.
+	maxBufferBytes = 256 << 10
+	// maxBytesPerSecond is the rate limit of the output, about 2,000 lines of 500
+	// bytes; a burst may have one second's worth.
+	maxBytesPerSecond = 1 << 20
+	// minInfoRoom and minWarnRoom are the fractions of free room below which lines
+	// are dropped: first debug and info lines, last warnings, errors and lines
+	// marked by Important.
+	minInfoRoom = 0.5
+	minWarnRoom = 0.1
 )
 
-// sink writes lines in the background, in order, and never makes a caller wait:
-// what does not fit is dropped and counted.
+// sink writes lines in order from a goroutine of its own, so that a slow reader
+// never blocks a caller. Lines that do not fit are dropped and counted.
 type sink struct {
-	out   io.Writer
-	most  int
-	rate  float64
-	ready *sync.Cond
+	out io.Writer
+	// maxPending bounds pending, in bytes; rate is in bytes per second.
+	maxPending int
+	rate       float64
+	ready      *sync.Cond
 
 	mu      sync.Mutex
 	pending []byte
-	// credit is how many bytes may be written now, as of since.
-	credit  float64
-	since   time.Time
-	dropped int
-	writing bool
+	// credit is how many bytes the rate limit allows, as of creditAt.
+	credit   float64
+	creditAt time.Time
+	dropped  int
+	writing  bool
 }
 
-func newSink(out io.Writer, most int, rate float64) *sink {
-	s := &sink{out: out, most: most, rate: rate, credit: rate, since: time.Now()}
+func newSink(out io.Writer, maxPending int, rate float64) *sink {
+	s := &sink{out: out, maxPending: maxPending, rate: rate, credit: rate, creditAt: time.Now()}
 	s.ready = sync.NewCond(&s.mu)
 	go s.run()
 	return s
 }
 
-// room is the part of the buffer or of the rate that is left, whichever is
-// less; the lock is held.
+// room returns the free fraction of the buffer or the unused fraction of the rate
+// limit, whichever is less. The lock is held.
 func (s *sink) room() float64 {
 	now := time.Now()
-	s.credit = min(s.rate, s.credit+s.rate*now.Sub(s.since).Seconds())
-	s.since = now
-	return min(1-float64(len(s.pending))/float64(s.most), s.credit/s.rate)
+	s.credit = min(s.rate, s.credit+s.rate*now.Sub(s.creditAt).Seconds())
+	s.creditAt = now
+	return min(1-float64(len(s.pending))/float64(s.maxPending), s.credit/s.rate)
 }
 
-// admits tells whether a line of a level is written, and counts it otherwise.
-func (s *sink) admits(l zapcore.Level, important bool) bool {
+// admit tells whether a line is to be written, and otherwise counts it as dropped.
+func (s *sink) admit(l zapcore.Level, important bool) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	least := infoRoom
+	minRoom := minInfoRoom
 	if l >= zapcore.WarnLevel || important {
-		least = warnRoom
+		minRoom = minWarnRoom
 	}
-	if s.room() >= least {
+	if s.room() >= minRoom {
 		return true
 	}
 	s.dropped++
 	return false
 }
 
-// Write queues one line.
+// Write queues one line, or drops it if the buffer is full. It never fails.
 func (s *sink) Write(line []byte) (int, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(s.pending)+len(line) > s.most {
+	if len(s.pending)+len(line) > s.maxPending {
 		s.dropped++
 		return len(line), nil
 	}
@@ -83,10 +85,11 @@
 	return len(line), nil
 }
 
-// Sync waits until all is written, but not for a reader that has stopped.
+// Sync waits until all lines are written, at most a second: a stopped reader must
+// not block the daemon.
 func (s *sink) Sync() error {
-	const patience, pause = time.Second, 5 * time.Millisecond
-	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(pause) {
+	const timeout, interval = time.Second, 5 * time.Millisecond
+	for end := time.Now().Add(timeout); time.Now().Before(end); time.Sleep(interval) {
 		s.mu.Lock()
 		idle := len(s.pending) == 0 && !s.writing
 		s.mu.Unlock()
@@ -108,17 +111,17 @@
 		s.pending = nil
 		s.writing = true
 		s.mu.Unlock()
-		// There is nowhere to report that standard output fails.
+		// An error is ignored: there is nowhere left to report it.
 		_, _ = s.out.Write(batch)
 	}
 }
 
-// takeDropped returns how many lines were dropped since the last call, once
-// there is room again.
+// takeDropped returns the number of dropped lines and resets it, or returns 0
+// while there is no room for info lines.
 func (s *sink) takeDropped() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.dropped == 0 || s.room() < infoRoom {
+	if s.dropped == 0 || s.room() < minInfoRoom {
 		return 0
 	}
 	n := s.dropped
@@ -126,20 +129,20 @@
 	return n
 }
 
-// Important marks a line that says why a request failed: it is dropped only
-// after all lines that say less.
+// Important returns a field that marks a line as saying why a request failed: the
+// line is dropped only when warnings are. The field itself is not written.
 func Important() zap.Field { return zap.Field{Key: importantKey, Type: zapcore.SkipType} }
 
 const importantKey = "important"
 
-// core drops lines that the sink does not admit, and says so in one line when
+// core drops the lines that the sink does not admit, and logs their number once
 // there is room again.
 type core struct {
 	zapcore.Core
 	sink *sink
 }
 
-// With adds fields.
+// With returns a core that adds fields to each line.
 func (c *core) With(fields []zapcore.Field) zapcore.Core {
 	return &core{Core: c.Core.With(fields), sink: c.sink}
 }
@@ -152,18 +155,18 @@
 	return ce.AddCore(e, c)
 }
 
-// Write writes an entry or drops it.
+// Write writes an entry, or drops it if the sink does not admit it.
 func (c *core) Write(e zapcore.Entry, fields []zapcore.Field) error {
 	important := false
 	for _, f := range fields {
 		important = important || f.Key == importantKey && f.Type == zapcore.SkipType
 	}
-	if !c.sink.admits(e.Level, important) {
+	if !c.sink.admit(e.Level, important) {
 		return nil
 	}
 	if n := c.sink.takeDropped(); n > 0 {
-		lost := zapcore.Entry{Level: zapcore.WarnLevel, Time: e.Time, LoggerName: "log", Message: "lines were dropped; the reader is slow or the load high"}
-		if err := c.Core.Write(lost, []zapcore.Field{zap.Int("dropped", n)}); err != nil {
+		notice := zapcore.Entry{Level: zapcore.WarnLevel, Time: e.Time, LoggerName: "log", Message: "lines were dropped; the reader is slow or the load high"}
+		if err := c.Core.Write(notice, []zapcore.Field{zap.Int("dropped", n)}); err != nil {
 			return err
 		}
 	}
--- a/internal/logging/sink_test.go
+++ b/internal/logging/sink_test.go
@@ -13,14 +13,14 @@
 	"github.com/verbenastep/verbenastep/internal/settings"
 )
 
-// reader is standard output whose reader may stall.
-type reader struct {
+// output is a log output whose reader stalls until stall is closed.
+type output struct {
 	mu    sync.Mutex
 	stall chan struct{}
 	text  bytes.Buffer
 }
 
-func (r *reader) Write(b []byte) (int, error) {
+func (r *output) Write(b []byte) (int, error) {
 	if r.stall != nil {
 		<-r.stall
 	}
@@ -29,40 +29,45 @@
 	return r.text.Write(b)
 }
 
-func (r *reader) String() string {
+func (r *output) String() string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.text.String()
 }
 
-func logger(t *testing.T, out *reader, most int, rate float64) *zap.Logger {
+// newTestLogger returns a logger with a buffer and a rate in bytes and bytes per
+// second.
+func newTestLogger(t *testing.T, out *output, maxPending int, rate float64) *zap.Logger {
 	t.Helper()
-	log, err := newLogger(settings.Log{Format: "json"}, newSink(out, most, rate))
+	log, err := newLogger(settings.Log{Format: "json"}, newSink(out, maxPending, rate))
 	require.NoError(t, err)
 	return log
 }
 
-func TestStalledReaderDelaysNobody(t *testing.T) {
-	out := &reader{stall: make(chan struct{})}
-	log := logger(t, out, 8<<10, 1<<30)
-	began := time.Now()
+// TestStalledReaderDoesNotBlock guards against requests that wait for a reader of
+// the log that has stopped. Important lines survive the drops, and the number of
+// dropped lines is logged.
+func TestStalledReaderDoesNotBlock(t *testing.T) {
+	out := &output{stall: make(chan struct{})}
+	log := newTestLogger(t, out, 8<<10, 1<<30)
+	started := time.Now()
 	for i := range 10_000 {
 		log.Info("granted", zap.Int("n", i))
 	}
 	log.Info("request ended", zap.String("request", "r-1"), Important())
-	require.Less(t, time.Since(began), 2*time.Second)
+	require.Less(t, time.Since(started), 2*time.Second)
 	close(out.stall)
 	require.NoError(t, log.Sync())
-	require.Eventually(t, func() bool { return strings.Contains(out.String(), "r-1") }, 5*time.Second, time.Millisecond, "why a request failed is dropped last")
+	require.Eventually(t, func() bool { return strings.Contains(out.String(), "r-1") }, 5*time.Second, time.Millisecond, "an important line is dropped last")
 	log.Info("later")
 	require.NoError(t, log.Sync())
 	require.Contains(t, out.String(), `"dropped":`)
 	require.Less(t, strings.Count(out.String(), "granted"), 10_000)
 }
 
-func TestRateIsBounded(t *testing.T) {
-	out := &reader{}
-	log := logger(t, out, 1<<20, 10_000)
+func TestRateIsLimited(t *testing.T) {
+	out := &output{}
+	log := newTestLogger(t, out, 1<<20, 10_000)
 	for range 1000 {
 		log.Info("granted", zap.String("filler", strings.Repeat("x", 100)))
 	}
@@ -70,7 +75,7 @@
 	require.Less(t, len(out.String()), 15_000)
 }
 
-func TestLevelIsChecked(t *testing.T) {
+func TestUnknownLevelIsAnError(t *testing.T) {
 	_, err := New(settings.Log{Level: "loud"})
 	require.ErrorContains(t, err, "write debug, info, warn or error")
 }
--- a/internal/logging/vocabulary_test.go
+++ b/internal/logging/vocabulary_test.go
@@ -10,13 +10,14 @@
 	"github.com/stretchr/testify/require"
 )
 
-// logged are the packages whose lines docs/OPERATIONS.md explains.
-var logged = []string{"forward", "broker", "brokerclient", "roster", "tables", "view", "replica", "member", "link"}
+// documentedPackages are the packages whose log fields docs/OPERATIONS.md explains.
+var documentedPackages = []string{"forward", "broker", "brokerclient", "roster", "tables", "view", "replica", "member", "link"}
 
 var field = regexp.MustCompile(`zap\.[A-Z]\w*\("([a-z_]+)"`)
 
-// TestEveryFieldIsOnThePage holds the page's vocabulary and the code together.
-func TestEveryFieldIsOnThePage(t *testing.T) {
+// TestEveryLogFieldIsDocumented guards against log fields that operators find no
+// explanation of in docs/OPERATIONS.md.
+func TestEveryLogFieldIsDocumented(t *testing.T) {
 	page, err := os.ReadFile("../../docs/OPERATIONS.md")
 	require.NoError(t, err)
 	explained := map[string]bool{}
@@ -24,7 +25,7 @@
 		explained[m[1]] = true
 	}
 	used := 0
-	for _, name := range logged {
+	for _, name := range documentedPackages {
 		files, err := filepath.Glob("../" + name + "/*.go")
 		require.NoError(t, err)
 		for _, file := range files {
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,4 +1,4 @@
-// Package metrics holds the daemon's metrics registry.
+// Package metrics provides the daemon's Prometheus registry as a service.
 package metrics
 
 import (
@@ -16,7 +16,7 @@
 	registry *prometheus.Registry
 }
 
-// New returns the service with the runtime's own metrics.
+// New returns the service with the collectors of the Go runtime and the process.
 func New() *Service {
 	r := prometheus.NewRegistry()
 	r.MustRegister(collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
@@ -26,23 +26,23 @@
 // Name returns the service's name.
 func (s *Service) Name() string { return port.NameMetrics }
 
-// Needs returns nothing.
+// Needs returns nil.
 func (s *Service) Needs() []string { return nil }
 
 // Start does nothing.
 func (s *Service) Start(context.Context, *kernel.Kernel) error { return nil }
 
-// Registerer takes metrics.
+// Registerer returns where services register their metrics.
 func (s *Service) Registerer() prometheus.Registerer { return s.registry }
 
-// Gatherer gives metrics.
+// Gatherer returns where the registered metrics are read.
 func (s *Service) Gatherer() prometheus.Gatherer { return s.registry }
 
 // Stop does nothing.
 func (s *Service) Stop(context.Context) error { return nil }
 
-// Health returns nil.
+// Health always returns nil.
 func (s *Service) Health() error { return nil }
 
-// Dump has nothing of its own: the metrics are served apart.
+// Dump returns an empty object; the admin service serves the metrics.
 func (s *Service) Dump() any { return struct{}{} }
