--- a/internal/daemon/abort_test.go
+++ b/internal/daemon/abort_test.go
@@ -13,15 +13,15 @@
 	"github.com/verbenastep/verbenastep/internal/port"
 )
 
-// cutAfter is when a daemon is killed, in the middle of an answer of
-// longAnswer tokens at 40 tokens a second.
+// killDelay is when a daemon is killed: in the middle of an answer of
+// answerTokens tokens at 40 tokens a second.
 const (
-	cutAfter   = 300 * time.Millisecond
-	longAnswer = 40
+	killDelay    = 300 * time.Millisecond
+	answerTokens = 40
 )
 
-// dispatching finds the daemon that holds the model's lease.
-func (s *site) dispatching() int {
+// dispatcherIndex returns the index of the daemon that holds the model's lease.
+func (s *cluster) dispatcherIndex() int {
 	found := -1
 	require.Eventually(s.t, func() bool {
 		view, err := kernel.Find[port.View](s.daemons[0].Kernel(), port.NameView)
@@ -33,38 +33,39 @@
 			}
 		}
 		return found >= 0
-	}, patience, 50*time.Millisecond)
+	}, testTimeout, 50*time.Millisecond)
 	return found
 }
 
-// An answer survives its entry, and its dispatcher's daemon, while it streams:
-// the caller sends the key again elsewhere, and the engine never starts twice.
+// TestAnswerSurvivesAKilledDaemon kills the entry or the dispatcher's daemon while
+// an answer streams. The caller sends the same key to another daemon and must get
+// the answer, and the request must have been dispatched to an engine only once.
 func TestAnswerSurvivesAKilledDaemon(t *testing.T) {
 	for _, victim := range []string{"entry", "dispatcher"} {
 		t.Run(victim, func(t *testing.T) {
-			s := startSite(t, 3, replicasInTests)
-			s.ready()
-			struck := s.dispatching()
-			entry := struck
+			s := startCluster(t, 3, replicasInTests)
+			s.awaitReady()
+			killed := s.dispatcherIndex()
+			entry := killed
 			if victim == "dispatcher" {
-				entry = (struck + 1) % len(s.daemons)
+				entry = (killed + 1) % len(s.daemons)
 			} else {
-				entry = (struck + 2) % len(s.daemons)
-				struck = entry
+				entry = (killed + 2) % len(s.daemons)
+				killed = entry
 			}
 			key := fmt.Sprintf("cut-%s", victim)
 			first := make(chan error, 1)
 			client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
-			go func() { first <- answered(client, s.settings[entry].Addresses.Callers, key, longAnswer) }()
-			time.Sleep(cutAfter)
-			s.daemons[struck].Kill()
+			go func() { first <- sendCompletion(client, s.settings[entry].Addresses.Callers, key, answerTokens) }()
+			time.Sleep(killDelay)
+			s.daemons[killed].Kill()
 			err := <-first
 			for i := 1; err != nil && i <= 20; i++ {
 				time.Sleep(100 * time.Millisecond)
-				at := (struck + 1 + i%2) % len(s.daemons)
-				err = answered(client, s.settings[at].Addresses.Callers, key, longAnswer)
+				at := (killed + 1 + i%2) % len(s.daemons)
+				err = sendCompletion(client, s.settings[at].Addresses.Callers, key, answerTokens)
 			}
-			s.start(struck)
+			s.start(killed)
 			require.NoError(t, err)
 			s.mu.Lock()
 			defer s.mu.Unlock()
--- a/internal/daemon/alerts_test.go
+++ b/internal/daemon/alerts_test.go
@@ -14,9 +14,9 @@
 	"github.com/verbenastep/verbenastep/internal/port"
 )
 
-// withoutMetrics returns the names that no daemon of the site has a metric for:
-// a dispatcher's are on the daemon that holds its lease.
-func (s *site) withoutMetrics(named map[string]string) map[string]string {
+// missingMetrics returns the names for which no daemon of the cluster has a metric.
+// All daemons are searched, since only the holder of a lease has a dispatcher's.
+func (s *cluster) missingMetrics(named map[string]string) map[string]string {
 	exist := map[string]bool{}
 	for _, d := range s.daemons {
 		m, err := kernel.Find[port.Metrics](d.Kernel(), port.NameMetrics)
@@ -37,9 +37,11 @@
 	return out
 }
 
-func TestOperatorsFilesNameOnlyMetricsThatExist(t *testing.T) {
-	s := startSite(t, 2, 1)
-	s.ready()
+// TestAlertsAndDashboardNameExistingMetrics guards against alert rules and panels
+// that never show anything because a metric was renamed.
+func TestAlertsAndDashboardNameExistingMetrics(t *testing.T) {
+	s := startCluster(t, 2, 1)
+	s.awaitReady()
 	named := map[string]string{}
 	for _, file := range []string{"alerts.yml", "dashboard.json"} {
 		text, err := os.ReadFile("../../docs/operations/" + file)
@@ -51,8 +53,8 @@
 		}
 	}
 	require.EventuallyWithT(t, func(c *assert.CollectT) {
-		assert.Empty(c, s.withoutMetrics(named), "metrics that no daemon has")
-	}, patience, 100*time.Millisecond)
+		assert.Empty(c, s.missingMetrics(named), "metrics that no daemon has")
+	}, testTimeout, 100*time.Millisecond)
 	dashboard, err := os.ReadFile("../../docs/operations/dashboard.json")
 	require.NoError(t, err)
 	require.True(t, json.Valid(dashboard))
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -1,4 +1,5 @@
-// Package daemon assembles one daemon's services from its settings.
+// Package daemon assembles the services of a daemon from its settings, and starts
+// and stops them. The command verbenastep and tests use it.
 package daemon
 
 import (
@@ -32,7 +33,7 @@
 	"github.com/verbenastep/verbenastep/internal/view"
 )
 
-// Daemon is one running daemon.
+// Daemon is an assembled daemon.
 type Daemon struct {
 	kernel *kernel.Kernel
 	link   *link.Service
@@ -40,14 +41,14 @@
 	log    *zap.Logger
 }
 
-// New assembles the services without starting any. Extra services come from
-// adapters, which know how others speak.
+// New assembles the services without starting any. Adapters to other systems pass
+// extra services.
 func New(set *settings.Settings, log *zap.Logger, extra ...kernel.Service) (*Daemon, error) {
 	log = log.With(zap.String("daemon", set.Name))
 	self := port.Holder{Name: set.Name, Incarnation: uint64(time.Now().UnixNano()), Address: set.Addresses.Peers}
 	d := &Daemon{kernel: kernel.New(), link: link.New(set, log), events: eventlog.New(self), log: log}
-	collect := metrics.New()
-	if err := collect.Registerer().Register(d.link.Collector()); err != nil {
+	registry := metrics.New()
+	if err := registry.Registerer().Register(d.link.Collector()); err != nil {
 		return nil, err
 	}
 	services := []kernel.Service{
@@ -56,7 +57,7 @@
 		view.New(set, log),
 		member.New(set, log, self),
 		directory.New(set, log),
-		collect,
+		registry,
 		d.events,
 	}
 	if set.Addresses.Admin != "" {
@@ -65,7 +66,7 @@
 	if set.HasRole(settings.Replica) {
 		services = append(services, replica.New(set, log))
 	}
-	services = append(services, serving(set, log, self)...)
+	services = append(services, modeServices(set, log, self)...)
 	for _, s := range append(services, extra...) {
 		if err := d.kernel.Register(s); err != nil {
 			return nil, err
@@ -74,10 +75,10 @@
 	return d, nil
 }
 
-// serving returns the services for what the daemon serves: workspaces by
-// declared files, or a published route table as an entry, as a control daemon,
-// or as both.
-func serving(set *settings.Settings, log *zap.Logger, self port.Holder) []kernel.Service {
+// modeServices returns the services of the daemon's mode: it serves workspaces of
+// the declared configuration or, with Routing settings, a published route table
+// as an entry, as a control daemon, or as both.
+func modeServices(set *settings.Settings, log *zap.Logger, self port.Holder) []kernel.Service {
 	if set.Routing == nil {
 		return []kernel.Service{
 			registry.New(set, log), dispatch.New(set, log, self), schedclient.New(set, log, self), entry.New(set, log, self),
@@ -93,7 +94,7 @@
 	return out
 }
 
-// Start starts the services, then begins to answer other daemons.
+// Start starts the services and then accepts connections of other daemons.
 func (d *Daemon) Start(ctx context.Context) error {
 	if err := d.kernel.Start(ctx); err != nil {
 		return err
@@ -104,8 +105,8 @@
 	return nil
 }
 
-// Stop drains, then stops all services. The context bounds the wait; once it
-// ends, requests in flight are cut.
+// Stop drains and then stops all services. When ctx ends, it aborts the requests in
+// flight.
 func (d *Daemon) Stop(ctx context.Context) error {
 	d.events.Record(promise.Event{Kind: promise.Drain})
 	drained := d.kernel.Drain(ctx)
@@ -115,10 +116,9 @@
 	return errors.Join(drained, stopped)
 }
 
-// Kill ends the daemon as a crash would, as far as one process can: it cuts the
-// link to the other daemons first, so that no lease is given up, no leadership
-// handed over and no farewell said, and then stops all services without
-// draining.
+// Kill simulates a crash within the process, for tests: it closes the link to the
+// other daemons first, so that no lease is released, no leadership transferred
+// and no departure announced, and then stops all services without draining.
 func (d *Daemon) Kill() {
 	d.events.Record(promise.Event{Kind: promise.Crashed})
 	ctx, cancel := context.WithCancel(context.Background())
@@ -127,8 +127,8 @@
 	_ = d.kernel.Stop(ctx)
 }
 
-// Observe passes the daemon's events on; fn must not block.
+// Observe calls fn for each of the daemon's events; fn must not block.
 func (d *Daemon) Observe(fn func(promise.Event)) { d.events.Observe(fn) }
 
-// Kernel gives access to the services, for tests and dumps.
+// Kernel returns the service container, for tests and dumps.
 func (d *Daemon) Kernel() *kernel.Kernel { return d.kernel }
--- a/internal/daemon/site_test.go
+++ b/internal/daemon/site_test.go
@@ -27,26 +27,28 @@
 
 const (
 	callerKey = "caller"
-	// replicasInTests is how many of the daemons keep the log.
+	// replicasInTests is the number of daemons with the role replica.
 	replicasInTests = 3
-	patience        = 20 * time.Second
+	testTimeout     = 20 * time.Second
 	callTimeout     = time.Minute
 )
 
-// site is a few daemons on loopback, with stand-in upstreams, in one process.
-type site struct {
+// cluster is a group of daemons on loopback in one process, with simulated
+// upstreams.
+type cluster struct {
 	t        *testing.T
 	settings []*settings.Settings
 	daemons  []*Daemon
 	runner   *standin.Runner
 	service  *standin.Service
 
-	mu     sync.Mutex
-	began  time.Time
-	events []promise.Event
+	mu        sync.Mutex
+	startedAt time.Time
+	events    []promise.Event
 }
 
-// freeAddress returns an address that stays free for a daemon's restart too.
+// freeAddress returns an unused loopback address that a restarted daemon can use
+// again.
 func freeAddress(t *testing.T) string {
 	t.Helper()
 	list, err := freeport.Addresses(1)
@@ -54,10 +56,11 @@
 	return list[0]
 }
 
-// startSite starts n daemons, the first few of them replicas.
-func startSite(t *testing.T, n, replicas int) *site {
+// startCluster starts n daemons, the first of them replicas, with a configuration
+// and upstreams.
+func startCluster(t *testing.T, n, replicas int) *cluster {
 	t.Helper()
-	s := &site{t: t, began: time.Now()}
+	s := &cluster{t: t, startedAt: time.Now()}
 	peers, seeds := []settings.Peer{}, []string{}
 	for i := range n {
 		set := &settings.Settings{
@@ -90,7 +93,7 @@
 	return s
 }
 
-func (s *site) start(i int) {
+func (s *cluster) start(i int) {
 	d, err := New(s.settings[i], zap.NewNop())
 	require.NoError(s.t, err)
 	d.Observe(s.record)
@@ -98,15 +101,15 @@
 	s.daemons[i] = d
 }
 
-// record stamps events with the site's clock.
-func (s *site) record(e promise.Event) {
+// record keeps an event with the time since the cluster started.
+func (s *cluster) record(e promise.Event) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	e.At = time.Since(s.began)
+	e.At = time.Since(s.startedAt)
 	s.events = append(s.events, e)
 }
 
-func (s *site) close() {
+func (s *cluster) close() {
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	for _, d := range s.daemons {
@@ -114,7 +117,7 @@
 	}
 }
 
-func (s *site) apply() {
+func (s *cluster) apply() {
 	files := config.Files{
 		"tiers.json": json.RawMessage(`{"tiers":[{"name":"panel"}],"regions":[{"name":"gauteng","data_centres":["jhb-north"]}],
 			"timeouts":{"request_ms":60000,"silence_ms":3000,"retention_ms":600000}}`),
@@ -127,10 +130,10 @@
 	require.Eventually(s.t, func() bool {
 		result, err := log.Propose(s.t.Context(), port.GroupMain, state.Command{Apply: &state.Apply{Files: files, Operator: "o"}})
 		return err == nil && result.Status == state.OK
-	}, patience, 100*time.Millisecond)
+	}, testTimeout, 100*time.Millisecond)
 }
 
-func (s *site) startUpstreams() {
+func (s *cluster) startUpstreams() {
 	ctx, cancel := context.WithCancel(context.Background())
 	s.t.Cleanup(cancel)
 	daemons := []string{}
@@ -150,9 +153,9 @@
 	go (&standin.Announcer{Daemons: daemons, State: func() upstream.Announcement { return s.service.Self }}).Run(ctx)
 }
 
-// answered sends one request and returns an error unless the answer is whole
-// and its own.
-func answered(client *http.Client, address, key string, tokens int) error {
+// sendCompletion sends a completion request and returns an error unless the answer
+// is complete and belongs to the request.
+func sendCompletion(client *http.Client, address, key string, tokens int) error {
 	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
 	body := fmt.Sprintf(`{"model":"logbook-model","messages":[{"role":"user","content":"%s #%d"}]}`, key, tokens)
@@ -167,7 +170,9 @@
 	return nil
 }
 
-func transferred(client *http.Client, address, key string) error {
+// sendTransfer sends a service call and returns an error unless the answer belongs
+// to it.
+func sendTransfer(client *http.Client, address, key string) error {
 	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
 	text, err := send(ctx, client, address+"/services/register-api/transfers", key, key)
@@ -202,13 +207,13 @@
 	return text.String(), nil
 }
 
-// ready waits until every daemon serves a request of both kinds.
-func (s *site) ready() {
+// awaitReady waits until every daemon serves a completion and a service call.
+func (s *cluster) awaitReady() {
 	for i, set := range s.settings {
 		require.Eventually(s.t, func() bool {
 			key := fmt.Sprintf("ready-%d-%d", i, time.Now().UnixNano())
-			return answered(http.DefaultClient, set.Addresses.Callers, key, 1) == nil &&
-				transferred(http.DefaultClient, set.Addresses.Callers, "call-"+key) == nil
-		}, patience, 100*time.Millisecond)
+			return sendCompletion(http.DefaultClient, set.Addresses.Callers, key, 1) == nil &&
+				sendTransfer(http.DefaultClient, set.Addresses.Callers, "call-"+key) == nil
+		}, testTimeout, 100*time.Millisecond)
 	}
 }
--- a/internal/port/holder.go
+++ b/internal/port/holder.go
@@ -6,22 +6,24 @@
 	"strings"
 )
 
-// Holder identifies one run of a daemon in a lease, with its peers' address.
+// Holder identifies one incarnation of a daemon in a lease, and the address at
+// which its peers reach it.
 type Holder struct {
 	Name        string
 	Incarnation uint64
 	Address     string
 }
 
-// String gives the form that leases hold.
+// String returns the form stored in leases: "name#incarnation@address".
 func (h Holder) String() string {
 	return fmt.Sprintf("%s#%d@%s", h.Name, h.Incarnation, h.Address)
 }
 
-// ParseHolder reads the form that leases hold.
+// ParseHolder parses the form stored in leases. It returns false if s has another
+// form; so has the empty holder of a free lease.
 func ParseHolder(s string) (Holder, bool) {
-	who, address, ok := strings.Cut(s, "@")
-	name, number, ok2 := strings.Cut(who, "#")
-	inc, err := strconv.ParseUint(number, 10, 64)
-	return Holder{Name: name, Incarnation: inc, Address: address}, ok && ok2 && err == nil
+	daemon, address, ok := strings.Cut(s, "@")
+	name, number, ok2 := strings.Cut(daemon, "#")
+	incarnation, err := strconv.ParseUint(number, 10, 64)
+	return Holder{Name: name, Incarnation: incarnation, Address: address}, ok && ok2 && err == nil
 }
--- a/internal/port/port.go
+++ b/internal/port/port.go
@@ -1,5 +1,6 @@
-// Package port defines the names of a daemon's services and the interfaces
-// under which they find each other. It holds no implementation.
+// Package port defines the names of a daemon's services and the interfaces by
+// which they look each other up in the kernel. It contains no implementation.
+// Implementations are safe for concurrent use.
 package port
 
 import (
@@ -21,83 +22,85 @@
 	"github.com/verbenastep/verbenastep/core/state"
 )
 
-// Names of services.
+// Names under which services register with the kernel.
 const (
-	// NameLink is the drpc server and connection pool; see Link.
+	// NameLink is the drpc server and client connection pool; see Link.
 	NameLink = "link.drpc"
-	// NameReplica stores the replicated log, on replicas only.
+	// NameReplica stores the replicated log; only replicas have it.
 	NameReplica = "log.replica"
 	// NameLog is the log's client on every daemon; see Log.
 	NameLog = "log.client"
-	// NameView is the daemon's copy of configuration and leases; see View.
+	// NameView is the daemon's copy of the replicated state; see View and TableView.
 	NameView = "config.view"
-	// NameDispatcher runs the pools whose lease this daemon holds.
+	// NameDispatcher runs the dispatchers of the pools whose lease this daemon holds.
 	NameDispatcher = "sched.dispatcher"
 	// NameScheduler is the entry's side of scheduling; see Scheduler.
 	NameScheduler = "sched.client"
-	// NameUpstreams receives announcements; see Upstreams.
+	// NameUpstreams receives upstreams' announcements; see Upstreams.
 	NameUpstreams = "upstream.registry"
-	// NameAnswers keeps running and finished answers; see Answers.
+	// NameAnswers keeps running and finished answers.
 	NameAnswers = "entry.answers"
 	// NameEntry is the callers' HTTP server.
 	NameEntry = "entry.http"
 	// NameAdmin is the administrative HTTP server.
 	NameAdmin = "admin.http"
-	// NameMembers knows the live daemons; see Members.
+	// NameMembers tracks the live daemons; see Members.
 	NameMembers = "member.list"
-	// NameEvents records events for the promise checker; see Events.
+	// NameEvents records events for package promise; see Events.
 	NameEvents = "event.log"
-	// NameMetrics collects metrics; see Metrics.
+	// NameMetrics is the metrics registry; see Metrics.
 	NameMetrics = "metrics"
-	// NameDirectory answers which entries to use; see Directory.
+	// NameDirectory tells callers which entries to use; see Directory.
 	NameDirectory = "directory"
 	// NameTables publishes route tables; see Tables.
 	NameTables = "config.tables"
-	// NameRoster keeps the upstreams that send heartbeats; see Roster.
+	// NameRoster tracks the upstreams that send heartbeats; see Roster.
 	NameRoster = "upstream.roster"
 	// NameBroker grants upstreams to the entries of a route table.
 	NameBroker = "broker.server"
-	// NameWork is the entry's side of the broker; see Work.
+	// NameWork is the entry's client of the broker; see Work.
 	NameWork = "broker.client"
-	// NameForward forwards requests by the route table.
+	// NameForward forwards callers' requests according to the route table.
 	NameForward = "entry.forward"
-	// NameDialect knows the header names of callers and upstreams.
+	// NameDialect maps the header names of callers and upstreams.
 	NameDialect = "entry.dialect"
 )
 
-// GroupMain is the log group for configuration, leases and claims.
+// GroupMain is the group of the replicated log for configuration, leases and
+// claims.
 const GroupMain = "main"
 
-// MaxCommandBytes bounds a command of the log in its encoded form. With a batch
-// of others it still fits into one drpc message, which is bounded at 4 MiB: one
-// that did not could never be replicated.
+// MaxCommandBytes is the maximum size of an encoded command of the log. A batch
+// with such a command still fits into one drpc message, whose limit is 4 MiB; a
+// command that did not fit could never be replicated.
 const MaxCommandBytes = 2 << 20
 
-// LeaseTTL is how long a holder may act on a lease, by its own monotonic clock,
-// from the moment it sent the Acquire that succeeded. The log gives the lease
-// to nobody else before a third more has passed, which covers the clocks'
-// drift.
+// LeaseTTL is how long a holder may act on a lease, by its monotonic clock,
+// counted from before it sent the successful Acquire. The log grants the lease to
+// another holder only after a third more, which covers clock drift.
 const LeaseTTL = 1500 * time.Millisecond
 
-// Link joins daemons by drpc.
+// Link connects daemons by drpc.
 type Link interface {
-	// Conn returns a pooled connection to a daemon's peers' address. Each
-	// stream or call occupies a connection of its own meanwhile.
+	// Conn returns a pooled connection to the peers' address of a daemon. Each
+	// stream or call in progress occupies a network connection of its own.
 	Conn(address string) drpc.Conn
-	// Mux registers drpc services before the server starts.
+	// Mux returns where drpc services register; they must do so before the server
+	// starts.
 	Mux() drpc.Mux
 }
 
 // Log commits commands to the replicated state.
 type Log interface {
-	// Propose returns after the command is committed and applied. An error of
-	// kind unknown says that it may still commit.
+	// Propose returns once the command is committed and applied. After an error of
+	// kind fault.Unknown the command may still be committed.
 	Propose(ctx context.Context, group string, c state.Command) (state.Result, error)
-	// Lookup reads a claim after all that was committed before the call.
+	// Lookup reads a claim linearizably: it sees every command that was committed
+	// before the call.
 	Lookup(ctx context.Context, group, workspace, key string) (state.Claim, bool, error)
 }
 
-// ReplicaStatus is one replica's own position in a group.
+// ReplicaStatus is a replica's own status in a group of the log.
 type ReplicaStatus struct {
 	Name    string `json:"name"`
 	Address string `json:"address"`
@@ -111,11 +114,11 @@
 	Last      uint64 `json:"last"`
 	Committed uint64 `json:"committed"`
 	Applied   uint64 `json:"applied"`
-	// Version is the accepted configuration's as far as applied here.
+	// Version is the configuration version that this replica has applied.
 	Version uint64 `json:"version"`
-	// Members is the group as this replica knows it.
+	// Members lists the members of the group as this replica knows them.
 	Members []ReplicaMember `json:"members,omitempty"`
-	// Error says why the replica does not answer or stands still.
+	// Error says why the replica does not answer or has stopped applying.
 	Error string `json:"error,omitempty"`
 }
 
@@ -125,19 +128,19 @@
 	Address string `json:"address"`
 	ID      uint64 `json:"id"`
 	Learner bool   `json:"learner,omitempty"`
-	// Lag is how many entries it lacks, as far as the leader knows; only the
-	// leader fills it.
+	// Lag is the number of entries that it lacks; only the leader reports it.
 	Lag uint64 `json:"lag,omitempty"`
 }
 
-// Replicas shows and changes the replicas of a group.
+// Replicas reads and changes the replicas of a group.
 type Replicas interface {
-	// Status asks each replica; one that does not answer has only name,
-	// address and error.
+	// Status queries each replica; for one that does not answer only name, address
+	// and error are set.
 	Status(ctx context.Context, group string) []ReplicaStatus
-	// Remove takes the replica of a name out of the group.
+	// Remove removes the replica with a name from the group.
 	Remove(ctx context.Context, group, name string) error
-	// Backup writes a snapshot of all that was committed before the call.
+	// Backup writes a snapshot that includes every command committed before the
+	// call.
 	Backup(ctx context.Context, group string, w io.Writer) error
 }
 
@@ -148,22 +151,23 @@
 	Config  *config.Config
 }
 
-// View is the daemon's copy of the shared state.
+// View is the daemon's copy of the replicated state. It may lag behind the log.
 type View interface {
-	// Snapshot returns the configuration in force; it is never nil and never
-	// of a lower version than one returned before.
+	// Snapshot returns the configuration in force. Its Config is never nil, and its
+	// version never decreases.
 	Snapshot() Snapshot
-	// Lease returns a lease as last heard; its holder is empty where none.
+	// Lease returns the last known state of a lease; the holder of a free one is
+	// empty.
 	Lease(name string) state.Lease
-	// Suspects returns the crash count of each suspect fingerprint of a pool.
+	// Suspects returns the crash counts of a pool by request fingerprint.
 	Suspects(pool string) map[uint64]int
 	// Changed returns a channel that is closed at the next change.
 	Changed() <-chan struct{}
 }
 
-// Request is what the scheduler needs to know of a request.
+// Request describes a request to the scheduler.
 type Request struct {
-	// Pool is the model's or service's name.
+	// Pool is the name of the model or service.
 	Pool         string
 	Workspace    string
 	Operation    string
@@ -175,38 +179,38 @@
 	Deadline time.Time
 }
 
-// Ticket is a granted slot. Release must be called exactly once.
+// Ticket is a granted slot of an upstream. Release must be called exactly once.
 type Ticket interface {
 	Upstream() string
 	Address() string
-	// Why is the decision's explanation, a sched.Explanation as JSON.
+	// Why returns the decision's explanation, a sched.Explanation as JSON.
 	Why() json.RawMessage
 	Release(r sched.Release)
 }
 
-// Scheduler grants upstreams to requests.
+// Scheduler grants upstreams to requests of declared workspaces.
 type Scheduler interface {
-	// Acquire waits for a grant. Its error is a *fault.Error of a request that
-	// did not run.
+	// Acquire waits for a grant. Its error is a *fault.Error and means that the
+	// request did not run.
 	Acquire(ctx context.Context, r Request) (Ticket, error)
 }
 
-// Place is one pool in one region: what a dispatcher serves.
+// Place is a pool in a region, the unit that a dispatcher serves.
 type Place struct {
 	Pool   string
 	Region string
 }
 
-// Upstreams hands announcements to whoever dispatches their pool.
+// Upstreams passes upstreams' announcements to subscribers.
 type Upstreams interface {
-	// Subscribe calls fn for each announcement of a pool in a region, those
-	// that still hold first, until cancel is called.
+	// Subscribe calls fn for each announcement of a pool in a region, first for
+	// those still valid, until cancel is called. fn must not block.
 	Subscribe(at Place, fn func(*rpc.UpstreamState)) (cancel func())
-	// Places lists what the upstreams that announce themselves here serve.
+	// Places lists the pools of the upstreams announced to this daemon.
 	Places() []Place
 }
 
-// DispatchLease names the lease of a pool's dispatcher in a region.
+// DispatchLease returns the name of the lease of a pool's dispatcher in a region.
 func DispatchLease(pool, region string) string {
 	return "dispatch/" + pool + "/" + region
 }
@@ -216,144 +220,151 @@
 	Name       string
 	Region     string
 	DataCentre string
-	Peers      string
-	Callers    string
-	// Upstreams is where upstreams announce themselves.
+	// Peers, Callers and Upstreams are the daemon's addresses for other daemons, for
+	// requests and for announcements; empty if it has none.
+	Peers     string
+	Callers   string
 	Upstreams string
-	Version   uint64
-	// Load is the part of its capacity that the daemon uses, 1 for all.
+	// Version is the configuration version in force there.
+	Version uint64
+	// Load is the used fraction of the daemon's capacity.
 	Load    float64
 	Replica bool
-	// Leaving says that the daemon drains: it serves, but takes no new callers.
+	// Leaving says that the daemon drains: it still serves, but takes no new callers.
 	Leaving bool
 }
 
-// Members knows the live daemons, this one included.
+// Members lists the live daemons, including this one.
 type Members interface {
+	// Live returns the live daemons.
 	Live() []Member
-	// Find returns a live daemon by name.
+	// Find returns a live daemon by name, and false if there is none.
 	Find(name string) (Member, bool)
 }
 
-// Loader is a service that knows how much of the daemon's capacity is used.
+// Loader reports the daemon's load; the service that accepts requests implements
+// it.
 type Loader interface {
-	// Load is 1 where all of it is.
+	// Load returns the used fraction of the capacity.
 	Load() float64
 }
 
-// Leaver announces a graceful shutdown to the other daemons.
+// Leaver announces to the other daemons that this one drains.
 type Leaver interface {
-	// Announce tells the others that this daemon takes no new callers.
+	// Announce marks this daemon as leaving in the member lists of the others.
 	Announce()
 }
 
-// Directory says which entries callers may use.
+// Directory tells which entries callers may use.
 type Directory interface {
-	// Answer returns callers' addresses, the best first, for a caller near a
-	// data centre (empty where unknown), and how long they may be kept.
-	Answer(dataCentre string) (addresses []string, life time.Duration)
+	// Answer returns entries' addresses for a caller in a data centre (empty if
+	// unknown), the best first, and how long the answer may be cached.
+	Answer(dataCentre string) (addresses []string, ttl time.Duration)
 }
 
-// Events takes the events of a run, for the promise checker and operators.
+// Events records what the daemon does, for package promise and operators.
 type Events interface {
-	// Record stamps an event with daemon and time and keeps it; it must not
-	// block.
+	// Record keeps an event with the daemon's name and the time. It does not block.
 	Record(e promise.Event)
 }
 
-// Metrics registers and gathers metrics.
+// Metrics is the registry of Prometheus metrics.
 type Metrics interface {
 	Registerer() prometheus.Registerer
 	Gatherer() prometheus.Gatherer
 }
 
-// Explainer tells operators what became of a request.
+// Explainer explains the handling of a request to operators.
 type Explainer interface {
-	// Explain finds a request by its key, as this daemon saw it.
+	// Explain returns as JSON how this daemon handled the request with a key, and
+	// false if it has seen none.
 	Explain(key string) (json.RawMessage, bool)
 }
 
 // Tables publishes route tables and reads them back.
 type Tables interface {
-	// Publish commits a table; source is what the operator sent. It returns the
-	// version in force afterwards. An error of kind malformed refuses the table
-	// for good.
+	// Publish commits a table; source is the text that the operator sent. It returns
+	// the version in force afterwards. After an error of kind fault.Malformed a
+	// retry is useless.
 	Publish(ctx context.Context, t *routes.Table, source []byte) (uint64, error)
-	// Read returns the newest table's source, and false where there is none.
+	// Read returns the source of the latest table, and false if there is none.
 	Read(ctx context.Context) (source []byte, found bool, err error)
 }
 
 // TableView is the daemon's copy of the route table.
 type TableView interface {
-	// Routes returns the table in force, nil where none is known yet. Its
-	// version never falls.
+	// Routes returns the table in force, or nil if none is known yet. Its version
+	// never decreases.
 	Routes() *routes.Index
-	// Leader returns the log's leader as last heard.
+	// Leader returns the last known leader of the log.
 	Leader() Leader
 	// Changed returns a channel that is closed at the next change.
 	Changed() <-chan struct{}
 }
 
-// Leader is the daemon that leads the log.
+// Leader identifies the daemon that leads the log.
 type Leader struct {
-	// Address is its peers' address; empty where none is known.
+	// Address is its peers' address; empty if no leader is known.
 	Address string
-	// Term orders leaderships, also of the same daemon.
+	// Term increases with each election, also if the same daemon is elected again.
 	Term uint64
 }
 
-// Roster keeps the upstreams that send heartbeats.
+// Roster tracks the upstreams that send heartbeats.
 type Roster interface {
-	// Take takes in a heartbeat and passes it on. An error says that this
-	// daemon can't, and that another one should be asked.
+	// Take records a heartbeat and shares it with the other control daemons. After
+	// an error the upstream should send it to another daemon.
 	Take(e roster.Entry) error
-	// Leave ends an upstream by its id.
+	// Leave removes an upstream by its id.
 	Leave(id string) error
-	// All lists the upstreams by id, with how long ago each was heard of.
+	// All lists the upstreams by id, each with the age of its last heartbeat.
 	All() []RosterEntry
-	// Changed returns a channel that is closed at the next change of what
-	// upstreams may be used for.
+	// Changed returns a channel that is closed at the next change that affects
+	// which upstreams may be used.
 	Changed() <-chan struct{}
 }
 
-// RosterEntry is an upstream with the age of its newest heartbeat.
+// RosterEntry is an upstream with the age of its last heartbeat. Silent says that
+// the age exceeds the limit for its use.
 type RosterEntry struct {
 	roster.Entry
 	Age    time.Duration
 	Silent bool
 }
 
-// Work grants upstreams to requests of the route table.
+// Work obtains grants from the broker for requests of the route table.
 type Work interface {
-	// Acquire waits for a grant. Its error is a *fault.Error of a request that
-	// did not run, or the context's.
+	// Acquire waits for a grant. Its error is the context's, or a *fault.Error, and
+	// means that the request did not run.
 	Acquire(ctx context.Context, o WorkOffer) (WorkTicket, error)
-	// Entries is how many entries share the system's limits, at least 1.
+	// Entries returns the number of entries that share the global limits, at least
+	// 1.
 	Entries() int
 }
 
 // WorkOffer is a request that waits for an upstream.
 type WorkOffer struct {
 	broker.Offer
-	// AimAt is when the first event must have come to be on time, DeadlineAt
-	// when the caller stops waiting.
+	// AimAt is the time until which the first event counts as on time; DeadlineAt
+	// is when the caller stops waiting.
 	AimAt      time.Time
 	DeadlineAt time.Time
-	// Late is how long after the aim the request is still served rather than
-	// refused.
+	// Late is how long after AimAt the request is still served instead of refused.
 	Late time.Duration
 }
 
 // WorkTicket is a granted slot. End must be called exactly once.
 type WorkTicket struct {
 	broker.Grant
-	// By says who granted: "broker", or "entry" where no broker answered.
-	By  string
+	// By is "broker", or "entry" if the entry granted by itself because no broker
+	// answered.
+	By string
+	// End frees the slot and reports how the request ended.
 	End func(e broker.End)
 }
 
 // Readiness tells whether an entry takes new callers.
 type Readiness interface {
-	// Ready returns nil, or why the entry should not be used.
+	// Ready returns nil, or why the entry must not get new callers.
 	Ready() error
 }
--- a/internal/schema/files.go
+++ b/internal/schema/files.go
@@ -8,20 +8,20 @@
 	"github.com/verbenastep/verbenastep/core/config"
 )
 
-// CheckFiles reports every fault of a whole configuration: those of each
-// file's shape and those between sections. Its error is config.Faults, in the
-// order of files and paths. The command and the daemon both use it.
+// CheckFiles validates a whole configuration: each file against the schema, and
+// the sections against each other. Its error is a config.Faults, ordered by file
+// and path. The command line and the daemon both use it.
 func CheckFiles(files config.Files) error {
 	faults := config.Faults{}
-	shape := map[string][]string{}
+	malformed := map[string][]string{}
 	for _, file := range files.Paths() {
 		for _, f := range Check(Configuration, files[file]) {
 			faults = append(faults, config.Fault{File: file, Path: f.Path, Message: f.Message, Remedy: f.Remedy})
-			shape[file] = append(shape[file], f.Path)
+			malformed[file] = append(malformed[file], f.Path)
 		}
 	}
 	for _, f := range config.CheckFiles(files) {
-		if !Covers(shape[f.File], f.Path) {
+		if !Covers(malformed[f.File], f.Path) {
 			faults = append(faults, f)
 		}
 	}
--- a/internal/schema/schema.go
+++ b/internal/schema/schema.go
@@ -1,7 +1,7 @@
-// Package schema holds the published JSON Schemas of settings and declared
-// configuration, and checks documents against them.
-//
-// A check reports every fault of a document with its JSON path and a remedy.
+// Package schema contains the published JSON Schemas of the settings file and of
+// the declared configuration, and validates documents against them. Validation
+// reports all faults of a document, each with its JSON path and a remedy, and
+// never repeats a key in a message.
 package schema
 
 import (
@@ -19,14 +19,14 @@
 	"golang.org/x/text/message"
 )
 
-// Kind is which document a schema describes.
+// Kind is the kind of document that a schema describes.
 type Kind string
 
-// Kinds.
+// Kinds of documents.
 const (
-	// Settings is one daemon's settings file.
+	// Settings is the settings file of a daemon.
 	Settings Kind = "settings"
-	// Configuration is one file of the declared configuration.
+	// Configuration is a file of the declared configuration.
 	Configuration Kind = "configuration"
 )
 
@@ -36,7 +36,7 @@
 //go:embed configuration.schema.json
 var configurationText []byte
 
-// Text returns a schema as published under docs/schema.
+// Text returns the text of a schema, as published under docs/schema.
 func Text(k Kind) []byte {
 	if k == Settings {
 		return settingsText
@@ -44,15 +44,15 @@
 	return configurationText
 }
 
-// compiled holds the schemas, each compiled at its first use: a daemon starts
-// faster without the one that it does not need.
+// compiled returns the compiled schemas. Each is compiled at its first use, so that
+// a daemon that needs only one starts faster.
 var compiled = map[Kind]func() *jsonschema.Schema{
 	Settings:      sync.OnceValue(func() *jsonschema.Schema { return compile(Settings) }),
 	Configuration: sync.OnceValue(func() *jsonschema.Schema { return compile(Configuration) }),
 }
 
-// compile panics on an embedded schema that is not one, which the package's
-// tests rule out.
+// compile compiles an embedded schema. It panics if the schema is invalid, which
+// the package's tests exclude.
 func compile(k Kind) *jsonschema.Schema {
 	doc, err := jsonschema.UnmarshalJSON(bytes.NewReader(Text(k)))
 	if err != nil {
@@ -66,7 +66,7 @@
 	return c.MustCompile(url)
 }
 
-// Fault is one thing wrong with a document.
+// Fault is a single error in a document.
 type Fault struct {
 	// Path is a JSON path such as "$.addresses.callers".
 	Path    string
@@ -74,23 +74,24 @@
 	Remedy  string
 }
 
-// Check returns every fault of a document in the order of their paths, or none.
+// Check validates a document and returns its faults, ordered by path; none if it
+// is valid.
 func Check(k Kind, data []byte) []Fault {
 	doc, err := jsonschema.UnmarshalJSON(bytes.NewReader(data))
 	if err != nil {
 		return []Fault{{Path: "$", Message: "the file is not JSON: " + err.Error(), Remedy: "write it as one JSON object"}}
 	}
 	err = compiled[k]().Validate(doc)
-	found := (*jsonschema.ValidationError)(nil)
-	if !errors.As(err, &found) {
+	invalid := (*jsonschema.ValidationError)(nil)
+	if !errors.As(err, &invalid) {
 		return nil
 	}
-	out := leaves(found)
+	out := leaves(invalid)
 	slices.SortStableFunc(out, func(a, b Fault) int { return strings.Compare(a.Path, b.Path) })
 	return out
 }
 
-// leaves flattens the tree of causes.
+// leaves returns the faults at the leaves of the tree of causes.
 func leaves(e *jsonschema.ValidationError) []Fault {
 	if len(e.Causes) == 0 {
 		return describe(e)
@@ -102,8 +103,8 @@
 	return out
 }
 
-// describe puts one cause into words; missing and unknown fields are a fault
-// each.
+// describe returns the faults of one cause; each missing or unknown field is a
+// fault of its own.
 func describe(e *jsonschema.ValidationError) []Fault {
 	path := jsonPath(e.InstanceLocation)
 	switch k := e.ErrorKind.(type) {
@@ -130,11 +131,11 @@
 	return []Fault{{Path: path, Message: text, Remedy: "see the published JSON Schema"}}
 }
 
-// hashPattern is the form of hashed keys.
+// hashPattern is the pattern of hashed keys in the schemas.
 const hashPattern = "^sha256:[0-9a-f]{64}$"
 
-// describePattern never repeats what stands in place of a hash: it may be the
-// key itself.
+// describePattern describes a value that does not match its pattern. It omits the
+// value if a hash is expected, since the value may be the key itself.
 func describePattern(path string, k *kind.Pattern) Fault {
 	if k.Want == hashPattern {
 		return Fault{Path: path, Message: "the key's hash is malformed", Remedy: `write "sha256:" and the 64 hex digits of the key's SHA-256, in lower case`}
@@ -165,7 +166,7 @@
 	return strings.Join(out, ", ")
 }
 
-// jsonPath joins the tokens of an instance's location.
+// jsonPath returns the JSON path of an instance's location, such as "$.a[0]".
 func jsonPath(tokens []string) string {
 	b := strings.Builder{}
 	b.WriteString("$")
@@ -179,8 +180,8 @@
 	return b.String()
 }
 
-// Covers tells whether a fault at one of the paths, or above it, makes one at
-// the given path a mere consequence.
+// Covers tells whether path equals one of paths or lies below one. A fault there
+// is then a mere consequence of the one at or above it.
 func Covers(paths []string, path string) bool {
 	for _, p := range paths {
 		rest, ok := strings.CutPrefix(path, p)
--- a/internal/schema/schema_test.go
+++ b/internal/schema/schema_test.go
@@ -14,7 +14,7 @@
 	"github.com/verbenastep/verbenastep/internal/settings"
 )
 
-func TestPublishedCopiesAreTheEmbeddedOnes(t *testing.T) {
+func TestPublishedSchemasEqualEmbeddedOnes(t *testing.T) {
 	for _, k := range []schema.Kind{schema.Settings, schema.Configuration} {
 		published, err := os.ReadFile("../../docs/schema/" + string(k) + ".schema.json")
 		require.NoError(t, err)
@@ -22,17 +22,20 @@
 	}
 }
 
-// node is what the test reads of a schema.
+// node is the part of a schema that the test reads.
 type node struct {
 	Type       string          `json:"type"`
 	Enum       []any           `json:"enum"`
 	Properties map[string]node `json:"properties"`
 	Items      *node           `json:"items"`
-	// Additional is false where no other names are allowed, or a map's values.
+	// Additional is false if no other properties are allowed, or the schema of a
+	// map's values.
 	Additional json.RawMessage `json:"additionalProperties"`
 }
 
-func TestSchemasAgreeWithTheStructs(t *testing.T) {
+// TestSchemasMatchStructs guards against fields that are added to a struct but not
+// to its schema, or that differ in type.
+func TestSchemasMatchStructs(t *testing.T) {
 	types := map[schema.Kind]reflect.Type{
 		schema.Settings:      reflect.TypeFor[settings.Settings](),
 		schema.Configuration: reflect.TypeFor[config.Config](),
@@ -40,16 +43,17 @@
 	for k, typ := range types {
 		n := node{}
 		require.NoError(t, json.Unmarshal(schema.Text(k), &n))
-		agree(t, string(k), typ, n)
+		requireMatch(t, string(k), typ, n)
 	}
 }
 
-// agree descends both: same names, same kinds, no other names allowed.
-func agree(t *testing.T, path string, typ reflect.Type, n node) {
+// requireMatch compares a type and a schema recursively: same names, same types,
+// and no other properties allowed.
+func requireMatch(t *testing.T, path string, typ reflect.Type, n node) {
 	t.Helper()
 	switch typ.Kind() {
 	case reflect.Pointer:
-		agree(t, path, typ.Elem(), n)
+		requireMatch(t, path, typ.Elem(), n)
 	case reflect.Struct:
 		require.Equal(t, "object", n.Type, path)
 		require.JSONEq(t, "false", string(n.Additional), path)
@@ -62,13 +66,13 @@
 			name, _, _ := strings.Cut(f.Tag.Get("json"), ",")
 			child, ok := n.Properties[name]
 			require.True(t, ok, "%s.%s", path, name)
-			agree(t, path+"."+name, f.Type, child)
+			requireMatch(t, path+"."+name, f.Type, child)
 		}
 		require.Len(t, n.Properties, fields, path)
 	case reflect.Slice:
 		require.Equal(t, "array", n.Type, path)
 		require.NotNil(t, n.Items, path)
-		agree(t, path+"[]", typ.Elem(), *n.Items)
+		requireMatch(t, path+"[]", typ.Elem(), *n.Items)
 	case reflect.String:
 		require.True(t, n.Type == "string" || len(n.Enum) > 0, path)
 	case reflect.Bool:
@@ -81,13 +85,15 @@
 		require.Equal(t, "object", n.Type, path)
 		value := node{}
 		require.NoError(t, json.Unmarshal(n.Additional, &value), path)
-		agree(t, path+"{}", typ.Elem(), value)
+		requireMatch(t, path+"{}", typ.Elem(), value)
 	default:
 		t.Fatalf("%s: no rule for %s", path, typ)
 	}
 }
 
-func TestFaultsNeverRepeatAKey(t *testing.T) {
+// TestFaultsContainNoKey: a key written where its hash is expected must not appear
+// in a message.
+func TestFaultsContainNoKey(t *testing.T) {
 	files := config.Files{"a.json": []byte(`{"operators": [{"name": "x", "keys": ["planted-secret"]}]}`)}
 	err := schema.CheckFiles(files)
 	require.ErrorContains(t, err, "$.operators[0].keys[0]")
@@ -97,7 +103,7 @@
 	require.NotContains(t, err.Error(), "planted")
 }
 
-func TestSectionsOfTwoFilesNameTheirOwnPlace(t *testing.T) {
+func TestFaultsAcrossFilesNameFileAndPath(t *testing.T) {
 	files := config.Files{
 		"a.json": []byte(`{"tiers": [{"name": "one", "goodput_ms": 1}]}`),
 		"b.json": []byte(`{"tiers": [{"name": "two", "goodput_ms": 1}, {"name": "one", "goodput_ms": 1}]}`),
--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -6,8 +6,8 @@
 	"slices"
 )
 
-// checker collects the faults that lie between a file's values; the shape of
-// each value is the schema's matter.
+// checker collects contradictions between the values of a file. The form of each
+// value is checked by the schema.
 type checker struct {
 	faults []Fault
 }
@@ -39,8 +39,7 @@
 	}
 }
 
-// addresses checks that no two listeners clash: same port, and same IP or
-// either on all of them.
+// addresses checks each address and that no two listeners conflict; see conflict.
 func (k *checker) addresses(s *Settings) {
 	all := []struct{ path, value string }{
 		{"$.addresses.callers", s.Addresses.Callers},
@@ -59,7 +58,7 @@
 	for i, a := range all {
 		k.address(a.path, a.value)
 		for _, b := range all[:i] {
-			if clash(a.value, b.value) {
+			if conflict(a.value, b.value) {
 				k.add(a.path, fmt.Sprintf("%s clashes with %s", a.value, b.path), "give each address a port of its own")
 			}
 		}
@@ -75,7 +74,9 @@
 	}
 }
 
-func clash(a, b string) bool {
+// conflict tells whether two listeners have the same port and the same IP, or
+// either listens on all IPs.
+func conflict(a, b string) bool {
 	x, err := netip.ParseAddrPort(a)
 	if err != nil {
 		return false
@@ -94,6 +95,7 @@
 	if s.Routing != nil && len(s.Replicas)+len(s.Seeds) == 0 {
 		k.add("$.seeds", "the list is empty or missing", "list peers' addresses of control daemons")
 	}
+	// seen maps names and addresses to the path of their first occurrence.
 	seen := map[string]string{}
 	for i, r := range s.Replicas {
 		path := fmt.Sprintf("$.replicas[%d]", i)
@@ -109,8 +111,8 @@
 	}
 }
 
-// role checks that the replica's role, its place in the list of replicas and
-// its data folder agree.
+// role checks that the role Replica, the list of replicas and the data folder
+// agree.
 func (k *checker) role(s *Settings) {
 	replica := s.HasRole(Replica)
 	if replica && s.DataFolder == "" {
@@ -131,7 +133,7 @@
 	}
 }
 
-// tls checks that all files are given or none.
+// tls checks that either all TLS files are named or none.
 func (k *checker) tls(t TLS) {
 	files := []struct{ path, value string }{
 		{"$.tls.cert_file", t.CertFile}, {"$.tls.key_file", t.KeyFile}, {"$.tls.ca_file", t.CAFile},
--- a/internal/settings/routing.go
+++ b/internal/settings/routing.go
@@ -7,50 +7,51 @@
 	"sync"
 )
 
-// Routing are the settings of a daemon that serves a published route table.
+// Routing holds the settings of a daemon that serves a published route table.
 type Routing struct {
-	// Ready is where an entry's readiness is asked for.
+	// Ready is the address that answers readiness checks of an entry.
 	Ready string `json:"ready,omitempty"`
-	// Control is for operators and upstreams' heartbeats; a daemon that has it
-	// is a control daemon.
+	// Control is the address for operators and upstreams' heartbeats. A daemon that
+	// has one is a control daemon.
 	Control string `json:"control,omitempty"`
-	// Directory is where callers ask which entries to use.
+	// Directory is the address at which callers ask which entries to use.
 	Directory string `json:"directory,omitempty"`
-	// SeedPort replaces the port of each seed where it is not zero.
+	// SeedPort, if not zero, replaces the port of each seed.
 	SeedPort int `json:"seed_port,omitempty"`
-	// Found says that the replicas in the seeds may begin a new log.
+	// Found allows the replicas listed as seeds to bootstrap a new log.
 	Found bool `json:"found,omitempty"`
-	// HeartbeatMS is the pause between two heartbeats of an upstream.
+	// HeartbeatMS is the interval between two heartbeats of an upstream.
 	HeartbeatMS int64 `json:"heartbeat_ms,omitempty"`
-	// GraceMS is the time from the signal to stop until the process is killed.
+	// GraceMS is the time between the stop signal and the kill of the process by the
+	// platform.
 	GraceMS int64 `json:"grace_ms,omitempty"`
-	// AnswerLifeMS is how long callers may keep a directory answer.
+	// AnswerLifeMS is how long callers may cache a directory answer.
 	AnswerLifeMS int64 `json:"answer_life_ms,omitempty"`
-	// Retry bounds what is sent again.
+	// Retry bounds how many requests are sent again.
 	Retry Retry `json:"retry,omitempty"`
-	// Quota is how far workspaces' quotas may be exceeded.
+	// Quota is the tolerance in the enforcement of workspaces' quotas.
 	Quota Quota `json:"quota,omitempty"`
-	// DataCentres gives the region of each data centre.
+	// DataCentres maps each data centre to its region.
 	DataCentres map[string]string `json:"data_centres,omitempty"`
 }
 
-// Retry is a budget for sending requests again, over all daemons together.
+// Retry is the retry budget of all daemons together.
 type Retry struct {
-	// Ratio is how many repeats are allowed for each request.
+	// Ratio is the number of retries allowed per request.
 	Ratio float64 `json:"ratio,omitempty"`
-	// WindowMS is the window in which they are counted.
+	// WindowMS is the window in which requests and retries are counted.
 	WindowMS int64 `json:"window_ms,omitempty"`
-	// Slack is how many repeats are allowed besides.
+	// Slack is the number of retries allowed in addition.
 	Slack int64 `json:"slack,omitempty"`
 }
 
-// Quota is what is tolerated of a workspace beyond its quota.
+// Quota is how far a workspace may exceed its quota.
 type Quota struct {
-	// SlackTokens is how many tokens in a window of some seconds.
+	// SlackTokens is the number of tokens allowed in excess, in a window of seconds.
 	SlackTokens int64 `json:"slack_tokens,omitempty"`
 }
 
-// Defaults for Routing, in milliseconds but for DefaultRetryRatio.
+// Defaults for Routing, in milliseconds except for DefaultRetryRatio.
 const (
 	DefaultHeartbeatMS  = 1000
 	DefaultGraceMS      = 8000
@@ -59,7 +60,8 @@
 	DefaultRetryMS      = 10_000
 )
 
-func (r *Routing) fill() {
+// applyDefaults sets the defaults of unset values.
+func (r *Routing) applyDefaults() {
 	r.HeartbeatMS = orDefault(r.HeartbeatMS, DefaultHeartbeatMS)
 	r.GraceMS = orDefault(r.GraceMS, DefaultGraceMS)
 	r.AnswerLifeMS = orDefault(r.AnswerLifeMS, DefaultAnswerLifeMS)
@@ -76,9 +78,10 @@
 	return v
 }
 
-// followSeeds takes the seeds as the replicas to found or join the log with.
-// Their names are not known yet: each goes by its address.
-func (s *Settings) followSeeds() {
+// applySeeds applies SeedPort and, if no replicas are listed, uses the seeds as
+// the replicas to bootstrap or join the log with. Their names are not known yet,
+// so that each is named by its address.
+func (s *Settings) applySeeds() {
 	for i, seed := range s.Seeds {
 		s.Seeds[i] = withPort(seed, s.Routing.SeedPort)
 	}
@@ -98,46 +101,47 @@
 	return net.JoinHostPort(host, strconv.Itoa(port))
 }
 
-// ControlDaemon tells whether operators and upstreams speak to this daemon.
+// ControlDaemon tells whether this is a control daemon, to which operators and
+// upstreams connect.
 func (s *Settings) ControlDaemon() bool { return s.Routing != nil && s.Routing.Control != "" }
 
-// seedList is what a reload may change while the daemon runs.
-type seedList struct {
+// reloadable holds the settings that a reload changes while the daemon runs.
+type reloadable struct {
 	mu       sync.Mutex
 	seeds    []string
 	replicas []Peer
 }
 
-func (l *seedList) set(seeds []string, replicas []Peer) {
+func (l *reloadable) set(seeds []string, replicas []Peer) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.seeds, l.replicas = slices.Clone(seeds), slices.Clone(replicas)
 }
 
-// KnownReplicas lists the replicas as last read from the file.
+// KnownReplicas returns the replicas as last reloaded.
 func (s *Settings) KnownReplicas() []Peer {
-	if s.seeds == nil {
+	if s.reloaded == nil {
 		return s.Replicas
 	}
-	s.seeds.mu.Lock()
-	defer s.seeds.mu.Unlock()
-	return s.seeds.replicas
+	s.reloaded.mu.Lock()
+	defer s.reloaded.mu.Unlock()
+	return s.reloaded.replicas
 }
 
-// KnownSeeds lists the seeds as last read from the file.
+// KnownSeeds returns the seeds as last reloaded.
 func (s *Settings) KnownSeeds() []string {
-	if s.seeds == nil {
+	if s.reloaded == nil {
 		return s.Seeds
 	}
-	s.seeds.mu.Lock()
-	defer s.seeds.mu.Unlock()
-	return s.seeds.seeds
+	s.reloaded.mu.Lock()
+	defer s.reloaded.mu.Unlock()
+	return s.reloaded.seeds
 }
 
-// Follow takes over what a running daemon can change from a file that was read
-// again, and tells whether anything did.
+// Follow applies the seeds and replicas of reloaded settings; all other settings
+// need a restart. It tells whether they differ from the current ones.
 func (s *Settings) Follow(next *Settings) bool {
 	changed := !slices.Equal(s.KnownSeeds(), next.Seeds) || !slices.Equal(s.KnownReplicas(), next.Replicas)
-	s.seeds.set(next.Seeds, next.Replicas)
+	s.reloaded.set(next.Seeds, next.Replicas)
 	return changed
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,4 +1,5 @@
-// Package settings reads and checks one daemon's settings file.
+// Package settings reads and validates the settings file of a daemon. Validation
+// reports all faults of a file at once, each with its JSON path and a remedy.
 package settings
 
 import (
@@ -11,13 +12,14 @@
 	"github.com/verbenastep/verbenastep/internal/schema"
 )
 
-// Role is what a daemon does besides serving callers.
+// Role is a task of a daemon in addition to serving callers.
 type Role string
 
-// Replica keeps the durable state on disk.
+// Replica is the role of a daemon that stores the replicated log on disk.
 const Replica Role = "replica"
 
-// Settings are one daemon's.
+// Settings holds the settings of a daemon. The fields do not change after Parse;
+// see KnownSeeds and KnownReplicas for reloaded values.
 type Settings struct {
 	// Name is unique among the daemons.
 	Name       string    `json:"name"`
@@ -25,42 +27,43 @@
 	DataCentre string    `json:"data_centre"`
 	Addresses  Addresses `json:"addresses"`
 	Roles      []Role    `json:"roles,omitempty"`
-	// DataFolder is where a replica keeps its files.
+	// DataFolder is the folder for a replica's files.
 	DataFolder string `json:"data_folder,omitempty"`
-	// Replicas lists the daemons that hold the durable state.
+	// Replicas lists the daemons with the role Replica.
 	Replicas []Peer `json:"replicas,omitempty"`
-	// Seeds are peer addresses of daemons to join through.
+	// Seeds are peers' addresses of daemons through which this one joins.
 	Seeds []string `json:"seeds,omitempty"`
-	// OperatorKeys are hashes of keys that may apply configuration even before
-	// any is accepted; each "sha256:" and 64 hex digits.
+	// OperatorKeys are hashes of operators' keys that are valid before any
+	// configuration is accepted; each is "sha256:" and 64 hex digits.
 	OperatorKeys []string `json:"operator_keys,omitempty"`
-	// UpstreamKeys are hashes of keys that upstreams present.
+	// UpstreamKeys are hashes of the keys with which upstreams authenticate, in the
+	// same form.
 	UpstreamKeys []string `json:"upstream_keys,omitempty"`
-	// PeerKeyFile holds the secret that the daemons share.
+	// PeerKeyFile names the file with the secret that the daemons share.
 	PeerKeyFile string `json:"peer_key_file,omitempty"`
 	Limits      Limits `json:"limits,omitempty"`
 	TLS         TLS    `json:"tls,omitempty"`
 	Log         Log    `json:"log,omitempty"`
-	// Routing is set where the daemon serves a published route table.
+	// Routing is set if the daemon serves a published route table.
 	Routing *Routing `json:"routing,omitempty"`
 
-	seeds *seedList
+	reloaded *reloadable
 }
 
 // Peer is another daemon.
 type Peer struct {
 	Name string `json:"name"`
-	// Address is its peers' address.
+	// Address is the address at which its peers reach it.
 	Address string `json:"address"`
 }
 
-// Addresses are where the daemon listens, each IP:port.
+// Addresses are the addresses on which the daemon listens, each IP:port.
 type Addresses struct {
 	// Callers is for requests.
 	Callers string `json:"callers,omitempty"`
 	// Peers is for other daemons.
 	Peers string `json:"peers"`
-	// Upstreams is for announcements.
+	// Upstreams is for upstreams' announcements.
 	Upstreams string `json:"upstreams,omitempty"`
 	// Admin is for metrics, state dumps and operators.
 	Admin string `json:"admin,omitempty"`
@@ -68,11 +71,12 @@
 
 // Limits bound what callers may send.
 type Limits struct {
-	// BodyBytes is the largest body; zero means DefaultBodyBytes.
+	// BodyBytes is the maximum size of a body; zero means DefaultBodyBytes.
 	BodyBytes int64 `json:"body_bytes,omitempty"`
-	// HeaderBytes is the largest header; zero means DefaultHeaderBytes.
+	// HeaderBytes is the maximum size of a header; zero means DefaultHeaderBytes.
 	HeaderBytes int `json:"header_bytes,omitempty"`
-	// Connections is the most callers' connections; zero means DefaultConnections.
+	// Connections is the maximum number of callers' connections; zero means
+	// DefaultConnections.
 	Connections int `json:"connections,omitempty"`
 }
 
@@ -83,14 +87,15 @@
 	DefaultConnections = 10_000
 )
 
-// TLS names the files for mutual TLS between daemons; none means plain TCP.
+// TLS names the files for mutual TLS between daemons. Without them, daemons
+// connect by plain TCP.
 type TLS struct {
 	CertFile string `json:"cert_file,omitempty"`
 	KeyFile  string `json:"key_file,omitempty"`
 	CAFile   string `json:"ca_file,omitempty"`
 }
 
-// Log steers the daemon's own log.
+// Log configures the daemon's log.
 type Log struct {
 	// Format is "console" or "json".
 	Format string `json:"format,omitempty"`
@@ -110,7 +115,7 @@
 	return false
 }
 
-// Fault is one thing wrong with the settings.
+// Fault is a single error in a settings file.
 type Fault struct {
 	// Path is a JSON path such as "$.addresses.callers".
 	Path    string `json:"path"`
@@ -118,13 +123,13 @@
 	Remedy  string `json:"remedy"`
 }
 
-// Error lists every fault of one file.
+// Error lists all faults of a settings file.
 type Error struct {
 	File   string  `json:"file"`
 	Faults []Fault `json:"faults"`
 }
 
-// Error gives a line a fault.
+// Error returns one line per fault.
 func (e *Error) Error() string {
 	lines := make([]string, 0, len(e.Faults))
 	for _, f := range e.Faults {
@@ -133,7 +138,7 @@
 	return strings.Join(lines, "\n")
 }
 
-// Load reads and checks a file.
+// Load reads and validates a file. Its error is an *Error.
 func Load(file string) (*Settings, error) {
 	data, err := os.ReadFile(file)
 	if err != nil {
@@ -142,8 +147,8 @@
 	return Parse(file, data)
 }
 
-// Parse checks the content of a file; the name is for messages only. Its error
-// is an *Error that holds every fault.
+// Parse validates the content of a file and sets defaults; the file's name is for
+// messages only. Its error is an *Error with all faults.
 func Parse(file string, data []byte) (*Settings, error) {
 	s := &Settings{}
 	e := &Error{File: file}
@@ -152,7 +157,8 @@
 		e.Faults = append(e.Faults, Fault(f))
 		paths = append(paths, f.Path)
 	}
-	// A value of the wrong type leaves its field empty and the rest whole.
+	// A value of the wrong type leaves its field empty; all others are decoded. The
+	// schema has reported it already.
 	_ = json.Unmarshal(data, s)
 	for _, f := range s.check() {
 		if !schema.Covers(paths, f.Path) {
@@ -163,11 +169,12 @@
 	if len(e.Faults) > 0 {
 		return nil, e
 	}
-	s.fill()
+	s.applyDefaults()
 	return s, nil
 }
 
-func (s *Settings) fill() {
+// applyDefaults sets the defaults of unset values.
+func (s *Settings) applyDefaults() {
 	if s.Limits.BodyBytes == 0 {
 		s.Limits.BodyBytes = DefaultBodyBytes
 	}
@@ -178,8 +185,8 @@
 		s.Limits.Connections = DefaultConnections
 	}
 	if s.Routing != nil {
-		s.Routing.fill()
-		s.followSeeds()
+		s.Routing.applyDefaults()
+		s.applySeeds()
 	}
-	s.seeds = &seedList{seeds: s.Seeds, replicas: s.Replicas}
+	s.reloaded = &reloadable{seeds: s.Seeds, replicas: s.Replicas}
 }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -12,7 +12,7 @@
 	"github.com/verbenastep/verbenastep/internal/settings"
 )
 
-// valid is a daemon without a fault.
+// valid returns valid settings of a replica.
 func valid() *settings.Settings {
 	return &settings.Settings{
 		Name: "d1", Region: "gauteng", DataCentre: "jhb-north",
@@ -35,11 +35,11 @@
 	return found.Faults
 }
 
-func TestContradictions(t *testing.T) {
+func TestContradictionsAreReported(t *testing.T) {
 	cases := []struct {
-		name  string
-		spoil func(s *settings.Settings)
-		path  string
+		name   string
+		change func(s *settings.Settings)
+		path   string
 	}{
 		{"replica that is not listed", func(s *settings.Settings) { s.Replicas[0].Name = "d2" }, "$.roles"},
 		{"listed without the role", func(s *settings.Settings) { s.Roles = nil }, "$.replicas[0]"},
@@ -63,7 +63,7 @@
 	require.Empty(t, faultsOf(t, valid()))
 	for _, c := range cases {
 		s := valid()
-		c.spoil(s)
+		c.change(s)
 		paths := []string{}
 		for _, f := range faultsOf(t, s) {
 			paths = append(paths, f.Path)
@@ -73,6 +73,8 @@
 	}
 }
 
+// TestAllFaultsAreReportedTogether compares the messages for a file with many
+// faults, and for one that is not JSON, with golden files.
 func TestAllFaultsAreReportedTogether(t *testing.T) {
 	for _, name := range []string{"faulty", "broken"} {
 		data, err := os.ReadFile("testdata/" + name + ".json")
@@ -82,7 +84,7 @@
 	}
 }
 
-func TestMissingFileNamesTheFlag(t *testing.T) {
+func TestMissingFileErrorNamesTheFlag(t *testing.T) {
 	_, err := settings.Load("testdata/none.json")
 	require.ErrorContains(t, err, "-settings")
 }
