--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -79,7 +79,7 @@
 		return nil
 	}
 	s.members.Announce()
-	s.log.Info("removed from the directory; still serving callers with a cached answer", zap.Duration("for", answerTTL+propagationTimeout))
+	s.log.Info("left the directory; serving callers that hold an older answer", zap.Duration("for", answerTTL+propagationTimeout))
 	select {
 	case <-time.After(answerTTL + propagationTimeout):
 		return nil
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -72,11 +72,11 @@
 	if s.events, err = kernel.Find[port.Events](k, port.NameEvents); err != nil {
 		return err
 	}
-	collect, err := kernel.Find[port.Metrics](k, port.NameMetrics)
+	registry, err := kernel.Find[port.Metrics](k, port.NameMetrics)
 	if err != nil {
 		return err
 	}
-	if s.metrics, err = newMetrics(collect.Registerer()); err != nil {
+	if s.metrics, err = newMetrics(registry.Registerer()); err != nil {
 		return err
 	}
 	s.ctx, s.cancel = context.WithCancel(context.Background())
--- a/internal/dispatch/pool.go
+++ b/internal/dispatch/pool.go
@@ -78,7 +78,7 @@
 	p.leaseEnd = end
 }
 
-// holdsLease tells whether the lease is still valid.
+// holdsLease reports whether the lease is still valid.
 func (p *pool) holdsLease() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -126,7 +126,7 @@
 // discover each other and upstreams during it.
 const minResyncTime = 300 * time.Millisecond
 
-// allDaemonsConnected tells whether minResyncTime has passed and every live
+// allDaemonsConnected reports whether minResyncTime has passed and every live
 // daemon has a session.
 func (p *pool) allDaemonsConnected() bool {
 	if p.now() < minResyncTime {
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -102,7 +102,7 @@
 	slices.SortStableFunc(lines, func(a, b Line) int { return a.Time.Compare(b.Time) })
 }
 
-// isRelated tells whether a line reports a change that may affect a request: of
+// isRelated reports whether a line reports a change that may affect a request: of
 // its entry's connections and tables, of the leading broker or of its upstreams.
 func isRelated(l Line, own []Line) bool {
 	switch l.Message {
--- a/internal/logging/sink.go
+++ b/internal/logging/sink.go
@@ -56,7 +56,7 @@
 	return min(1-float64(len(s.pending))/float64(s.maxPending), s.credit/s.rate)
 }
 
-// admit tells whether a line is to be written, and otherwise counts it as dropped.
+// admit reports whether a line is to be written, and otherwise counts it as dropped.
 func (s *sink) admit(l zapcore.Level, important bool) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/port/port.go
+++ b/internal/port/port.go
@@ -227,7 +227,7 @@
 	Upstreams string
 	// Version is the configuration version in force there.
 	Version uint64
-	// Load is the used fraction of the daemon's capacity.
+	// Load is the used fraction of the daemon's capacity, 1 if all of it is used.
 	Load    float64
 	Replica bool
 	// Leaving says that the daemon drains: it still serves, but takes no new callers.
@@ -245,7 +245,7 @@
 // Loader reports the daemon's load; the service that accepts requests implements
 // it.
 type Loader interface {
-	// Load returns the used fraction of the capacity.
+	// Load returns the used fraction of the capacity, 1 if all of it is used.
 	Load() float64
 }
 
@@ -334,8 +334,8 @@
 
 // Work obtains grants from the broker for requests of the route table.
 type Work interface {
-	// Acquire waits for a grant. Its error is the context's, or a *fault.Error, and
-	// means that the request did not run.
+	// Acquire waits for a grant. Its error is the context's, or a *fault.Error of a
+	// request that did not run.
 	Acquire(ctx context.Context, o WorkOffer) (WorkTicket, error)
 	// Entries returns the number of entries that share the global limits, at least
 	// 1.
@@ -363,7 +363,7 @@
 	End func(e broker.End)
 }
 
-// Readiness tells whether an entry takes new callers.
+// Readiness reports whether an entry takes new callers.
 type Readiness interface {
 	// Ready returns nil, or why the entry must not get new callers.
 	Ready() error
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -126,7 +126,7 @@
 	_, _ = w.Write(e.Encode())
 }
 
-// isAuthenticated tells whether a request has a known upstream key. Without
+// isAuthenticated reports whether a request has a known upstream key. Without
 // declared keys every request has.
 func (s *Service) isAuthenticated(r *http.Request) bool {
 	if len(s.set.UpstreamKeys) == 0 {
--- a/internal/schedclient/acquire.go
+++ b/internal/schedclient/acquire.go
@@ -71,7 +71,7 @@
 	return e.Kind == kindSpill || e.Kind == fault.NoUpstream
 }
 
-// isFinal tells whether a refusal by one region applies to all regions.
+// isFinal reports whether a refusal by one region applies to all regions.
 func isFinal(e *fault.Error) bool {
 	return e.Kind == fault.Canceled || e.Kind == fault.Quarantined
 }
--- a/internal/schedclient/client.go
+++ b/internal/schedclient/client.go
@@ -64,11 +64,11 @@
 	if s.upstreams, err = kernel.Find[port.Upstreams](k, port.NameUpstreams); err != nil {
 		return err
 	}
-	collect, err := kernel.Find[port.Metrics](k, port.NameMetrics)
+	registry, err := kernel.Find[port.Metrics](k, port.NameMetrics)
 	if err != nil {
 		return err
 	}
-	if s.bytes, err = newLinkBytes(collect.Registerer()); err != nil {
+	if s.bytes, err = newLinkBytes(registry.Registerer()); err != nil {
 		return err
 	}
 	s.open = s.dial
--- a/internal/schedclient/places.go
+++ b/internal/schedclient/places.go
@@ -99,7 +99,7 @@
 	}
 }
 
-// isIdle tells whether no request waits or runs and no release is unsent.
+// isIdle reports whether no request waits or runs and no release is unsent.
 func (s *session) isIdle() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/schema/schema.go
+++ b/internal/schema/schema.go
@@ -180,7 +180,7 @@
 	return b.String()
 }
 
-// Covers tells whether path equals one of paths or lies below one. A fault there
+// Covers reports whether path equals one of paths or lies below one. A fault there
 // is then a mere consequence of the one at or above it.
 func Covers(paths []string, path string) bool {
 	for _, p := range paths {
--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -74,7 +74,7 @@
 	}
 }
 
-// conflict tells whether two listeners have the same port and the same IP, or
+// conflict reports whether two listeners have the same port and the same IP, or
 // either listens on all IPs.
 func conflict(a, b string) bool {
 	x, err := netip.ParseAddrPort(a)
--- a/internal/settings/routing.go
+++ b/internal/settings/routing.go
@@ -101,7 +101,7 @@
 	return net.JoinHostPort(host, strconv.Itoa(port))
 }
 
-// ControlDaemon tells whether this is a control daemon, to which operators and
+// ControlDaemon reports whether this is a control daemon, to which operators and
 // upstreams connect.
 func (s *Settings) ControlDaemon() bool { return s.Routing != nil && s.Routing.Control != "" }
 
@@ -139,7 +139,7 @@
 }
 
 // Follow applies the seeds and replicas of reloaded settings; all other settings
-// need a restart. It tells whether they differ from the current ones.
+// need a restart. It reports whether they differ from the current ones.
 func (s *Settings) Follow(next *Settings) bool {
 	changed := !slices.Equal(s.KnownSeeds(), next.Seeds) || !slices.Equal(s.KnownReplicas(), next.Replicas)
 	s.reloaded.set(next.Seeds, next.Replicas)
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -105,7 +105,7 @@
 	Stdout bool `json:"stdout,omitempty"`
 }
 
-// HasRole tells whether the daemon has a role.
+// HasRole reports whether the daemon has a role.
 func (s *Settings) HasRole(r Role) bool {
 	for _, have := range s.Roles {
 		if have == r {
