--- a/internal/dispatch/pool_test.go
+++ b/internal/dispatch/pool_test.go
@@ -103,11 +103,11 @@
 		Models:     []config.Model{{Name: "m"}},
 		Workspaces: []config.Workspace{{Name: "w", Tier: "top", HomeRegion: "r"}, {Name: "limited", Tier: "low", HomeRegion: "elsewhere", Limits: &config.Limits{Concurrency: 4}}},
 	}
-	registry, err := newMetrics(prometheus.NewRegistry())
+	m, err := newMetrics(prometheus.NewRegistry())
 	require.NoError(t, err)
 	b := &testPool{events: &fakeEvents{}}
 	b.pool = newPool("m", 3, poolDeps{
-		region: "r", view: &fakeView{config: c}, members: fakeMembers{names: members}, events: b.events, metrics: registry, log: zap.NewNop(),
+		region: "r", view: &fakeView{config: c}, members: fakeMembers{names: members}, events: b.events, metrics: m, log: zap.NewNop(),
 		shareCrashCounts: func(_ string, changes []quarantine.Change) { b.shared = append(b.shared, changes...) },
 	})
 	b.extendLease(time.Now().Add(time.Hour))
