--- a/internal/dispatch/codec.go
+++ b/internal/dispatch/codec.go
@@ -45,7 +45,7 @@
 		return len(c.Tiers), 1, limits.Limits{}
 	}
 	tier, _ = c.TierIndex(w.Tier)
-	l = limits.Limits(c.LimitsOf(w))
+	l = limits.Limits(c.EffectiveLimits(w))
 	if w.HomeRegion != region {
 		l = l.Away()
 	}
--- a/internal/port/port.go
+++ b/internal/port/port.go
@@ -312,9 +312,10 @@
 
 // Roster tracks the upstreams that send heartbeats.
 type Roster interface {
-	// Take records a heartbeat and shares it with the other control daemons. After
-	// an error the upstream should send it to another daemon.
-	Take(e roster.Entry) error
+	// RecordHeartbeat records a heartbeat and forwards it to the other control
+	// daemons. It returns an error if this daemon can't; the upstream should then
+	// use another control daemon.
+	RecordHeartbeat(e roster.Entry) error
 	// Leave removes an upstream by its id.
 	Leave(id string) error
 	// All lists the upstreams by id, each with the age of its last heartbeat.
