--- a/cmd/verbenastepd/main.go
+++ b/cmd/verbenastepd/main.go
@@ -119,6 +119,6 @@
 			log.Warn("settings were not reloaded; the daemon goes on with what it has", zap.Bool("signal", asked), zap.Error(err))
 			continue
 		}
-		log.Info("settings reloaded", zap.Bool("signal", asked), zap.Bool("seeds_changed", set.Follow(next)))
+		log.Info("settings reloaded", zap.Bool("signal", asked), zap.Bool("seeds_changed", set.Reload(next)))
 	}
 }
--- a/internal/brokerclient/client.go
+++ b/internal/brokerclient/client.go
@@ -103,7 +103,7 @@
 }
 
 // Name returns the service's name.
-func (s *Service) Name() string { return port.NameWork }
+func (s *Service) Name() string { return port.NameBrokerClient }
 
 // Needs returns the link, the view, which knows who leads, and who takes metrics.
 func (s *Service) Needs() []string { return []string{port.NameLink, port.NameView, port.NameMetrics} }
@@ -133,31 +133,31 @@
 func (s *Service) now() time.Duration { return time.Since(s.began) }
 
 // Acquire waits for a grant.
-func (s *Service) Acquire(ctx context.Context, o port.WorkOffer) (port.WorkTicket, error) {
+func (s *Service) Acquire(ctx context.Context, o port.BrokerOffer) (port.BrokerTicket, error) {
 	w := s.offer(o)
 	select {
 	case <-w.settled:
 	case <-ctx.Done():
 		if s.withdraw(w) {
-			return port.WorkTicket{}, ctx.Err()
+			return port.BrokerTicket{}, ctx.Err()
 		}
 		<-w.settled
 	}
 	if w.failure != nil {
-		return port.WorkTicket{}, w.failure
+		return port.BrokerTicket{}, w.failure
 	}
 	end := sync.Once{}
-	return port.WorkTicket{Grant: w.grant, By: w.by, End: func(e broker.End) { end.Do(func() { s.end(w, e) }) }}, nil
+	return port.BrokerTicket{Grant: w.grant, GrantedBy: w.by, End: func(e broker.End) { end.Do(func() { s.end(w, e) }) }}, nil
 }
 
-func (s *Service) offer(o port.WorkOffer) *waiter {
+func (s *Service) offer(o port.BrokerOffer) *waiter {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.next++
 	w := &waiter{offer: o.Offer, settled: make(chan struct{})}
 	w.offer.ID = broker.ID{Entry: s.self, Number: s.next}
-	w.offer.Aim = o.AimAt.Sub(s.began)
-	w.offer.Latest = w.offer.Aim + o.Late
+	w.offer.Aim = o.LatencyTargetAt.Sub(s.began)
+	w.offer.Latest = w.offer.Aim + o.LatencyGrace
 	w.offer.Deadline = o.DeadlineAt.Sub(s.began)
 	s.waiting[s.next] = w
 	if s.attached {
--- a/internal/brokerclient/session_test.go
+++ b/internal/brokerclient/session_test.go
@@ -149,11 +149,11 @@
 	return s, controls
 }
 
-func acquire(s *Service) (port.WorkTicket, error) {
+func acquire(s *Service) (port.BrokerTicket, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), patience)
 	defer cancel()
 	at := time.Now().Add(patience)
-	return s.Acquire(ctx, port.WorkOffer{Offer: broker.Offer{Pool: "p"}, AimAt: at, DeadlineAt: at})
+	return s.Acquire(ctx, port.BrokerOffer{Offer: broker.Offer{Pool: "p"}, LatencyTargetAt: at, DeadlineAt: at})
 }
 
 func (s *Service) isAttached() bool {
@@ -168,7 +168,7 @@
 	s, c := newEntry(t, 1)
 	ticket, err := acquire(s)
 	require.NoError(t, err, "while no broker answers, the entry grants by itself")
-	require.Equal(t, byEntry, ticket.By)
+	require.Equal(t, byEntry, ticket.GrantedBy)
 	require.Eventually(t, func() bool { return c[0].see(func(c *control) bool { return c.sessions > 0 }) }, patience, time.Millisecond)
 	c[0].set(func(c *control) { c.leads, c.leader = true, c.address })
 	require.Eventually(t, func() bool {
@@ -202,7 +202,7 @@
 	require.Eventually(t, func() bool { return !s.isAttached() }, patience, time.Millisecond)
 	ticket, err := acquire(s)
 	require.NoError(t, err)
-	require.Equal(t, byEntry, ticket.By)
+	require.Equal(t, byEntry, ticket.GrantedBy)
 	c[1].set(func(x *control) { x.leads, x.leader = true, x.address })
 	require.Eventually(t, s.isAttached, patience, time.Millisecond)
 	require.Eventually(t, func() bool { return c[1].see(func(x *control) bool { return x.offered[ticket.ID.Number] }) }, patience, time.Millisecond)
@@ -217,7 +217,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 50*time.Millisecond)
 	defer cancel()
 	at := time.Now().Add(patience)
-	_, err := s.Acquire(ctx, port.WorkOffer{Offer: broker.Offer{Pool: "p"}, AimAt: at, DeadlineAt: at})
+	_, err := s.Acquire(ctx, port.BrokerOffer{Offer: broker.Offer{Pool: "p"}, LatencyTargetAt: at, DeadlineAt: at})
 	require.ErrorIs(t, err, context.DeadlineExceeded)
 	s.mu.Lock()
 	s.takeGrant(broker.Grant{ID: broker.ID{Number: 1}, Upstream: "u", Address: "a"})
--- a/internal/daemon/abort_test.go
+++ b/internal/daemon/abort_test.go
@@ -26,7 +26,7 @@
 	require.Eventually(s.t, func() bool {
 		view, err := kernel.Find[port.View](s.daemons[0].Kernel(), port.NameView)
 		require.NoError(s.t, err)
-		holder, _ := port.ParseHolder(view.Lease(port.DispatchLease("logbook-model", "gauteng")).Holder)
+		holder, _ := port.ParseHolder(view.Lease(port.DispatchLeaseName("logbook-model", "gauteng")).Holder)
 		for i, set := range s.settings {
 			if set.Name == holder.Name {
 				found = i
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -88,7 +88,7 @@
 	if set.Addresses.Callers != "" {
 		out = append(out, brokerclient.New(set, log, self), forward.New(set, log))
 	}
-	if set.ControlDaemon() {
+	if set.IsControlDaemon() {
 		out = append(out, tables.New(log), roster.New(set, log), broker.New(set, log))
 	}
 	return out
--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -29,7 +29,7 @@
 // members is the part of the member service that the directory uses.
 type members interface {
 	port.Members
-	port.Leaver
+	port.DrainAnnouncer
 }
 
 // Service is the "directory" service. Its methods are safe for concurrent use.
@@ -65,7 +65,7 @@
 		dataCentre = s.set.DataCentre
 	}
 	if s.set.Routing != nil {
-		ttl := time.Duration(s.set.Routing.AnswerLifeMS) * time.Millisecond
+		ttl := time.Duration(s.set.Routing.AnswerTTLMS) * time.Millisecond
 		return nearest(s.members.Live(), s.set.Routing.DataCentres, dataCentre), ttl
 	}
 	return choose(s.members.Live(), dataCentre, rand.Float64), answerTTL
@@ -78,7 +78,7 @@
 		// internal/forward itself serves these callers until they have moved.
 		return nil
 	}
-	s.members.Announce()
+	s.members.AnnounceDrain()
 	s.log.Info("left the directory; serving callers that hold an older answer", zap.Duration("for", answerTTL+propagationTimeout))
 	select {
 	case <-time.After(answerTTL + propagationTimeout):
--- a/internal/directory/directory_test.go
+++ b/internal/directory/directory_test.go
@@ -63,7 +63,7 @@
 	leaving bool
 }
 
-func (f *fakeMembers) Announce() { f.leaving = true }
+func (f *fakeMembers) AnnounceDrain() { f.leaving = true }
 
 func (f *fakeMembers) Live() []port.Member {
 	return []port.Member{{Callers: "self", DataCentre: "a", Leaving: f.leaving}, {Callers: "other", DataCentre: "b"}}
--- a/internal/dispatch/keeper.go
+++ b/internal/dispatch/keeper.go
@@ -33,7 +33,7 @@
 // maintainLease acquires and renews the lease of one pool and runs the pool's
 // dispatcher while this daemon holds it. It releases the lease when ctx ends.
 func (s *Service) maintainLease(ctx context.Context, name string) {
-	lease := port.DispatchLease(name, s.set.Region)
+	lease := port.DispatchLeaseName(name, s.set.Region)
 	for ctx.Err() == nil {
 		current := s.view.Lease(lease)
 		delay := renewInterval
--- a/internal/e2e/where_test.go
+++ b/internal/e2e/where_test.go
@@ -24,7 +24,7 @@
 	if err != nil {
 		return false
 	}
-	holder, ok := port.ParseHolder(v.Lease(port.DispatchLease(pool, "gauteng")).Holder)
+	holder, ok := port.ParseHolder(v.Lease(port.DispatchLeaseName(pool, "gauteng")).Holder)
 	return ok && strings.HasPrefix(holder.Name, localsite.Name(i))
 }
 
--- a/internal/entry/observe.go
+++ b/internal/entry/observe.go
@@ -138,7 +138,7 @@
 	o.note(r, func(e *Explanation) {
 		e.WaitedMS = time.Since(r.accepted).Milliseconds()
 		e.Upstream = t.Upstream()
-		e.Why = t.Why()
+		e.Why = t.Explanation()
 	})
 }
 
--- a/internal/entry/rig_test.go
+++ b/internal/entry/rig_test.go
@@ -95,9 +95,9 @@
 	address string
 }
 
-func (t *ticket) Upstream() string     { return "up-1" }
-func (t *ticket) Address() string      { return t.address }
-func (t *ticket) Why() json.RawMessage { return json.RawMessage(`{"reason":"only one"}`) }
+func (t *ticket) Upstream() string             { return "up-1" }
+func (t *ticket) Address() string              { return t.address }
+func (t *ticket) Explanation() json.RawMessage { return json.RawMessage(`{"reason":"only one"}`) }
 func (t *ticket) Release(r sched.Release) {
 	t.cluster.mu.Lock()
 	defer t.cluster.mu.Unlock()
--- a/internal/forward/drain.go
+++ b/internal/forward/drain.go
@@ -28,9 +28,9 @@
 // the requests in flight, which it aborts before the end of the grace period.
 func (s *Service) Drain(ctx context.Context) error {
 	s.draining.Store(true)
-	s.drainAnnouncer.Announce()
+	s.drainAnnouncer.AnnounceDrain()
 	grace := time.Duration(s.set.Routing.GraceMS) * time.Millisecond
-	ttl := time.Duration(s.set.Routing.AnswerLifeMS) * time.Millisecond
+	ttl := time.Duration(s.set.Routing.AnswerTTLMS) * time.Millisecond
 	began := time.Now()
 	acceptTime := min(directoryTTLs*ttl+announceDelay, grace*acceptTenths/tenths)
 	s.log.Info("left the directory; serving callers with an older directory answer", zap.Duration("for", acceptTime), zap.Duration("grace", grace))
--- a/internal/forward/exchange.go
+++ b/internal/forward/exchange.go
@@ -85,21 +85,21 @@
 
 // acquire asks the broker for an upstream. A retry is charged no tokens, and its
 // latency target is extended.
-func (x *exchange) acquire() (port.WorkTicket, error) {
+func (x *exchange) acquire() (port.BrokerTicket, error) {
 	offer := x.offer(x.s)
 	offer.Avoid = x.triedUpstreams
 	if x.possibleRuns+x.rejections > 0 {
 		offer.Charge = 0
 		retryTarget := time.Now().Add(x.route.LatencyTarget() / retryTargetDivisor)
-		if retryTarget.After(offer.AimAt) {
-			offer.AimAt = retryTarget
+		if retryTarget.After(offer.LatencyTargetAt) {
+			offer.LatencyTargetAt = retryTarget
 		}
 	}
 	offeredAt := time.Now()
 	ticket, err := x.s.brokerClient.Acquire(x.ctx, offer)
 	x.queueTime += time.Since(offeredAt)
 	if err == nil {
-		x.s.log.Info("granted", x.logFields(zap.String("upstream", ticket.Upstream), zap.String("by", ticket.By), zap.Duration("waited", time.Since(offeredAt)),
+		x.s.log.Info("granted", x.logFields(zap.String("upstream", ticket.Upstream), zap.String("by", ticket.GrantedBy), zap.Duration("waited", time.Since(offeredAt)),
 			zap.Duration("expected", ticket.Expected), zap.Int("free", ticket.Free), zap.Int("queued", ticket.Queued), zap.Int("rank", x.rank))...)
 	}
 	return ticket, err
--- a/internal/forward/forward.go
+++ b/internal/forward/forward.go
@@ -54,8 +54,8 @@
 	set            *settings.Settings
 	log            *zap.Logger
 	view           port.TableView
-	brokerClient   port.Work
-	drainAnnouncer port.Leaver
+	brokerClient   port.BrokerClient
+	drainAnnouncer port.DrainAnnouncer
 	dialect        Dialect
 	metrics        *metrics
 	conns          *pool
@@ -78,7 +78,7 @@
 
 // Needs returns the services that take part in serving a request.
 func (s *Service) Needs() []string {
-	return []string{port.NameView, port.NameWork, port.NameMembers, port.NameDialect, port.NameMetrics}
+	return []string{port.NameView, port.NameBrokerClient, port.NameMembers, port.NameDialect, port.NameMetrics}
 }
 
 // Start begins to listen for callers and to serve their requests.
@@ -87,10 +87,10 @@
 	if s.view, err = kernel.Find[port.TableView](k, port.NameView); err != nil {
 		return err
 	}
-	if s.brokerClient, err = kernel.Find[port.Work](k, port.NameWork); err != nil {
+	if s.brokerClient, err = kernel.Find[port.BrokerClient](k, port.NameBrokerClient); err != nil {
 		return err
 	}
-	if s.drainAnnouncer, err = kernel.Find[port.Leaver](k, port.NameMembers); err != nil {
+	if s.drainAnnouncer, err = kernel.Find[port.DrainAnnouncer](k, port.NameMembers); err != nil {
 		return err
 	}
 	if s.dialect, err = kernel.Find[Dialect](k, port.NameDialect); err != nil {
--- a/internal/forward/request.go
+++ b/internal/forward/request.go
@@ -181,10 +181,10 @@
 }
 
 // offer returns the description of the request for the broker.
-func (q *request) offer(s *Service) port.WorkOffer {
+func (q *request) offer(s *Service) port.BrokerOffer {
 	// The request is served until twice its latency target, since a refused
 	// caller would be served later still.
-	o := port.WorkOffer{AimAt: q.latencyTarget, DeadlineAt: q.deadline, Late: q.route.LatencyTarget()}
+	o := port.BrokerOffer{LatencyTargetAt: q.latencyTarget, DeadlineAt: q.deadline, LatencyGrace: q.route.LatencyTarget()}
 	o.Offer = broker.Offer{
 		Pool: q.pool, Workspace: q.workspace, DataCentre: s.set.DataCentre, Region: s.set.Region, Rank: q.rank,
 		Charge: q.chargedTokens, Fingerprint: q.fingerprint,
--- a/internal/forward/rig_test.go
+++ b/internal/forward/rig_test.go
@@ -154,18 +154,18 @@
 	expected  time.Duration
 }
 
-func (w *testBrokerClient) Acquire(_ context.Context, o port.WorkOffer) (port.WorkTicket, error) {
+func (w *testBrokerClient) Acquire(_ context.Context, o port.BrokerOffer) (port.BrokerTicket, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.granted >= len(w.addresses) {
 		if w.refusal != nil {
-			return port.WorkTicket{}, w.refusal
+			return port.BrokerTicket{}, w.refusal
 		}
-		return port.WorkTicket{}, fault.New(fault.Kind(broker.Overload), "retry later", "no upstream is left").After(time.Second)
+		return port.BrokerTicket{}, fault.New(fault.Kind(broker.Overload), "retry later", "no upstream is left").After(time.Second)
 	}
 	address := w.addresses[w.granted]
 	w.granted++
-	return port.WorkTicket{
+	return port.BrokerTicket{
 		Grant: broker.Grant{ID: o.ID, Upstream: "u-" + address, Address: address, Expected: w.expected},
 		End: func(e broker.End) {
 			w.mu.Lock()
@@ -223,7 +223,7 @@
 
 func newTestEntry(t *testing.T, upstreams ...*scriptedUpstream) *testEntry {
 	t.Helper()
-	set := &settings.Settings{Routing: &settings.Routing{Retry: settings.Retry{Ratio: 0.2, WindowMS: 10_000, Slack: 20}, GraceMS: 1000, AnswerLifeMS: 50}}
+	set := &settings.Settings{Routing: &settings.Routing{Retry: settings.Retry{Ratio: 0.2, WindowMS: 10_000, Slack: 20}, GraceMS: 1000, AnswerTTLMS: 50}}
 	s := New(set, zap.NewNop())
 	work := &testBrokerClient{}
 	for _, u := range upstreams {
--- a/internal/forward/try.go
+++ b/internal/forward/try.go
@@ -54,7 +54,7 @@
 // upstreamAttempt is the sending of a request to one upstream.
 type upstreamAttempt struct {
 	*exchange
-	ticket port.WorkTicket
+	ticket port.BrokerTicket
 	conn   *conn
 	sentAt time.Time
 	end    broker.End
@@ -70,7 +70,7 @@
 
 // attemptUpstream sends the request to the granted upstream and relays the
 // response.
-func (x *exchange) attemptUpstream(ticket port.WorkTicket) nextStep {
+func (x *exchange) attemptUpstream(ticket port.BrokerTicket) nextStep {
 	a := &upstreamAttempt{exchange: x, ticket: ticket, writeResult: make(chan error, 1)}
 	defer func() { ticket.End(a.end) }()
 	x.triedUpstreams = append(x.triedUpstreams, ticket.Upstream)
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -135,7 +135,7 @@
 
 // load asks the entry, which starts after this service.
 func (s *Service) load() uint32 {
-	l, err := kernel.Find[port.Loader](s.kernel, port.NameEntry)
+	l, err := kernel.Find[port.LoadReporter](s.kernel, port.NameEntry)
 	if err != nil {
 		return 0
 	}
@@ -250,8 +250,8 @@
 	return publish(m), ok && m.Status.Live()
 }
 
-// Announce tells the other daemons that this one takes no new callers.
-func (s *Service) Announce() {
+// AnnounceDrain tells the other daemons that this one takes no new callers.
+func (s *Service) AnnounceDrain() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.leaving = true
--- a/internal/member/member_test.go
+++ b/internal/member/member_test.go
@@ -84,7 +84,7 @@
 	require.Equal(t, "callers-of-c", m.Callers)
 	eventually(t, func() bool { m, _ := first.members.Find("c"); return m.Version == 7 })
 
-	third.members.Announce()
+	third.members.AnnounceDrain()
 	eventually(t, func() bool { m, _ := second.members.Find("c"); return m.Leaving })
 	third.stop()
 	eventually(t, func() bool { return len(first.members.Live()) == 2 && len(second.members.Live()) == 2 })
--- a/internal/port/port.go
+++ b/internal/port/port.go
@@ -58,8 +58,8 @@
 	NameRoster = "upstream.roster"
 	// NameBroker grants upstreams to the entries of a route table.
 	NameBroker = "broker.server"
-	// NameWork is the entry's client of the broker; see Work.
-	NameWork = "broker.client"
+	// NameBrokerClient is the entry's client of the broker; see BrokerClient.
+	NameBrokerClient = "broker.client"
 	// NameForward forwards callers' requests according to the route table.
 	NameForward = "entry.forward"
 	// NameDialect maps the header names of callers and upstreams.
@@ -183,8 +183,8 @@
 type Ticket interface {
 	Upstream() string
 	Address() string
-	// Why returns the decision's explanation, a sched.Explanation as JSON.
-	Why() json.RawMessage
+	// Explanation returns the decision's explanation, a sched.Explanation as JSON.
+	Explanation() json.RawMessage
 	Release(r sched.Release)
 }
 
@@ -195,8 +195,8 @@
 	Acquire(ctx context.Context, r Request) (Ticket, error)
 }
 
-// Place is a pool in a region, the unit that a dispatcher serves.
-type Place struct {
+// PoolRegion is a pool in a region, the unit that a dispatcher serves.
+type PoolRegion struct {
 	Pool   string
 	Region string
 }
@@ -205,13 +205,13 @@
 type Upstreams interface {
 	// Subscribe calls fn for each announcement of a pool in a region, first for
 	// those still valid, until cancel is called. fn must not block.
-	Subscribe(at Place, fn func(*rpc.UpstreamState)) (cancel func())
-	// Places lists the pools of the upstreams announced to this daemon.
-	Places() []Place
+	Subscribe(at PoolRegion, fn func(*rpc.UpstreamState)) (cancel func())
+	// PoolRegions lists the pools of the upstreams announced to this daemon.
+	PoolRegions() []PoolRegion
 }
 
-// DispatchLease returns the name of the lease of a pool's dispatcher in a region.
-func DispatchLease(pool, region string) string {
+// DispatchLeaseName returns the name of the lease of a pool's dispatcher in a region.
+func DispatchLeaseName(pool, region string) string {
 	return "dispatch/" + pool + "/" + region
 }
 
@@ -242,17 +242,17 @@
 	Find(name string) (Member, bool)
 }
 
-// Loader reports the daemon's load; the service that accepts requests implements
+// LoadReporter reports the daemon's load; the service that accepts requests implements
 // it.
-type Loader interface {
+type LoadReporter interface {
 	// Load returns the used fraction of the capacity, 1 if all of it is used.
 	Load() float64
 }
 
-// Leaver announces to the other daemons that this one drains.
-type Leaver interface {
-	// Announce marks this daemon as leaving in the member lists of the others.
-	Announce()
+// DrainAnnouncer announces to the other daemons that this one drains.
+type DrainAnnouncer interface {
+	// AnnounceDrain marks this daemon as leaving in the member lists of the others.
+	AnnounceDrain()
 }
 
 // Directory tells which entries callers may use.
@@ -333,33 +333,34 @@
 	Silent bool
 }
 
-// Work obtains grants from the broker for requests of the route table.
-type Work interface {
+// BrokerClient obtains grants from the broker for requests of the route table.
+type BrokerClient interface {
 	// Acquire waits for a grant. Its error is the context's, or a *fault.Error of a
 	// request that did not run.
-	Acquire(ctx context.Context, o WorkOffer) (WorkTicket, error)
+	Acquire(ctx context.Context, o BrokerOffer) (BrokerTicket, error)
 	// Entries returns the number of entries that share the global limits, at least
 	// 1.
 	Entries() int
 }
 
-// WorkOffer is a request that waits for an upstream.
-type WorkOffer struct {
+// BrokerOffer is a request that waits for an upstream.
+type BrokerOffer struct {
 	broker.Offer
-	// AimAt is the time until which the first event counts as on time; DeadlineAt
-	// is when the caller stops waiting.
-	AimAt      time.Time
-	DeadlineAt time.Time
-	// Late is how long after AimAt the request is still served instead of refused.
-	Late time.Duration
+	// LatencyTargetAt is the time until which the first event counts as on time;
+	// DeadlineAt is when the caller stops waiting.
+	LatencyTargetAt time.Time
+	DeadlineAt      time.Time
+	// LatencyGrace is how long after LatencyTargetAt the request is still served
+	// instead of refused.
+	LatencyGrace time.Duration
 }
 
-// WorkTicket is a granted slot. End must be called exactly once.
-type WorkTicket struct {
+// BrokerTicket is a granted slot. End must be called exactly once.
+type BrokerTicket struct {
 	broker.Grant
-	// By is "broker", or "entry" if the entry granted by itself because no broker
-	// answered.
-	By string
+	// GrantedBy is "broker", or "entry" if the entry granted by itself because no
+	// broker answered.
+	GrantedBy string
 	// End frees the slot and reports how the request ended.
 	End func(e broker.End)
 }
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -43,7 +43,7 @@
 // announced is an upstream's last announcement.
 type announced struct {
 	state     *rpc.UpstreamState
-	pool      port.Place
+	pool      port.PoolRegion
 	expiresAt time.Time
 }
 
@@ -60,7 +60,7 @@
 	mu sync.Mutex
 	// upstreams holds the announcements by the upstream's name.
 	upstreams   map[string]announced
-	subscribers map[port.Place]map[int]func(*rpc.UpstreamState)
+	subscribers map[port.PoolRegion]map[int]func(*rpc.UpstreamState)
 	nextID      int
 }
 
@@ -68,7 +68,7 @@
 func New(set *settings.Settings, log *zap.Logger) *Service {
 	return &Service{
 		set: set, log: log.Named("upstream"), upstreams: map[string]announced{},
-		subscribers: map[port.Place]map[int]func(*rpc.UpstreamState){},
+		subscribers: map[port.PoolRegion]map[int]func(*rpc.UpstreamState){},
 	}
 }
 
@@ -159,7 +159,7 @@
 	for _, e := range a.Events {
 		state.CacheEvents = append(state.CacheEvents, &rpc.CacheEvent{Sequence: e.Sequence, Evicted: e.Evicted, Blocks: e.Blocks})
 	}
-	at := port.Place{Pool: a.Pool, Region: a.Region}
+	at := port.PoolRegion{Pool: a.Pool, Region: a.Region}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.prune()
@@ -189,7 +189,7 @@
 // Subscribe calls fn for the known and each further announcement of a pool in a
 // region, until the returned function is called. fn is called with the lock held
 // and must not block.
-func (s *Service) Subscribe(at port.Place, fn func(*rpc.UpstreamState)) func() {
+func (s *Service) Subscribe(at port.PoolRegion, fn func(*rpc.UpstreamState)) func() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	id := s.nextID
@@ -211,12 +211,12 @@
 	}
 }
 
-// Places lists the pools that the upstreams announced to this daemon serve.
-func (s *Service) Places() []port.Place {
+// PoolRegions lists the pools that the upstreams announced to this daemon serve.
+func (s *Service) PoolRegions() []port.PoolRegion {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.prune()
-	out := []port.Place{}
+	out := []port.PoolRegion{}
 	for _, u := range s.upstreams {
 		if !slices.Contains(out, u.pool) {
 			out = append(out, u.pool)
--- a/internal/registry/registry_test.go
+++ b/internal/registry/registry_test.go
@@ -57,7 +57,7 @@
 func TestAnnouncementsReachSubscribers(t *testing.T) {
 	s := start(t)
 	received := make(chan *rpc.UpstreamState, 8)
-	cancel := s.Subscribe(port.Place{Pool: "m", Region: "r"}, func(u *rpc.UpstreamState) { received <- u })
+	cancel := s.Subscribe(port.PoolRegion{Pool: "m", Region: "r"}, func(u *rpc.UpstreamState) { received <- u })
 	defer cancel()
 	renewal, err := announce(t, s, "key", announcement(5))
 	require.NoError(t, err)
@@ -85,5 +85,5 @@
 	require.NoError(t, err)
 	_, err = announce(t, s, "key", announcement(4))
 	require.ErrorContains(t, err, http.StatusText(http.StatusConflict))
-	require.Equal(t, []port.Place{{Pool: "m", Region: "r"}}, s.Places())
+	require.Equal(t, []port.PoolRegion{{Pool: "m", Region: "r"}}, s.PoolRegions())
 }
--- a/internal/replica/joiner.go
+++ b/internal/replica/joiner.go
@@ -137,7 +137,7 @@
 
 // first tells whether it is this replica's part to begin the group.
 func (j *joiner) first() bool {
-	if j.set.Routing != nil && !j.set.Routing.Found {
+	if j.set.Routing != nil && !j.set.Routing.BootstrapLog {
 		return false
 	}
 	addresses := []string{}
--- a/internal/schedclient/acquire.go
+++ b/internal/schedclient/acquire.go
@@ -29,7 +29,7 @@
 // regions one after the other. If they refuse too, the own region's dispatcher
 // makes the final decision. The error is a *fault.Error.
 func (s *Service) Acquire(ctx context.Context, r port.Request) (port.Ticket, error) {
-	home := port.Place{Pool: r.Pool, Region: s.set.Region}
+	home := port.PoolRegion{Pool: r.Pool, Region: s.set.Region}
 	t, refusal := s.acquireIn(ctx, home, s.newAcquisition(r))
 	if refusal == nil {
 		return t, nil
@@ -40,7 +40,7 @@
 	for _, region := range s.otherRegions() {
 		a := s.newAcquisition(r)
 		a.spilledFrom = s.set.Region
-		t, err := s.acquireIn(ctx, port.Place{Pool: r.Pool, Region: region}, a)
+		t, err := s.acquireIn(ctx, port.PoolRegion{Pool: r.Pool, Region: region}, a)
 		if err == nil {
 			return t, nil
 		}
@@ -78,7 +78,7 @@
 
 // acquireIn waits for a grant by the dispatcher of one pool and region. A request
 // spilled from another region waits only while the session to it lasts.
-func (s *Service) acquireIn(ctx context.Context, p port.Place, a *acquisition) (*ticket, *fault.Error) {
+func (s *Service) acquireIn(ctx context.Context, p port.PoolRegion, a *acquisition) (*ticket, *fault.Error) {
 	sess := s.session(p, time.Now().Add(connectTimeout))
 	disconnected := (<-chan struct{})(nil)
 	if a.spilledFrom != "" {
@@ -110,6 +110,6 @@
 	return &ticket{session: sess, acquisition: a}, nil
 }
 
-func unreachable(p port.Place) *fault.Error {
+func unreachable(p port.PoolRegion) *fault.Error {
 	return fault.New(fault.Unavailable, "send the request again later", "the dispatcher of %s in %s can't be reached", p.Pool, p.Region).After(time.Second)
 }
--- a/internal/schedclient/client.go
+++ b/internal/schedclient/client.go
@@ -35,13 +35,13 @@
 	done   sync.WaitGroup
 
 	mu       sync.Mutex
-	sessions map[port.Place]*session
+	sessions map[port.PoolRegion]*session
 	nextID   uint64
 }
 
 // New returns the service.
 func New(set *settings.Settings, log *zap.Logger, self port.Holder) *Service {
-	return &Service{set: set, log: log.Named("sched"), self: self, sessions: map[port.Place]*session{}}
+	return &Service{set: set, log: log.Named("sched"), self: self, sessions: map[port.PoolRegion]*session{}}
 }
 
 // Name returns the service's name.
@@ -98,8 +98,8 @@
 // Address returns the upstream's address.
 func (t *ticket) Address() string { return t.acquisition.grant.Address }
 
-// Why returns the decision's explanation.
-func (t *ticket) Why() json.RawMessage { return t.acquisition.grant.Why }
+// Explanation returns the decision's explanation.
+func (t *ticket) Explanation() json.RawMessage { return t.acquisition.grant.Why }
 
 // Release frees the slot; calls after the first have no effect.
 func (t *ticket) Release(r sched.Release) {
--- a/internal/schedclient/places.go
+++ b/internal/schedclient/places.go
@@ -46,24 +46,24 @@
 // permanentPools lists the pools that need a permanent session: all of a small
 // deployment; otherwise those of the own region and those whose upstreams
 // announce themselves to this daemon.
-func (s *Service) permanentPools() []port.Place {
+func (s *Service) permanentPools() []port.PoolRegion {
 	all := poolRegions(s.view.Snapshot().Config)
 	if len(all) <= maxPermanentSessions {
 		return all
 	}
-	local := slices.DeleteFunc(all, func(p port.Place) bool { return p.Region != s.set.Region })
-	return append(local, s.upstreams.Places()...)
+	local := slices.DeleteFunc(all, func(p port.PoolRegion) bool { return p.Region != s.set.Region })
+	return append(local, s.upstreams.PoolRegions()...)
 }
 
 // poolRegions lists every declared pool in every region.
-func poolRegions(c *config.Config) []port.Place {
-	out := []port.Place{}
+func poolRegions(c *config.Config) []port.PoolRegion {
+	out := []port.PoolRegion{}
 	for _, r := range c.Regions {
 		for _, m := range c.Models {
-			out = append(out, port.Place{Pool: m.Name, Region: r.Name})
+			out = append(out, port.PoolRegion{Pool: m.Name, Region: r.Name})
 		}
 		for _, v := range c.Services {
-			out = append(out, port.Place{Pool: v.Name, Region: r.Name})
+			out = append(out, port.PoolRegion{Pool: v.Name, Region: r.Name})
 		}
 	}
 	return out
@@ -71,7 +71,7 @@
 
 // session returns the session to a pool in a region and opens one if there is
 // none; spilled requests wait for a new one until connectDeadline.
-func (s *Service) session(p port.Place, connectDeadline time.Time) *session {
+func (s *Service) session(p port.PoolRegion, connectDeadline time.Time) *session {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if old, ok := s.sessions[p]; ok {
@@ -87,7 +87,7 @@
 }
 
 // closeIdle ends the sessions that are neither permanent nor in use.
-func (s *Service) closeIdle(permanent []port.Place) {
+func (s *Service) closeIdle(permanent []port.PoolRegion) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for p, sess := range s.sessions {
--- a/internal/schedclient/session.go
+++ b/internal/schedclient/session.go
@@ -35,7 +35,7 @@
 // the dispatcher's lease from daemon to daemon.
 type session struct {
 	service *Service
-	pool    port.Place
+	pool    port.PoolRegion
 	wake    chan struct{}
 	ctx     context.Context
 	cancel  context.CancelFunc
@@ -56,7 +56,7 @@
 	pending rpc.EntryBatch
 }
 
-func newSession(s *Service, p port.Place) *session {
+func newSession(s *Service, p port.PoolRegion) *session {
 	ctx, cancel := context.WithCancel(s.ctx)
 	return &session{
 		service: s, pool: p, wake: make(chan struct{}, 1), ctx: ctx, cancel: cancel, connected: make(chan struct{}),
--- a/internal/schedclient/session_test.go
+++ b/internal/schedclient/session_test.go
@@ -48,7 +48,7 @@
 func (v *fakeView) move(region, daemon string, epoch uint64) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	name := port.DispatchLease("m", region)
+	name := port.DispatchLeaseName("m", region)
 	v.leases[name] = state.Lease{Name: name, Holder: port.Holder{Name: daemon, Incarnation: 1, Address: daemon}.String(), Epoch: epoch}
 	close(v.changed)
 	v.changed = make(chan struct{})
@@ -56,8 +56,8 @@
 
 type fakeUpstreams struct{}
 
-func (fakeUpstreams) Subscribe(port.Place, func(*rpc.UpstreamState)) func() { return func() {} }
-func (fakeUpstreams) Places() []port.Place                                  { return nil }
+func (fakeUpstreams) Subscribe(port.PoolRegion, func(*rpc.UpstreamState)) func() { return func() {} }
+func (fakeUpstreams) PoolRegions() []port.PoolRegion                             { return nil }
 
 // fakeDispatcher is the dispatcher's side of a connection.
 type fakeDispatcher struct {
@@ -341,7 +341,7 @@
 func TestUnsentAnnouncementsAreBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newTestClient(t)
-		s := b.session(port.Place{Pool: "m", Region: "here"}, time.Time{})
+		s := b.session(port.PoolRegion{Pool: "m", Region: "here"}, time.Time{})
 		for n := range 3 * maxPendingEvents {
 			s.announce(&rpc.UpstreamState{Name: "u", Incarnation: 1, Running: uint32(n), CacheEvents: []*rpc.CacheEvent{{Sequence: uint64(n)}}})
 			s.announce(&rpc.UpstreamState{Name: "v", Incarnation: 1})
--- a/internal/schedclient/speak.go
+++ b/internal/schedclient/speak.go
@@ -57,7 +57,7 @@
 }
 
 func (s *session) lease() state.Lease {
-	return s.service.view.Lease(port.DispatchLease(s.pool.Pool, s.pool.Region))
+	return s.service.view.Lease(port.DispatchLeaseName(s.pool.Pool, s.pool.Region))
 }
 
 // exchange sends and receives batches over one connection to a dispatcher. It
--- a/internal/settings/routing.go
+++ b/internal/settings/routing.go
@@ -18,15 +18,15 @@
 	Directory string `json:"directory,omitempty"`
 	// SeedPort, if not zero, replaces the port of each seed.
 	SeedPort int `json:"seed_port,omitempty"`
-	// Found allows the replicas listed as seeds to bootstrap a new log.
-	Found bool `json:"found,omitempty"`
+	// BootstrapLog allows the replicas listed as seeds to bootstrap a new log.
+	BootstrapLog bool `json:"found,omitempty"`
 	// HeartbeatMS is the interval between two heartbeats of an upstream.
 	HeartbeatMS int64 `json:"heartbeat_ms,omitempty"`
 	// GraceMS is the time between the stop signal and the kill of the process by the
 	// platform.
 	GraceMS int64 `json:"grace_ms,omitempty"`
-	// AnswerLifeMS is how long callers may cache a directory answer.
-	AnswerLifeMS int64 `json:"answer_life_ms,omitempty"`
+	// AnswerTTLMS is how long callers may cache a directory answer.
+	AnswerTTLMS int64 `json:"answer_life_ms,omitempty"`
 	// Retry bounds how many requests are sent again.
 	Retry Retry `json:"retry,omitempty"`
 	// Quota is the tolerance in the enforcement of workspaces' quotas.
@@ -53,18 +53,18 @@
 
 // Defaults for Routing, in milliseconds except for DefaultRetryRatio.
 const (
-	DefaultHeartbeatMS  = 1000
-	DefaultGraceMS      = 8000
-	DefaultAnswerLifeMS = 2000
-	DefaultRetryRatio   = 0.1
-	DefaultRetryMS      = 10_000
+	DefaultHeartbeatMS = 1000
+	DefaultGraceMS     = 8000
+	DefaultAnswerTTLMS = 2000
+	DefaultRetryRatio  = 0.1
+	DefaultRetryMS     = 10_000
 )
 
 // applyDefaults sets the defaults of unset values.
 func (r *Routing) applyDefaults() {
 	r.HeartbeatMS = orDefault(r.HeartbeatMS, DefaultHeartbeatMS)
 	r.GraceMS = orDefault(r.GraceMS, DefaultGraceMS)
-	r.AnswerLifeMS = orDefault(r.AnswerLifeMS, DefaultAnswerLifeMS)
+	r.AnswerTTLMS = orDefault(r.AnswerTTLMS, DefaultAnswerTTLMS)
 	r.Retry.WindowMS = orDefault(r.Retry.WindowMS, DefaultRetryMS)
 	if r.Retry.Ratio == 0 {
 		r.Retry.Ratio = DefaultRetryRatio
@@ -101,9 +101,9 @@
 	return net.JoinHostPort(host, strconv.Itoa(port))
 }
 
-// ControlDaemon reports whether this is a control daemon, to which operators and
+// IsControlDaemon reports whether this is a control daemon, to which operators and
 // upstreams connect.
-func (s *Settings) ControlDaemon() bool { return s.Routing != nil && s.Routing.Control != "" }
+func (s *Settings) IsControlDaemon() bool { return s.Routing != nil && s.Routing.Control != "" }
 
 // reloadable holds the settings that a reload changes while the daemon runs.
 type reloadable struct {
@@ -138,9 +138,9 @@
 	return s.reloaded.seeds
 }
 
-// Follow applies the seeds and replicas of reloaded settings; all other settings
+// Reload applies the seeds and replicas of reloaded settings; all other settings
 // need a restart. It reports whether they differ from the current ones.
-func (s *Settings) Follow(next *Settings) bool {
+func (s *Settings) Reload(next *Settings) bool {
 	changed := !slices.Equal(s.KnownSeeds(), next.Seeds) || !slices.Equal(s.KnownReplicas(), next.Replicas)
 	s.reloaded.set(next.Seeds, next.Replicas)
 	return changed
