--- a/internal/member/codec.go
+++ b/internal/member/codec.go
@@ -8,10 +8,10 @@
 	"github.com/verbenastep/verbenastep/internal/port"
 )
 
-// loadUnits are the parts of a daemon's capacity in which load travels.
-const loadUnits = 1000
+// loadScale is the number of units in a daemon's capacity as sent on the wire.
+const loadScale = 1000
 
-// EncodeRequest gives a request's form on the wire.
+// EncodeRequest converts a request of the named sender to its RPC message.
 func EncodeRequest(self string, r member.Request) *rpc.ProbeRequest {
 	return &rpc.ProbeRequest{From: self, Target: r.Target, Join: r.Join, After: r.After, Updates: encodeStates(r.Updates)}
 }
@@ -20,13 +20,13 @@
 	return member.Request{Target: r.Target, Join: r.Join, After: r.After, Updates: decodeStates(r.Updates)}
 }
 
-// EncodeReply gives a reply's form on the wire.
+// EncodeReply converts a reply to its RPC message.
 func EncodeReply(r member.Reply) *rpc.ProbeReply {
-	return &rpc.ProbeReply{Alive: r.Alive, Next: r.Next, Updates: encodeStates(r.Updates)}
+	return &rpc.ProbeReply{Alive: r.TargetAlive, Next: r.Next, Updates: encodeStates(r.Updates)}
 }
 
 func decodeReply(r *rpc.ProbeReply) member.Reply {
-	return member.Reply{Alive: r.Alive, Next: r.Next, Updates: decodeStates(r.Updates)}
+	return member.Reply{TargetAlive: r.Alive, Next: r.Next, Updates: decodeStates(r.Updates)}
 }
 
 func encodeStates(states []member.State) []*rpc.MemberState {
@@ -34,15 +34,15 @@
 	for _, s := range states {
 		i := s.Info
 		out = append(out, &rpc.MemberState{
-			Name: s.Name, Incarnation: s.Incarnation, Beat: s.Beat, Status: uint32(s.Status),
+			Name: s.Name, Incarnation: s.Incarnation, Beat: s.InfoVersion, Status: uint32(s.Status),
 			Region: i.Region, DataCentre: i.DataCentre, PeerAddress: i.Peers, CallerAddress: i.Callers, UpstreamAddress: i.Upstreams,
-			ConfigVersion: i.Version, LoadPermille: i.Load, Replica: i.Replica, Leaving: i.Leaving,
+			ConfigVersion: i.Version, LoadPermille: i.LoadPermille, Replica: i.HasReplica, Leaving: i.IsLeaving,
 		})
 	}
 	return out
 }
 
-// decodeStates drops states that no daemon of this version sends.
+// decodeStates skips states without a name or with an unknown status.
 func decodeStates(states []*rpc.MemberState) []member.State {
 	out := make([]member.State, 0, len(states))
 	for _, s := range states {
@@ -50,23 +50,23 @@
 			continue
 		}
 		out = append(out, member.State{
-			Name: s.Name, Incarnation: s.Incarnation, Beat: s.Beat, Status: member.Status(s.Status),
+			Name: s.Name, Incarnation: s.Incarnation, InfoVersion: s.Beat, Status: member.Status(s.Status),
 			Info: member.Info{
 				Region: s.Region, DataCentre: s.DataCentre, Peers: s.PeerAddress, Callers: s.CallerAddress, Upstreams: s.UpstreamAddress,
-				Version: s.ConfigVersion, Load: s.LoadPermille, Replica: s.Replica, Leaving: s.Leaving,
+				Version: s.ConfigVersion, LoadPermille: s.LoadPermille, HasReplica: s.Replica, IsLeaving: s.Leaving,
 			},
 		})
 	}
 	return out
 }
 
-// elapsed is the machine's clock, which no step of the wall clock moves.
-func elapsed(began time.Time) time.Duration { return time.Since(began) }
+// elapsedSince reads the machine's clock, which is monotonic.
+func elapsedSince(start time.Time) time.Duration { return time.Since(start) }
 
-func publish(s member.State) port.Member {
+func toPortMember(s member.State) port.Member {
 	i := s.Info
 	return port.Member{
 		Name: s.Name, Region: i.Region, DataCentre: i.DataCentre, Peers: i.Peers, Callers: i.Callers, Upstreams: i.Upstreams,
-		Version: i.Version, Load: float64(i.Load) / loadUnits, Replica: i.Replica, Leaving: i.Leaving,
+		Version: i.Version, Load: float64(i.LoadPermille) / loadScale, Replica: i.HasReplica, Leaving: i.IsLeaving,
 	}
 }
