--- a/internal/cli/logbench.go
+++ b/internal/cli/logbench.go
@@ -18,7 +18,7 @@
 		Flags: func(f *flag.FlagSet) {
 			f.StringVar(&cfg.Folder, "folder", "", "`FOLDER` on the disk to measure; by default the system's for temporary files")
 			f.IntVar(&cfg.Port, "port", 7690, "first of three free TCP `PORT`s on 127.0.0.1")
-			f.DurationVar(&cfg.Run, "time", 5*time.Second, "`TIME` of each measurement of commits")
+			f.DurationVar(&cfg.CommitTime, "time", 5*time.Second, "`TIME` of each measurement of commits")
 			f.StringVar(&out, "out", "", "`FILE` to append the figures to, besides printing them")
 		},
 		Run: func(ctx context.Context, std IO, _ []string) error {
--- a/internal/logbench/logbench.go
+++ b/internal/logbench/logbench.go
@@ -42,8 +42,8 @@
 	Folder string
 	// Port is the first of three consecutive loopback TCP ports.
 	Port int
-	// Run is the duration of each measurement of commits.
-	Run time.Duration
+	// CommitTime is the duration of each measurement of commits.
+	CommitTime time.Duration
 }
 
 // node is one replica with its client.
@@ -160,7 +160,7 @@
 		return nil, err
 	}
 	defer os.RemoveAll(folder)
-	r := &Report{Started: time.Now().UTC(), CommitTime: cfg.Run}
+	r := &Report{Started: time.Now().UTC(), CommitTime: cfg.CommitTime}
 	for _, syncEach := range []bool{true, false} {
 		if err := r.measureCommits(ctx, cfg, filepath.Join(folder, fmt.Sprintf("each-%t", syncEach)), syncEach); err != nil {
 			return nil, err
@@ -181,7 +181,7 @@
 	defer c.stop()
 	number := atomic.Int64{}
 	for _, inFlight := range []int{1, 16, 256} {
-		row, err := commitConcurrently(ctx, c.nodes[0].client, &number, inFlight, cfg.Run)
+		row, err := commitConcurrently(ctx, c.nodes[0].client, &number, inFlight, cfg.CommitTime)
 		if err != nil {
 			return err
 		}
