--- a/internal/answer/answer.go
+++ b/internal/answer/answer.go
@@ -1,8 +1,10 @@
-// Package answer keeps answers while they grow and for a time after, so that
-// several readers, late ones too, each get all bytes from their own offset.
+// Package answer buffers answers while they are generated and retains them
+// afterwards. Any number of readers can attach at any time, and each receives
+// every byte from its own offset. The entry writes the answers and serves them
+// to callers and to other entries.
 //
-// Invariants: bytes once appended never change; an answer has exactly one end,
-// whole or failed, and nothing is appended after it.
+// Appended bytes never change. An answer ends exactly once, complete or failed,
+// and accepts no bytes after that. All types are safe for concurrent use.
 package answer
 
 import (
@@ -18,90 +20,95 @@
 )
 
 const (
-	// MaxBytes is the largest answer.
+	// MaxBytes is the maximum size of an answer.
 	MaxBytes = 8 << 20
-	// Window is how far, in bytes, an answer may grow ahead of its slowest
-	// reader before whoever fills it should wait.
+	// Window is the number of bytes by which an answer may be ahead of its
+	// slowest reader before its writer has to wait (see WaitRoom).
 	Window = 1 << 20
 )
 
-// Meta describes an answer as a whole.
+// Meta identifies an answer and the request that it belongs to.
 type Meta struct {
 	Workspace string
 	Key       string
-	// Digest is the hash of the request's content.
+	// Digest is the hash of the request's content, in hex.
 	Digest string
-	// Stream is the dispatched stream; empty before dispatch.
+	// Stream is the ID of the dispatched stream, empty before dispatch.
 	Stream string
-	// Pool is the model or service.
+	// Pool is the model or service that answers.
 	Pool string
-	// Form is the shape in which callers receive the answer.
+	// Form is the response format that the caller asked for.
 	Form string
 }
 
-// Result is what stands at an answer's end.
+// Result holds the properties of an answer that are known at its end.
 type Result struct {
-	// Status is a plain service's HTTP status, 200 for a model.
+	// Status is the HTTP status of a service's reply, 200 for a model.
 	Status       int
 	ContentType  string
 	Finish       string
 	PromptTokens int
-	// CachedTokens of the prompt were not computed.
+	// CachedTokens is the number of prompt tokens read from the prefix cache.
 	CachedTokens int
 	OutputTokens int
 }
 
-// Answer is one answer.
+// Answer is the growing or finished answer to one request.
 type Answer struct {
 	Created time.Time
 
-	mu      sync.Mutex
-	meta    Meta
-	data    []byte
-	ended   bool
-	endedAt time.Time
-	result  Result
-	failure *fault.Error
-	started bool
-	// changed is closed at each growth, begun at the start, moved whenever a
-	// reader goes on, detached when the last reader goes away before the end.
-	changed  chan struct{}
-	begun    chan struct{}
-	moved    chan struct{}
-	detached chan struct{}
-	readers  map[*Reader]struct{}
-	// held counts the bytes of all answers of the store.
-	held      *atomic.Int64
-	delivered atomic.Bool
+	mu       sync.Mutex
+	meta     Meta
+	data     []byte
+	ended    bool
+	endedAt  time.Time
+	result   Result
+	failure  *fault.Error
+	hasBegun bool
+	// changed is closed and replaced on every append, dispatch and end.
+	// begun is closed once, at the first of these.
+	// readerAdvanced is closed and replaced when a reader advances or closes.
+	// detached is closed and replaced when the last reader closes before the end.
+	changed        chan struct{}
+	begun          chan struct{}
+	readerAdvanced chan struct{}
+	detached       chan struct{}
+	readers        map[*Reader]struct{}
+	// storeBytes counts the bytes of all answers of the store, or of this answer
+	// while it is in none.
+	storeBytes *atomic.Int64
+	delivered  atomic.Bool
 }
 
 // New returns an empty answer.
 func New(m Meta) *Answer {
 	return &Answer{
-		meta: m, Created: time.Now(), changed: make(chan struct{}), begun: make(chan struct{}), moved: make(chan struct{}),
-		detached: make(chan struct{}), readers: map[*Reader]struct{}{}, held: &atomic.Int64{},
+		meta: m, Created: time.Now(), changed: make(chan struct{}), begun: make(chan struct{}), readerAdvanced: make(chan struct{}),
+		detached: make(chan struct{}), readers: map[*Reader]struct{}{}, storeBytes: &atomic.Int64{},
 	}
 }
 
-// OffsetError says that a piece does not continue the answer.
+// OffsetError reports bytes or a read whose offset does not match the answer.
 type OffsetError struct {
+	// Have is the answer's length and Got the offset given, both in bytes.
 	Have, Got int64
 }
 
-// Error names the remedy.
+// Error implements error.
 func (e *OffsetError) Error() string {
-	return fmt.Sprintf("a piece at offset %d does not continue %d bytes; resume at the latter", e.Got, e.Have)
+	return fmt.Sprintf("offset %d does not match the answer's length of %d bytes; continue at its length", e.Got, e.Have)
 }
 
-// Meta describes the answer.
+// Meta returns a copy of the answer's metadata.
 func (a *Answer) Meta() Meta {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.meta
 }
 
-// Append adds a piece that starts at an offset. A piece that repeats bytes
-// already held, leaves a gap or exceeds MaxBytes is refused.
+// Append adds bytes that start at offset. It returns an OffsetError, and adds
+// nothing, if they would repeat bytes, leave a gap, make the answer exceed
+// MaxBytes or follow its end.
 func (a *Answer) Append(offset int64, piece []byte) error {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -110,33 +117,34 @@
 		return &OffsetError{Have: have, Got: offset}
 	}
 	a.data = append(a.data, piece...)
-	a.held.Add(int64(len(piece)))
-	a.start()
-	a.signal()
+	a.storeBytes.Add(int64(len(piece)))
+	a.markBegun()
+	a.notifyReaders()
 	return nil
 }
 
-// Begin marks that the request is dispatched.
+// Begin records that the request was dispatched as the given stream.
 func (a *Answer) Begin(stream string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.meta.Stream = stream
-	a.start()
-	a.signal()
+	a.markBegun()
+	a.notifyReaders()
 }
 
-func (a *Answer) start() {
-	if !a.started {
-		a.started = true
+// markBegun closes begun at the first call. The caller holds mu.
+func (a *Answer) markBegun() {
+	if !a.hasBegun {
+		a.hasBegun = true
 		close(a.begun)
 	}
 }
 
-// Begun returns a channel that is closed once the answer has a stream, bytes
-// or an end.
+// Begun returns a channel that is closed once the request is dispatched, or the
+// answer has bytes or an end.
 func (a *Answer) Begun() <-chan struct{} { return a.begun }
 
-// End completes the answer.
+// End completes the answer. It has no effect on an answer that has ended.
 func (a *Answer) End(r Result) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -147,7 +155,8 @@
 	a.finish()
 }
 
-// Fail ends the answer with an error.
+// Fail ends the answer with an error. It has no effect on an answer that has
+// ended.
 func (a *Answer) Fail(e *fault.Error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -158,88 +167,92 @@
 	a.finish()
 }
 
+// finish marks the answer as ended. The caller holds mu.
 func (a *Answer) finish() {
 	a.ended = true
 	a.endedAt = time.Now()
-	a.start()
-	a.signal()
+	a.markBegun()
+	a.notifyReaders()
 }
 
-func (a *Answer) signal() {
+// notifyReaders wakes the readers. The caller holds mu.
+func (a *Answer) notifyReaders() {
 	close(a.changed)
 	a.changed = make(chan struct{})
 }
 
-// Length returns how many bytes are held.
+// Length returns the number of bytes appended so far.
 func (a *Answer) Length() int64 {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return int64(len(a.data))
 }
 
-// Whole tells whether the answer has its explicit end.
+// Whole reports whether the answer ended without an error.
 func (a *Answer) Whole() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.ended && a.failure == nil
 }
 
-// Delivered marks that a caller received the whole answer.
+// Delivered records that a caller received the complete answer.
 func (a *Answer) Delivered() { a.delivered.Store(true) }
 
-// WasDelivered tells whether a caller received the whole answer.
+// WasDelivered reports whether a caller received the complete answer.
 func (a *Answer) WasDelivered() bool { return a.delivered.Load() }
 
-// Result returns what stands at the end; it is zero before.
+// Result returns the result of a complete answer and the zero value before.
 func (a *Answer) Result() Result {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.result
 }
 
-// endTime tells when the answer ended.
+// endTime returns when the answer ended, and whether it has.
 func (a *Answer) endTime() (time.Time, bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.endedAt, a.ended
 }
 
-// Detached returns a channel that is closed when the last reader goes away
-// before the end.
+// Detached returns a channel that is closed when the last current reader closes
+// before the end of the answer.
 func (a *Answer) Detached() <-chan struct{} {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.detached
 }
 
-// WaitRoom waits until the slowest reader is less than Window behind, or there
-// is no reader, or the context ends.
+// WaitRoom blocks the writer until the slowest reader is less than Window bytes
+// behind, no reader is left, or the context ends.
 func (a *Answer) WaitRoom(ctx context.Context) {
 	for {
 		a.mu.Lock()
-		behind := a.lag() >= Window
-		moved := a.moved
+		behind := a.maxReaderLag() >= Window
+		advanced := a.readerAdvanced
 		a.mu.Unlock()
 		if !behind {
 			return
 		}
 		select {
-		case <-moved:
+		case <-advanced:
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-func (a *Answer) lag() int64 {
-	worst := int64(0)
+// maxReaderLag returns how many bytes the slowest reader is behind. The caller
+// holds mu.
+func (a *Answer) maxReaderLag() int64 {
+	lag := int64(0)
 	for r := range a.readers {
-		worst = max(worst, int64(len(a.data))-r.offset)
+		lag = max(lag, int64(len(a.data))-r.offset)
 	}
-	return worst
+	return lag
 }
 
-// Describe fills in pool and form where they are not known yet.
+// Describe sets pool and form if they are still empty.
 func (a *Answer) Describe(pool, form string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -251,7 +264,7 @@
 	}
 }
 
-// Sum returns the SHA-256 hash of the bytes held, in hex.
+// Sum returns the SHA-256 hash of the bytes appended so far, in hex.
 func (a *Answer) Sum() string {
 	a.mu.Lock()
 	data := a.data
--- a/internal/answer/answer_test.go
+++ b/internal/answer/answer_test.go
@@ -11,10 +11,12 @@
 	"github.com/verbenastep/verbenastep/api/fault"
 )
 
-func TestPiecesMustContinue(t *testing.T) {
+// TestAppendRejectsInvalidOffsets guards against repeated, missing or late bytes
+// in an answer.
+func TestAppendRejectsInvalidOffsets(t *testing.T) {
 	a := New(Meta{})
 	require.NoError(t, a.Append(0, []byte("ab")))
-	require.Error(t, a.Append(0, []byte("ab")), "doubled")
+	require.Error(t, a.Append(0, []byte("ab")), "repeated bytes")
 	require.Error(t, a.Append(3, []byte("c")), "a gap")
 	require.Error(t, a.Append(2, make([]byte, MaxBytes)), "too large")
 	a.End(Result{Finish: "stop"})
@@ -23,7 +25,8 @@
 	require.True(t, a.Whole())
 }
 
-// TestReadersFromAnyOffset: each reader gets all bytes from its own offset.
+// TestReadersFromAnyOffset checks that a reader gets all bytes from its offset,
+// and an error for an offset beyond the end.
 func TestReadersFromAnyOffset(t *testing.T) {
 	a := New(Meta{})
 	require.NoError(t, a.Append(0, []byte("hello")))
@@ -40,34 +43,36 @@
 	require.Error(t, err)
 }
 
-// TestSlowReaderHoldsTheWriter: a reader that is a window behind makes the
-// writer wait, until it reads on or goes away.
-func TestSlowReaderHoldsTheWriter(t *testing.T) {
+// TestSlowReaderBlocksWriter checks that a reader which is Window bytes behind
+// blocks the writer until it reads or closes.
+func TestSlowReaderBlocksWriter(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		a := New(Meta{})
 		slow := a.Attach(0)
 		require.NoError(t, a.Append(0, make([]byte, Window)))
-		passed := make(chan struct{}, 2)
+		unblocked := make(chan struct{}, 2)
 		wait := func() {
 			a.WaitRoom(t.Context())
-			passed <- struct{}{}
+			unblocked <- struct{}{}
 		}
 		go wait()
 		synctest.Wait()
-		require.Empty(t, passed)
+		require.Empty(t, unblocked)
 		_, err := slow.Read(t.Context(), 0)
 		require.NoError(t, err)
-		<-passed
+		<-unblocked
 		require.NoError(t, a.Append(Window, make([]byte, Window)))
 		go wait()
 		synctest.Wait()
-		require.Empty(t, passed)
+		require.Empty(t, unblocked)
 		slow.Close()
-		<-passed
+		<-unblocked
 	})
 }
 
-func TestReadWaitsForHeartbeat(t *testing.T) {
+// TestReadReturnsAfterWait checks that Read returns empty after its wait, and an
+// error when its context ends.
+func TestReadReturnsAfterWait(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := New(Meta{}).Attach(0)
 		began := time.Now()
@@ -82,6 +87,8 @@
 	})
 }
 
+// TestStoreIsBoundedByTimeAndBytes checks that finished answers are removed by
+// size, oldest first, and by age, and that running answers stay.
 func TestStoreIsBoundedByTimeAndBytes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := NewStore()
--- a/internal/answer/reader.go
+++ b/internal/answer/reader.go
@@ -7,14 +7,16 @@
 	"github.com/verbenastep/verbenastep/api/fault"
 )
 
-// Reader reads one answer from an offset.
+// Reader reads an answer from an offset. It is not safe for concurrent use.
 type Reader struct {
 	answer *Answer
-	// offset is how many bytes are taken, guarded by the answer's lock.
+	// offset is the position of the next byte to read, guarded by the answer's
+	// mutex.
 	offset int64
 }
 
-// Attach adds a reader at an offset, in bytes. It must be closed.
+// Attach adds a reader that starts at an offset, in bytes. The reader must be
+// closed.
 func (a *Answer) Attach(offset int64) *Reader {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -23,7 +25,7 @@
 	return r
 }
 
-// Close ends the reading.
+// Close detaches the reader from its answer. Further calls have no effect.
 func (r *Reader) Close() {
 	a := r.answer
 	a.mu.Lock()
@@ -32,31 +34,36 @@
 		return
 	}
 	delete(a.readers, r)
-	r.moved()
+	r.notifyWriters()
 	if len(a.readers) == 0 && !a.ended {
 		close(a.detached)
 		a.detached = make(chan struct{})
 	}
 }
 
-func (r *Reader) moved() {
-	close(r.answer.moved)
-	r.answer.moved = make(chan struct{})
+// notifyWriters wakes writers that wait for readers. The caller holds the
+// answer's mutex.
+func (r *Reader) notifyWriters() {
+	close(r.answer.readerAdvanced)
+	r.answer.readerAdvanced = make(chan struct{})
 }
 
-// Piece is what one Read returns.
+// Piece is the result of one Read.
 type Piece struct {
-	// Offset is where Data begins.
+	// Offset is the position of Data in the answer, in bytes.
 	Offset int64
 	Data   []byte
-	// Ended says that nothing follows Data.
+	// Ended reports that no bytes follow Data. Result and Failure are only
+	// valid with it.
 	Ended   bool
 	Result  Result
 	Failure *fault.Error
 }
 
-// Read waits for bytes beyond what was read, or for the end. After the wait it
-// returns an empty piece; a wait of zero has no bound.
+// Read returns the bytes that follow those already read. If there are none, it
+// blocks until bytes arrive, the answer ends, or the context ends, and returns
+// an empty Piece when wait has passed; a wait of zero sets no limit. It returns
+// an OffsetError if the answer ended before the reader's offset.
 func (r *Reader) Read(ctx context.Context, wait time.Duration) (Piece, error) {
 	timeout := (<-chan time.Time)(nil)
 	if wait > 0 {
@@ -65,7 +72,7 @@
 		timeout = timer.C
 	}
 	for {
-		p, changed, err := r.take()
+		p, changed, err := r.unread()
 		if err != nil || len(p.Data) > 0 || p.Ended {
 			return p, err
 		}
@@ -79,7 +86,9 @@
 	}
 }
 
-func (r *Reader) take() (Piece, <-chan struct{}, error) {
+// unread returns all unread bytes without blocking, and the channel that is
+// closed at the next change of the answer.
+func (r *Reader) unread() (Piece, <-chan struct{}, error) {
 	a := r.answer
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -93,7 +102,7 @@
 	p := Piece{Offset: r.offset, Data: a.data[r.offset:have:have], Ended: a.ended, Result: a.result, Failure: a.failure}
 	if len(p.Data) > 0 {
 		r.offset = have
-		r.moved()
+		r.notifyWriters()
 	}
 	return p, a.changed, nil
 }
--- a/internal/answer/store.go
+++ b/internal/answer/store.go
@@ -7,113 +7,120 @@
 	"time"
 )
 
-// DefaultStoreBytes bounds the finished answers that a store keeps.
+// DefaultStoreBytes is the default of Store.Limit, in bytes.
 const DefaultStoreBytes = 128 << 20
 
-// id tells answers of different workspaces apart.
-type id struct {
+// storeKey identifies an answer; keys are unique only within their workspace.
+type storeKey struct {
 	workspace string
 	key       string
 }
 
-// Store holds answers by workspace and key.
+// Store holds answers by workspace and key. It is safe for concurrent use; its
+// exported fields must be set before the first use.
 type Store struct {
-	// Limit is the most bytes; beyond it the oldest finished answers go.
+	// Limit is the number of bytes above which the oldest finished answers are
+	// removed. Running answers are never removed.
 	Limit int64
-	// Dropped is told of each finished answer that the store lets go.
+	// Dropped is called for each finished answer that expires or is removed
+	// because of Limit.
 	Dropped func(*Answer)
 
-	mu      sync.Mutex
-	answers map[id]*Answer
-	held    atomic.Int64
+	mu         sync.Mutex
+	answers    map[storeKey]*Answer
+	totalBytes atomic.Int64
 }
 
-// NewStore returns an empty store.
+// NewStore returns an empty store with the default limit.
 func NewStore() *Store {
-	return &Store{Limit: DefaultStoreBytes, Dropped: func(*Answer) {}, answers: map[id]*Answer{}}
+	return &Store{Limit: DefaultStoreBytes, Dropped: func(*Answer) {}, answers: map[storeKey]*Answer{}}
 }
 
-// Put adds an answer, or returns the one that the key has already.
+// Put adds an answer and reports true. If the key already has an answer, it
+// returns that one and false.
 func (s *Store) Put(a *Answer) (*Answer, bool) {
-	if s.held.Load() > s.Limit {
+	if s.totalBytes.Load() > s.Limit {
 		s.Expire(time.Time{})
 	}
 	m := a.Meta()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	k := id{m.Workspace, m.Key}
-	if old, ok := s.answers[k]; ok {
-		return old, false
+	k := storeKey{m.Workspace, m.Key}
+	if existing, ok := s.answers[k]; ok {
+		return existing, false
 	}
-	a.held = &s.held
+	a.storeBytes = &s.totalBytes
 	s.answers[k] = a
 	return a, true
 }
 
-// Get finds an answer.
+// Get returns the answer of a key, if the store holds one.
 func (s *Store) Get(workspace, key string) (*Answer, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	a, ok := s.answers[id{workspace, key}]
+	a, ok := s.answers[storeKey{workspace, key}]
 	return a, ok
 }
 
-// Remove forgets an answer, so that a resend of its key starts afresh.
+// Remove deletes an answer, so that a retry under its key is processed as a new
+// request. It does not call Dropped.
 func (s *Store) Remove(a *Answer) {
 	m := a.Meta()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	k := id{m.Workspace, m.Key}
+	k := storeKey{m.Workspace, m.Key}
 	if s.answers[k] == a {
-		s.drop(k, a)
+		s.deleteLocked(k, a)
 	}
 }
 
-func (s *Store) drop(k id, a *Answer) {
+// deleteLocked deletes an answer. The caller holds mu.
+func (s *Store) deleteLocked(k storeKey, a *Answer) {
 	delete(s.answers, k)
-	s.held.Add(-a.Length())
+	s.totalBytes.Add(-a.Length())
 }
 
-// Expire forgets answers that ended before a time, and the oldest finished
-// ones beyond the limit.
+// Expire removes answers that ended before the given time, and the oldest
+// finished answers while the store exceeds its limit.
 func (s *Store) Expire(before time.Time) {
-	for _, a := range s.expire(before) {
+	for _, a := range s.removeExpired(before) {
 		s.Dropped(a)
 	}
 }
 
-// finished is an answer that may go.
-type finished struct {
-	id     id
-	answer *Answer
-	at     time.Time
+// finishedAnswer is an ended answer, which may be removed.
+type finishedAnswer struct {
+	key     storeKey
+	answer  *Answer
+	endedAt time.Time
 }
 
-func (s *Store) expire(before time.Time) []*Answer {
+// removeExpired removes the answers that Expire names and returns them.
+func (s *Store) removeExpired(before time.Time) []*Answer {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	old := []finished{}
+	candidates := []finishedAnswer{}
 	for k, a := range s.answers {
 		if at, ended := a.endTime(); ended {
-			old = append(old, finished{id: k, answer: a, at: at})
+			candidates = append(candidates, finishedAnswer{key: k, answer: a, endedAt: at})
 		}
 	}
-	slices.SortFunc(old, func(x, y finished) int { return x.at.Compare(y.at) })
-	gone := []*Answer{}
-	for _, f := range old {
-		if !f.at.Before(before) && s.held.Load() <= s.Limit {
+	slices.SortFunc(candidates, func(x, y finishedAnswer) int { return x.endedAt.Compare(y.endedAt) })
+	removed := []*Answer{}
+	for _, f := range candidates {
+		if !f.endedAt.Before(before) && s.totalBytes.Load() <= s.Limit {
 			break
 		}
-		s.drop(f.id, f.answer)
-		gone = append(gone, f.answer)
+		s.deleteLocked(f.key, f.answer)
+		removed = append(removed, f.answer)
 	}
-	return gone
+	return removed
 }
 
-// Bytes returns how many bytes all answers hold.
-func (s *Store) Bytes() int64 { return s.held.Load() }
+// Bytes returns the total size of all answers.
+func (s *Store) Bytes() int64 { return s.totalBytes.Load() }
 
-// Len counts the answers.
+// Len returns the number of answers.
 func (s *Store) Len() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
