--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -1,8 +1,9 @@
-// Package engine is the daemons' client to upstreams: it starts, resumes and
-// cancels streams on runners and makes calls on plain services.
+// Package engine is the HTTP client for upstreams: it starts, resumes and
+// cancels streams on runners, sends orders to them, moves streams between them,
+// and calls services. The entry uses it.
 //
-// A Conn carries one request. It is made before the request is claimed, so
-// that an upstream that can't be reached is known before anything is sent.
+// A Conn carries one request. The entry dials before it claims the request, so
+// that an unreachable upstream is detected while nothing has been sent.
 package engine
 
 import (
@@ -23,53 +24,58 @@
 )
 
 const (
-	// dialTimeout bounds making a connection.
+	// dialTimeout limits establishing a connection.
 	dialTimeout = time.Second
-	// maxFrame is the longest line of a stream, in bytes.
-	maxFrame = 1 << 20
-	// keepAlive is the pause between TCP probes on an idle connection.
-	keepAlive = 5 * time.Second
+	// maxFrameBytes is the maximum length of a line of a stream, in bytes.
+	maxFrameBytes = 1 << 20
+	// keepAliveInterval is the interval of TCP keep-alive probes.
+	keepAliveInterval = 5 * time.Second
 )
 
-// Conn is a connection to an upstream for one request.
+// Conn is a connection to an upstream that carries one request. It is not safe
+// for concurrent use.
 type Conn struct {
 	address string
-	raw     *countedConn
+	netConn *writeRecordingConn
 	client  *http.Client
 }
 
-// countedConn counts what was written, so that "nothing was sent" is certain.
-type countedConn struct {
+// writeRecordingConn records whether anything was written, so that a failed
+// request can be reported as not sent with certainty.
+type writeRecordingConn struct {
 	net.Conn
-	sent  atomic.Bool
-	first func()
+	written atomic.Bool
+	// onFirstWrite, if set, is called before the first write.
+	onFirstWrite func()
 }
 
-// Write counts before it writes: a failed write may have sent something.
-func (c *countedConn) Write(p []byte) (int, error) {
-	if !c.sent.Swap(true) && c.first != nil {
-		c.first()
+// Write records the write before it happens, because a write that fails may
+// still have sent some bytes.
+func (c *writeRecordingConn) Write(p []byte) (int, error) {
+	if !c.written.Swap(true) && c.onFirstWrite != nil {
+		c.onFirstWrite()
 	}
 	return c.Conn.Write(p)
 }
 
-// OnSend sets what is called before the first byte leaves.
-func (c *Conn) OnSend(fn func()) { c.raw.first = fn }
+// OnSend sets a function that is called before the first byte is written. It
+// must be called before the request.
+func (c *Conn) OnSend(fn func()) { c.netConn.onFirstWrite = fn }
 
-// Sent tells whether any byte may have left for the upstream.
-func (c *Conn) Sent() bool { return c.raw.sent.Load() }
+// Sent reports whether any byte may have been sent to the upstream.
+func (c *Conn) Sent() bool { return c.netConn.written.Load() }
 
-// Dial connects to an upstream.
+// Dial connects to an upstream at host:port, within a second.
 func Dial(ctx context.Context, address string) (*Conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
-	d := net.Dialer{KeepAlive: keepAlive}
+	d := net.Dialer{KeepAlive: keepAliveInterval}
 	dialed, err := d.DialContext(ctx, "tcp", address)
 	if err != nil {
 		return nil, err
 	}
-	raw := &countedConn{Conn: dialed}
-	c := &Conn{address: address, raw: raw}
+	wrapped := &writeRecordingConn{Conn: dialed}
+	c := &Conn{address: address, netConn: wrapped}
 	used := atomic.Bool{}
 	c.client = &http.Client{
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
@@ -78,40 +84,41 @@
 			DisableCompression: true,
 			DialContext: func(context.Context, string, string) (net.Conn, error) {
 				if used.Swap(true) {
-					return nil, fmt.Errorf("connection to %s is used up", address)
+					return nil, fmt.Errorf("connection to %s has already carried a request; dial a new one", address)
 				}
-				return raw, nil
+				return wrapped, nil
 			},
 		},
 	}
 	return c, nil
 }
 
-// Close ends the connection.
+// Close closes the connection.
 func (c *Conn) Close() {
-	_ = c.raw.Close()
+	_ = c.netConn.Close()
 }
 
-// StatusError is an upstream's refusal before a stream began.
+// StatusError reports an upstream's response with a status other than 200.
 type StatusError struct {
 	Status int
 	Body   string
 }
 
-// Error gives status and body.
+// Error implements error.
 func (e *StatusError) Error() string {
 	return fmt.Sprintf("upstream answered %d: %s", e.Status, e.Body)
 }
 
-// Stream yields the frames of one answer.
+// Stream reads the frames of one answer.
 type Stream struct {
-	conn  *Conn
-	body  io.ReadCloser
-	lines *bufio.Scanner
+	conn    *Conn
+	body    io.ReadCloser
+	scanner *bufio.Scanner
 }
 
-// Start begins a stream. It fails where no header comes within the silence.
-func (c *Conn) Start(ctx context.Context, s upstream.Start, silence time.Duration) (*Stream, error) {
+// Start starts a stream. It fails if no response header arrives within
+// idleTimeout, and returns a StatusError if the runner refuses.
+func (c *Conn) Start(ctx context.Context, s upstream.Start, idleTimeout time.Duration) (*Stream, error) {
 	body, err := json.Marshal(s)
 	if err != nil {
 		return nil, err
@@ -121,64 +128,65 @@
 		return nil, err
 	}
 	req.Header.Set("Content-Type", "application/json")
-	return c.open(req, silence)
+	return c.openStream(req, idleTimeout)
 }
 
-// Resume reads a stream from an offset, in bytes.
-func (c *Conn) Resume(ctx context.Context, stream string, offset int64, silence time.Duration) (*Stream, error) {
+// Resume reads a running stream from an offset, in bytes. It fails as Start does.
+func (c *Conn) Resume(ctx context.Context, stream string, offset int64, idleTimeout time.Duration) (*Stream, error) {
 	url := "http://" + c.address + upstream.PathStreams + "/" + stream + "?offset=" + strconv.FormatInt(offset, 10)
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
 		return nil, err
 	}
-	return c.open(req, silence)
+	return c.openStream(req, idleTimeout)
 }
 
-func (c *Conn) open(req *http.Request, silence time.Duration) (*Stream, error) {
-	_ = c.raw.SetDeadline(time.Now().Add(silence))
-	defer func() { _ = c.raw.SetWriteDeadline(time.Time{}) }()
+// openStream sends the request and returns its response body as a stream.
+func (c *Conn) openStream(req *http.Request, idleTimeout time.Duration) (*Stream, error) {
+	_ = c.netConn.SetDeadline(time.Now().Add(idleTimeout))
+	defer func() { _ = c.netConn.SetWriteDeadline(time.Time{}) }()
 	resp, err := c.client.Do(req)
 	if err != nil {
 		return nil, err
 	}
 	if resp.StatusCode != http.StatusOK {
 		defer resp.Body.Close()
-		text, _ := io.ReadAll(io.LimitReader(resp.Body, maxFrame))
+		text, _ := io.ReadAll(io.LimitReader(resp.Body, maxFrameBytes))
 		return nil, &StatusError{Status: resp.StatusCode, Body: string(text)}
 	}
-	lines := bufio.NewScanner(resp.Body)
-	lines.Buffer(nil, maxFrame)
-	return &Stream{conn: c, body: resp.Body, lines: lines}, nil
+	scanner := bufio.NewScanner(resp.Body)
+	scanner.Buffer(nil, maxFrameBytes)
+	return &Stream{conn: c, body: resp.Body, scanner: scanner}, nil
 }
 
-// Next returns the next frame; empty lines between are heartbeats. It fails
-// with os.ErrDeadlineExceeded where the stream carries nothing for the given
-// time, and with io.ErrUnexpectedEOF where it ends without a last frame.
-func (s *Stream) Next(silence time.Duration) (upstream.Frame, error) {
+// Next returns the next frame and skips empty lines, which are heartbeats. It
+// returns os.ErrDeadlineExceeded if nothing arrives within idleTimeout, and
+// io.ErrUnexpectedEOF if the connection ends before the last frame.
+func (s *Stream) Next(idleTimeout time.Duration) (upstream.Frame, error) {
 	for {
-		_ = s.conn.raw.SetReadDeadline(time.Now().Add(silence))
-		if !s.lines.Scan() {
-			if err := s.lines.Err(); err != nil {
+		_ = s.conn.netConn.SetReadDeadline(time.Now().Add(idleTimeout))
+		if !s.scanner.Scan() {
+			if err := s.scanner.Err(); err != nil {
 				return upstream.Frame{}, err
 			}
 			return upstream.Frame{}, io.ErrUnexpectedEOF
 		}
-		if len(bytes.TrimSpace(s.lines.Bytes())) == 0 {
+		if len(bytes.TrimSpace(s.scanner.Bytes())) == 0 {
 			continue
 		}
 		f := upstream.Frame{}
-		err := json.Unmarshal(s.lines.Bytes(), &f)
+		err := json.Unmarshal(s.scanner.Bytes(), &f)
 		return f, err
 	}
 }
 
-// Close ends the stream's connection.
+// Close closes the stream and its connection.
 func (s *Stream) Close() {
 	_ = s.body.Close()
 	s.conn.Close()
 }
 
-// Cancel tells a runner that nobody waits for a stream.
+// Cancel asks a runner to stop a stream that no caller waits for.
 func (c *Conn) Cancel(ctx context.Context, stream string) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodDelete, "http://"+c.address+upstream.PathStreams+"/"+stream, nil)
 	if err != nil {
@@ -191,28 +199,29 @@
 	return resp.Body.Close()
 }
 
-// Call is one call on a plain service.
+// Call is a request to a service.
 type Call struct {
 	Stream string
 	Method string
-	// Path is below the service's root, with the query.
+	// Path is relative to the service's root and includes the query.
 	Path   string
 	Header http.Header
 	Body   []byte
 }
 
-// Reply is a service's whole answer.
+// Reply is the complete response of a service.
 type Reply struct {
 	Status      int
 	ContentType string
 	Body        []byte
 }
 
-// errNoEnd says that a cut reply could not be told from a whole one.
-var errNoEnd = errors.New("the reply has neither a length nor chunks; let the service send either")
+// errUnframedReply reports a reply whose truncation could not be detected.
+var errUnframedReply = errors.New("reply has neither Content-Length nor chunked encoding; make the service send one of them")
 
-// Do makes the call and reads the whole reply, of limit bytes at most.
-func (c *Conn) Do(ctx context.Context, call Call, limit int64) (Reply, error) {
+// Do sends the request and reads the complete reply. It fails if the body is
+// longer than maxBytes, or if its end could not be recognized.
+func (c *Conn) Do(ctx context.Context, call Call, maxBytes int64) (Reply, error) {
 	req, err := http.NewRequestWithContext(ctx, call.Method, "http://"+c.address+call.Path, bytes.NewReader(call.Body))
 	if err != nil {
 		return Reply{}, err
@@ -226,14 +235,14 @@
 	}
 	defer resp.Body.Close()
 	if resp.ContentLength < 0 && len(resp.TransferEncoding) == 0 {
-		return Reply{}, errNoEnd
+		return Reply{}, errUnframedReply
 	}
-	body, err := io.ReadAll(io.LimitReader(resp.Body, limit+1))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxBytes+1))
 	if err != nil {
 		return Reply{}, err
 	}
-	if int64(len(body)) > limit {
-		return Reply{}, fmt.Errorf("the reply is over %d bytes", limit)
+	if int64(len(body)) > maxBytes {
+		return Reply{}, fmt.Errorf("reply body exceeds the limit of %d bytes", maxBytes)
 	}
 	return Reply{Status: resp.StatusCode, ContentType: resp.Header.Get("Content-Type"), Body: body}, nil
 }
--- a/internal/engine/fuzz_test.go
+++ b/internal/engine/fuzz_test.go
@@ -11,19 +11,19 @@
 	"github.com/stretchr/testify/require"
 )
 
-// FuzzFrames reads any bytes as a stream: it ends, with an error unless the
-// bytes are whole lines of JSON.
+// FuzzFrames checks that reading arbitrary bytes as a stream ends with an error
+// after no more frames than bytes.
 func FuzzFrames(f *testing.F) {
 	f.Add([]byte("{\"stream\":\"s\",\"offset\":0,\"text\":\"a\"}\n\n{\"stream\":\"s\",\"offset\":1,\"end\":true}\n"))
 	f.Add([]byte("{\"offset\":-1}\n{\"offset\":"))
 	f.Add([]byte("\n\n\r\n"))
 	f.Add([]byte("null\n[]\n"))
 	f.Fuzz(func(t *testing.T, data []byte) {
-		near, far := net.Pipe()
-		defer far.Close()
+		local, remote := net.Pipe()
+		defer remote.Close()
 		lines := bufio.NewScanner(bytes.NewReader(data))
-		lines.Buffer(nil, maxFrame)
-		s := &Stream{conn: &Conn{raw: &countedConn{Conn: near}}, body: io.NopCloser(nil), lines: lines}
+		lines.Buffer(nil, maxFrameBytes)
+		s := &Stream{conn: &Conn{netConn: &writeRecordingConn{Conn: local}}, body: io.NopCloser(nil), scanner: lines}
 		defer s.Close()
 		for range len(data) + 1 {
 			if _, err := s.Next(time.Minute); err != nil {
--- a/internal/engine/order.go
+++ b/internal/engine/order.go
@@ -10,33 +10,35 @@
 	"github.com/verbenastep/verbenastep/api/upstream"
 )
 
-// maxExport is the largest KV cache that is moved, in bytes.
-const maxExport = 256 << 20
+// maxReplyBytes is the maximum size of a runner's reply; the largest one is an
+// exported KV cache.
+const maxReplyBytes = 256 << 20
 
-// Order gives a runner an order. A StatusError of 409 says that the fence is
-// older than one that the runner has seen.
+// Order sends an order to a runner. A StatusError with status 409 means that the
+// order's fencing token is older than one that the runner has seen.
 func (c *Conn) Order(ctx context.Context, o upstream.Order) (upstream.OrderReply, error) {
 	out := upstream.OrderReply{}
-	err := c.exchange(ctx, upstream.PathOrders, o, &out)
+	err := c.post(ctx, upstream.PathOrders, o, &out)
 	return out, err
 }
 
-// Export takes a stream and its KV cache from a runner; the stream ends there.
+// Export ends a stream on its runner and returns it with its KV cache.
 func (c *Conn) Export(ctx context.Context, stream string) (upstream.Export, error) {
 	out := upstream.Export{}
-	err := c.exchange(ctx, upstream.PathStreams+"/"+stream+upstream.SuffixExport, struct{}{}, &out)
+	err := c.post(ctx, upstream.PathStreams+"/"+stream+upstream.SuffixExport, struct{}{}, &out)
 	return out, err
 }
 
-// Import lets a runner go on with an exported stream, which is then resumed
-// there like any other.
+// Import makes a runner continue an exported stream, which can then be read with
+// Resume.
 func (c *Conn) Import(ctx context.Context, e upstream.Export) error {
-	return c.exchange(ctx, upstream.PathImports, e, &struct{}{})
+	return c.post(ctx, upstream.PathImports, e, &struct{}{})
 }
 
-// exchange posts one JSON value and reads another.
-func (c *Conn) exchange(ctx context.Context, path string, in, out any) error {
-	body, err := json.Marshal(in)
+// post posts request as JSON and decodes the JSON response into reply. It
+// returns a StatusError for any status but 200.
+func (c *Conn) post(ctx context.Context, path string, request, reply any) error {
+	body, err := json.Marshal(request)
 	if err != nil {
 		return err
 	}
@@ -51,8 +53,8 @@
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		text, _ := io.ReadAll(io.LimitReader(resp.Body, maxFrame))
+		text, _ := io.ReadAll(io.LimitReader(resp.Body, maxFrameBytes))
 		return &StatusError{Status: resp.StatusCode, Body: string(text)}
 	}
-	return json.NewDecoder(io.LimitReader(resp.Body, maxExport)).Decode(out)
+	return json.NewDecoder(io.LimitReader(resp.Body, maxReplyBytes)).Decode(reply)
 }
