--- a/internal/answer/answer.go
+++ b/internal/answer/answer.go
@@ -22,9 +22,9 @@
 const (
 	// MaxBytes is the maximum size of an answer.
 	MaxBytes = 8 << 20
-	// Window is the number of bytes by which an answer may be ahead of its
-	// slowest reader before its writer has to wait (see WaitRoom).
-	Window = 1 << 20
+	// MaxReaderLag is the number of bytes by which an answer may be ahead of its
+	// slowest reader before its writer has to wait (see WaitForReaders).
+	MaxReaderLag = 1 << 20
 )
 
 // Meta identifies an answer and the request that it belongs to.
@@ -46,7 +46,7 @@
 	// Status is the HTTP status of a service's reply, 200 for a model.
 	Status       int
 	ContentType  string
-	Finish       string
+	FinishReason string
 	PromptTokens int
 	// CachedTokens is the number of prompt tokens read from the prefix cache.
 	CachedTokens int
@@ -90,13 +90,13 @@
 
 // OffsetError reports bytes or a read whose offset does not match the answer.
 type OffsetError struct {
-	// Have is the answer's length and Got the offset given, both in bytes.
-	Have, Got int64
+	// Length is the answer's length and Offset the offset given, both in bytes.
+	Length, Offset int64
 }
 
 // Error implements error.
 func (e *OffsetError) Error() string {
-	return fmt.Sprintf("offset %d does not match the answer's length of %d bytes; continue at its length", e.Got, e.Have)
+	return fmt.Sprintf("offset %d does not match the answer's length of %d bytes; continue at its length", e.Offset, e.Length)
 }
 
 // Meta returns a copy of the answer's metadata.
@@ -109,22 +109,22 @@
 // Append adds bytes that start at offset. It returns an OffsetError, and adds
 // nothing, if they would repeat bytes, leave a gap, make the answer exceed
 // MaxBytes or follow its end.
-func (a *Answer) Append(offset int64, piece []byte) error {
+func (a *Answer) Append(offset int64, chunk []byte) error {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	have := int64(len(a.data))
-	if offset != have || a.ended || have+int64(len(piece)) > MaxBytes {
-		return &OffsetError{Have: have, Got: offset}
+	if offset != have || a.ended || have+int64(len(chunk)) > MaxBytes {
+		return &OffsetError{Length: have, Offset: offset}
 	}
-	a.data = append(a.data, piece...)
-	a.storeBytes.Add(int64(len(piece)))
+	a.data = append(a.data, chunk...)
+	a.storeBytes.Add(int64(len(chunk)))
 	a.markBegun()
 	a.notifyReaders()
 	return nil
 }
 
-// Begin records that the request was dispatched as the given stream.
-func (a *Answer) Begin(stream string) {
+// MarkDispatched records that the request was dispatched as the given stream.
+func (a *Answer) MarkDispatched(stream string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.meta.Stream = stream
@@ -188,15 +188,15 @@
 	return int64(len(a.data))
 }
 
-// Whole reports whether the answer ended without an error.
-func (a *Answer) Whole() bool {
+// IsComplete reports whether the answer ended without an error.
+func (a *Answer) IsComplete() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.ended && a.failure == nil
 }
 
-// Delivered records that a caller received the complete answer.
-func (a *Answer) Delivered() { a.delivered.Store(true) }
+// MarkDelivered records that a caller received the complete answer.
+func (a *Answer) MarkDelivered() { a.delivered.Store(true) }
 
 // WasDelivered reports whether a caller received the complete answer.
 func (a *Answer) WasDelivered() bool { return a.delivered.Load() }
@@ -223,12 +223,12 @@
 	return a.detached
 }
 
-// WaitRoom blocks the writer until the slowest reader is less than Window bytes
-// behind, no reader is left, or the context ends.
-func (a *Answer) WaitRoom(ctx context.Context) {
+// WaitForReaders blocks the writer until the slowest reader is less than
+// MaxReaderLag bytes behind, no reader is left, or the context ends.
+func (a *Answer) WaitForReaders(ctx context.Context) {
 	for {
 		a.mu.Lock()
-		behind := a.maxReaderLag() >= Window
+		behind := a.maxReaderLag() >= MaxReaderLag
 		advanced := a.readerAdvanced
 		a.mu.Unlock()
 		if !behind {
@@ -264,8 +264,8 @@
 	}
 }
 
-// Sum returns the SHA-256 hash of the bytes appended so far, in hex.
-func (a *Answer) Sum() string {
+// Checksum returns the SHA-256 hash of the bytes appended so far, in hex.
+func (a *Answer) Checksum() string {
 	a.mu.Lock()
 	data := a.data
 	a.mu.Unlock()
--- a/internal/answer/answer_test.go
+++ b/internal/answer/answer_test.go
@@ -19,10 +19,10 @@
 	require.Error(t, a.Append(0, []byte("ab")), "repeated bytes")
 	require.Error(t, a.Append(3, []byte("c")), "a gap")
 	require.Error(t, a.Append(2, make([]byte, MaxBytes)), "too large")
-	a.End(Result{Finish: "stop"})
+	a.End(Result{FinishReason: "stop"})
 	a.Fail(fault.New(fault.Internal, "", "late"))
 	require.Error(t, a.Append(2, []byte("c")), "after the end")
-	require.True(t, a.Whole())
+	require.True(t, a.IsComplete())
 }
 
 // TestReadersFromAnyOffset checks that a reader gets all bytes from its offset,
@@ -43,16 +43,16 @@
 	require.Error(t, err)
 }
 
-// TestSlowReaderBlocksWriter checks that a reader which is Window bytes behind
+// TestSlowReaderBlocksWriter checks that a reader MaxReaderLag bytes behind
 // blocks the writer until it reads or closes.
 func TestSlowReaderBlocksWriter(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		a := New(Meta{})
 		slow := a.Attach(0)
-		require.NoError(t, a.Append(0, make([]byte, Window)))
+		require.NoError(t, a.Append(0, make([]byte, MaxReaderLag)))
 		unblocked := make(chan struct{}, 2)
 		wait := func() {
-			a.WaitRoom(t.Context())
+			a.WaitForReaders(t.Context())
 			unblocked <- struct{}{}
 		}
 		go wait()
@@ -61,7 +61,7 @@
 		_, err := slow.Read(t.Context(), 0)
 		require.NoError(t, err)
 		<-unblocked
-		require.NoError(t, a.Append(Window, make([]byte, Window)))
+		require.NoError(t, a.Append(MaxReaderLag, make([]byte, MaxReaderLag)))
 		go wait()
 		synctest.Wait()
 		require.Empty(t, unblocked)
@@ -92,23 +92,23 @@
 func TestStoreIsBoundedByTimeAndBytes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := NewStore()
-		s.Limit = 10
-		dropped := []string{}
-		s.Dropped = func(a *Answer) { dropped = append(dropped, a.Meta().Key) }
+		s.MaxBytes = 10
+		removed := []string{}
+		s.OnRemoved = func(a *Answer) { removed = append(removed, a.Meta().Key) }
 		for _, key := range []string{"a", "b", "c"} {
-			a, fresh := s.Put(New(Meta{Key: key}))
+			a, fresh := s.PutIfAbsent(New(Meta{Key: key}))
 			require.True(t, fresh)
 			require.NoError(t, a.Append(0, make([]byte, 6)))
 			a.End(Result{})
 			time.Sleep(time.Minute)
 		}
-		running, _ := s.Put(New(Meta{Key: "running"}))
+		running, _ := s.PutIfAbsent(New(Meta{Key: "running"}))
 		require.NoError(t, running.Append(0, make([]byte, 2)))
 		s.Expire(time.Now().Add(-time.Hour))
-		require.Equal(t, []string{"a", "b"}, dropped)
+		require.Equal(t, []string{"a", "b"}, removed)
 		require.Equal(t, int64(8), s.Bytes())
 		s.Expire(time.Now())
-		require.Equal(t, []string{"a", "b", "c"}, dropped)
+		require.Equal(t, []string{"a", "b", "c"}, removed)
 		require.Equal(t, 1, s.Len())
 	})
 }
--- a/internal/answer/reader.go
+++ b/internal/answer/reader.go
@@ -48,8 +48,8 @@
 	r.answer.readerAdvanced = make(chan struct{})
 }
 
-// Piece is the result of one Read.
-type Piece struct {
+// Chunk is the result of one Read.
+type Chunk struct {
 	// Offset is the position of Data in the answer, in bytes.
 	Offset int64
 	Data   []byte
@@ -62,9 +62,9 @@
 
 // Read returns the bytes that follow those already read. If there are none, it
 // blocks until bytes arrive, the answer ends, or the context ends, and returns
-// an empty Piece when wait has passed; a wait of zero sets no limit. It returns
+// an empty Chunk when wait has passed; a wait of zero sets no limit. It returns
 // an OffsetError if the answer ended before the reader's offset.
-func (r *Reader) Read(ctx context.Context, wait time.Duration) (Piece, error) {
+func (r *Reader) Read(ctx context.Context, wait time.Duration) (Chunk, error) {
 	timeout := (<-chan time.Time)(nil)
 	if wait > 0 {
 		timer := time.NewTimer(wait)
@@ -81,25 +81,25 @@
 		case <-timeout:
 			return p, nil
 		case <-ctx.Done():
-			return Piece{}, ctx.Err()
+			return Chunk{}, ctx.Err()
 		}
 	}
 }
 
 // unread returns all unread bytes without blocking, and the channel that is
 // closed at the next change of the answer.
-func (r *Reader) unread() (Piece, <-chan struct{}, error) {
+func (r *Reader) unread() (Chunk, <-chan struct{}, error) {
 	a := r.answer
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	have := int64(len(a.data))
 	if r.offset > have {
 		if a.ended {
-			return Piece{}, nil, &OffsetError{Have: have, Got: r.offset}
+			return Chunk{}, nil, &OffsetError{Length: have, Offset: r.offset}
 		}
-		return Piece{Offset: r.offset}, a.changed, nil
+		return Chunk{Offset: r.offset}, a.changed, nil
 	}
-	p := Piece{Offset: r.offset, Data: a.data[r.offset:have:have], Ended: a.ended, Result: a.result, Failure: a.failure}
+	p := Chunk{Offset: r.offset, Data: a.data[r.offset:have:have], Ended: a.ended, Result: a.result, Failure: a.failure}
 	if len(p.Data) > 0 {
 		r.offset = have
 		r.notifyWriters()
--- a/internal/answer/store.go
+++ b/internal/answer/store.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// DefaultStoreBytes is the default of Store.Limit, in bytes.
+// DefaultStoreBytes is the default of Store.MaxBytes, in bytes.
 const DefaultStoreBytes = 128 << 20
 
 // storeKey identifies an answer; keys are unique only within their workspace.
@@ -19,12 +19,12 @@
 // Store holds answers by workspace and key. It is safe for concurrent use; its
 // exported fields must be set before the first use.
 type Store struct {
-	// Limit is the number of bytes above which the oldest finished answers are
+	// MaxBytes is the number of bytes above which the oldest finished answers are
 	// removed. Running answers are never removed.
-	Limit int64
-	// Dropped is called for each finished answer that expires or is removed
-	// because of Limit.
-	Dropped func(*Answer)
+	MaxBytes int64
+	// OnRemoved is called for each finished answer that expires or is removed
+	// because of MaxBytes.
+	OnRemoved func(*Answer)
 
 	mu         sync.Mutex
 	answers    map[storeKey]*Answer
@@ -33,13 +33,13 @@
 
 // NewStore returns an empty store with the default limit.
 func NewStore() *Store {
-	return &Store{Limit: DefaultStoreBytes, Dropped: func(*Answer) {}, answers: map[storeKey]*Answer{}}
+	return &Store{MaxBytes: DefaultStoreBytes, OnRemoved: func(*Answer) {}, answers: map[storeKey]*Answer{}}
 }
 
-// Put adds an answer and reports true. If the key already has an answer, it
-// returns that one and false.
-func (s *Store) Put(a *Answer) (*Answer, bool) {
-	if s.totalBytes.Load() > s.Limit {
+// PutIfAbsent adds an answer and reports true. If the key already has an answer,
+// it returns that one and false.
+func (s *Store) PutIfAbsent(a *Answer) (*Answer, bool) {
+	if s.totalBytes.Load() > s.MaxBytes {
 		s.Expire(time.Time{})
 	}
 	m := a.Meta()
@@ -63,7 +63,7 @@
 }
 
 // Remove deletes an answer, so that a retry under its key is processed as a new
-// request. It does not call Dropped.
+// request. It does not call OnRemoved.
 func (s *Store) Remove(a *Answer) {
 	m := a.Meta()
 	s.mu.Lock()
@@ -84,7 +84,7 @@
 // finished answers while the store exceeds its limit.
 func (s *Store) Expire(before time.Time) {
 	for _, a := range s.removeExpired(before) {
-		s.Dropped(a)
+		s.OnRemoved(a)
 	}
 }
 
@@ -108,7 +108,7 @@
 	slices.SortFunc(candidates, func(x, y finishedAnswer) int { return x.endedAt.Compare(y.endedAt) })
 	removed := []*Answer{}
 	for _, f := range candidates {
-		if !f.endedAt.Before(before) && s.totalBytes.Load() <= s.Limit {
+		if !f.endedAt.Before(before) && s.totalBytes.Load() <= s.MaxBytes {
 			break
 		}
 		s.deleteLocked(f.key, f.answer)
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -58,12 +58,12 @@
 	return c.Conn.Write(p)
 }
 
-// OnSend sets a function that is called before the first byte is written. It
-// must be called before the request.
-func (c *Conn) OnSend(fn func()) { c.netConn.onFirstWrite = fn }
+// OnFirstWrite sets a function that is called before the first byte is written.
+// It must be set before the request is sent.
+func (c *Conn) OnFirstWrite(fn func()) { c.netConn.onFirstWrite = fn }
 
-// Sent reports whether any byte may have been sent to the upstream.
-func (c *Conn) Sent() bool { return c.netConn.written.Load() }
+// MayHaveSent reports whether any byte may have been sent to the upstream.
+func (c *Conn) MayHaveSent() bool { return c.netConn.written.Load() }
 
 // Dial connects to an upstream at host:port, within a second.
 func Dial(ctx context.Context, address string) (*Conn, error) {
@@ -199,8 +199,8 @@
 	return resp.Body.Close()
 }
 
-// Call is a request to a service.
-type Call struct {
+// ServiceRequest is a request to a service.
+type ServiceRequest struct {
 	Stream string
 	Method string
 	// Path is relative to the service's root and includes the query.
@@ -209,8 +209,8 @@
 	Body   []byte
 }
 
-// Reply is the complete response of a service.
-type Reply struct {
+// ServiceReply is the complete response of a service.
+type ServiceReply struct {
 	Status      int
 	ContentType string
 	Body        []byte
@@ -219,30 +219,30 @@
 // errUnframedReply reports a reply whose truncation could not be detected.
 var errUnframedReply = errors.New("reply has neither Content-Length nor chunked encoding; make the service send one of them")
 
-// Do sends the request and reads the complete reply. It fails if the body is
-// longer than maxBytes, or if its end could not be recognized.
-func (c *Conn) Do(ctx context.Context, call Call, maxBytes int64) (Reply, error) {
+// CallService sends the request and reads the complete reply. It fails if the
+// body is longer than maxBytes, or if its end could not be recognized.
+func (c *Conn) CallService(ctx context.Context, call ServiceRequest, maxBytes int64) (ServiceReply, error) {
 	req, err := http.NewRequestWithContext(ctx, call.Method, "http://"+c.address+call.Path, bytes.NewReader(call.Body))
 	if err != nil {
-		return Reply{}, err
+		return ServiceReply{}, err
 	}
 	req.GetBody = nil
 	req.Header = call.Header.Clone()
 	req.Header.Set(upstream.HeaderRequest, call.Stream)
 	resp, err := c.client.Do(req)
 	if err != nil {
-		return Reply{}, err
+		return ServiceReply{}, err
 	}
 	defer resp.Body.Close()
 	if resp.ContentLength < 0 && len(resp.TransferEncoding) == 0 {
-		return Reply{}, errUnframedReply
+		return ServiceReply{}, errUnframedReply
 	}
 	body, err := io.ReadAll(io.LimitReader(resp.Body, maxBytes+1))
 	if err != nil {
-		return Reply{}, err
+		return ServiceReply{}, err
 	}
 	if int64(len(body)) > maxBytes {
-		return Reply{}, fmt.Errorf("reply body exceeds the limit of %d bytes", maxBytes)
+		return ServiceReply{}, fmt.Errorf("reply body exceeds the limit of %d bytes", maxBytes)
 	}
-	return Reply{Status: resp.StatusCode, ContentType: resp.Header.Get("Content-Type"), Body: body}, nil
+	return ServiceReply{Status: resp.StatusCode, ContentType: resp.Header.Get("Content-Type"), Body: body}, nil
 }
--- a/internal/entry/body.go
+++ b/internal/entry/body.go
@@ -12,14 +12,16 @@
 )
 
 const (
-	// bodyPart is how much of a body is read, and memory lent, at once.
-	bodyPart = 64 << 10
-	// partTimeout bounds reading one part.
-	partTimeout = 10 * time.Second
+	// maxBodyReadBytes is how much of a body is read at once, after memory for it
+	// is reserved.
+	maxBodyReadBytes = 64 << 10
+	// bodyReadTimeout limits each of these reads.
+	bodyReadTimeout = 10 * time.Second
 )
 
-// readBody reads the body in parts. Memory is lent for each before it is read,
-// so that a slow sender holds no more than it has sent.
+// readBody reads the request body into r.body. It reserves memory for each part
+// before reading it, so that a slow sender occupies no more memory than it has
+// sent, and appends the functions that release it to r.memoryReleases.
 func (s *Service) readBody(c echo.Context, r *request) error {
 	limit := s.set.Limits.BodyBytes
 	if c.Request().ContentLength > limit {
@@ -29,18 +31,18 @@
 	defer func() { _ = ctl.SetReadDeadline(time.Time{}) }()
 	in := http.MaxBytesReader(c.Response(), c.Request().Body, limit)
 	for {
-		size := int64(bodyPart)
+		size := int64(maxBodyReadBytes)
 		if known := c.Request().ContentLength; known >= 0 {
 			size = min(size, known-int64(len(r.body)))
 		}
 		if size > 0 {
-			back, err := s.memory.borrow(c.Request().Context(), r.tier, size)
+			release, err := s.bodyMemory.acquire(c.Request().Context(), r.tier, size)
 			if err != nil {
 				return err
 			}
-			r.lent = append(r.lent, back)
+			r.memoryReleases = append(r.memoryReleases, release)
 		}
-		_ = ctl.SetReadDeadline(earlier(time.Now().Add(partTimeout), r.deadline))
+		_ = ctl.SetReadDeadline(earlier(time.Now().Add(bodyReadTimeout), r.deadline))
 		part, err := io.ReadAll(io.LimitReader(in, max(size, 1)))
 		r.body = append(r.body, part...)
 		large := (*http.MaxBytesError)(nil)
--- a/internal/entry/caller_test.go
+++ b/internal/entry/caller_test.go
@@ -15,13 +15,13 @@
 	"github.com/verbenastep/verbenastep/internal/standin"
 )
 
-// TestRefusalsBeforeDispatch: each fault of a call is told before anything is
-// dispatched.
+// TestRefusalsBeforeDispatch checks that invalid requests get the right status,
+// code and a remedy, and that none of them is dispatched.
 func TestRefusalsBeforeDispatch(t *testing.T) {
 	c := newCluster(t)
-	r := c.runner(t, 500)
-	s := c.service(t, 0)
-	e := c.entry(t, "entry-1")
+	r := c.startRunner(t, 500)
+	s := c.startService(t, 0)
+	e := c.startEntry(t, "entry-1")
 	chat := "/v1/chat/completions"
 	cases := []struct {
 		name, method, path, body string
@@ -58,16 +58,18 @@
 	require.Zero(t, total(r.Executions())+total(s.Executions()))
 }
 
-func TestCompatibleForms(t *testing.T) {
+// TestOpenAICompatibility checks prompts made of parts, streamed token counts,
+// the legacy completion call and the list of models.
+func TestOpenAICompatibility(t *testing.T) {
 	c := newCluster(t)
-	c.runner(t, 500)
-	e := c.entry(t, "entry-1")
+	c.startRunner(t, 500)
+	e := c.startEntry(t, "entry-1")
 	parts := `{"model":"logbook-model","temperature":0.2,"stop":["x"],"stream":true,"stream_options":{"include_usage":true},` +
 		`"messages":[{"role":"system","content":"brief"},{"role":"user","content":[{"type":"text","text":"draft "},{"type":"text","text":"#2"}]}]}`
 	got := e.do(t, "POST", "/v1/chat/completions", parts)
 	require.Contains(t, got.body, `"delta":{"role":"assistant"}`)
 	require.Contains(t, got.body, `"completion_tokens":2`)
-	answer, whole := text(got.body)
+	answer, whole := joinDeltas(got.body)
 	require.True(t, whole)
 	require.Equal(t, standin.AnswerTo("system: brief\nuser: draft #2\n", defaultMaxTokens), answer)
 	legacy := e.do(t, "POST", "/v1/completions", `{"model":"logbook-model","prompt":"draft #2"}`)
@@ -75,21 +77,22 @@
 	require.Contains(t, e.do(t, "GET", "/v1/models", "").body, `"id":"logbook-model"`)
 }
 
-// TestOptionsAreContent: other options under the same key are a conflict.
-func TestOptionsAreContent(t *testing.T) {
+// TestOptionsArePartOfContent checks that different sampling options under the
+// same key are a conflict.
+func TestOptionsArePartOfContent(t *testing.T) {
 	c := newCluster(t)
-	c.runner(t, 500)
-	e := c.entry(t, "entry-1")
+	c.startRunner(t, 500)
+	e := c.startEntry(t, "entry-1")
 	body := `{"model":"logbook-model","prompt":"draft #2","temperature":%s}`
 	require.Equal(t, 200, e.do(t, "POST", "/v1/completions", fmt.Sprintf(body, "0.1"), "Idempotency-Key", "k").status)
 	require.Equal(t, 409, e.do(t, "POST", "/v1/completions", fmt.Sprintf(body, "0.9"), "Idempotency-Key", "k").status)
 }
 
-// TestSlowCallersHoldUpNobody: with as many half-sent headers as connections
-// are allowed, another caller is served at once.
-func TestSlowCallersHoldUpNobody(t *testing.T) {
+// TestSlowCallersDoNotBlockOthers guards against callers with half-sent headers
+// exhausting the connection limit.
+func TestSlowCallersDoNotBlockOthers(t *testing.T) {
 	c := newCluster(t)
-	e := c.entry(t, "entry-1")
+	e := c.startEntry(t, "entry-1")
 	for range 40 {
 		conn, err := net.Dial("tcp", e.Address())
 		require.NoError(t, err)
@@ -100,9 +103,11 @@
 	require.Eventually(t, func() bool { return e.conns.count() <= 32 }, 5*time.Second, 10*time.Millisecond)
 }
 
-func TestEndlessHeaderIsRefused(t *testing.T) {
+// TestOversizedHeaderIsRefused checks that a header above the limit is refused
+// and the entry keeps serving.
+func TestOversizedHeaderIsRefused(t *testing.T) {
 	c := newCluster(t)
-	e := c.entry(t, "entry-1")
+	e := c.startEntry(t, "entry-1")
 	got, err := e.try("GET", "/v1/models", "", "X-Long", strings.Repeat("x", 64<<10))
 	if err == nil {
 		require.Equal(t, http.StatusRequestHeaderFieldsTooLarge, got.status)
@@ -110,19 +115,23 @@
 	require.Equal(t, http.StatusOK, e.do(t, "GET", "/v1/models", "").status)
 }
 
-func TestDeadlineOfTheCaller(t *testing.T) {
+// TestCallerDeadline checks that a request ends at the timeout that its caller
+// sets, and is reported as run.
+func TestCallerDeadline(t *testing.T) {
 	c := newCluster(t)
-	c.runner(t, 20)
-	e := c.entry(t, "entry-1")
+	c.startRunner(t, 20)
+	e := c.startEntry(t, "entry-1")
 	got := e.do(t, "POST", "/v1/chat/completions", chatBody("draft #4000", false), "Verbenastep-Timeout-Ms", "200")
 	require.Equal(t, http.StatusGatewayTimeout, got.status, got.body)
 	require.Equal(t, fault.DidRun, faultOf(t, got.body).Ran)
 }
 
+// TestExplain checks that a request can be explained, but not to another
+// workspace.
 func TestExplain(t *testing.T) {
 	c := newCluster(t)
-	c.runner(t, 500)
-	e := c.entry(t, "entry-1")
+	c.startRunner(t, 500)
+	e := c.startEntry(t, "entry-1")
 	e.do(t, "POST", "/v1/chat/completions", chatBody("draft #2", false), "Idempotency-Key", "k1")
 	data, ok := e.Explain("k1")
 	require.True(t, ok)
--- a/internal/entry/claim_test.go
+++ b/internal/entry/claim_test.go
@@ -12,18 +12,18 @@
 	"github.com/verbenastep/verbenastep/internal/standin"
 )
 
-func transfer(t *testing.T, e *entryRig, key, body string) reply {
+func postTransfer(t *testing.T, e *testEntry, key, body string) response {
 	t.Helper()
 	return e.do(t, "POST", "/services/register-api/transfers", body, "Idempotency-Key", key)
 }
 
-// TestResendWaitsForOwner: a call that is still running at its owner is waited
-// for at another entry, and both callers get the one reply.
-func TestResendWaitsForOwner(t *testing.T) {
+// TestRetryWaitsForOwner checks that a retry at another entry, while the call
+// still runs, waits for it and gets the same reply without a second execution.
+func TestRetryWaitsForOwner(t *testing.T) {
 	c := newCluster(t)
-	s := c.service(t, 600*time.Millisecond)
-	one, two := c.entry(t, "entry-1"), c.entry(t, "entry-2")
-	replies := make([]reply, 2)
+	s := c.startService(t, 600*time.Millisecond)
+	one, two := c.startEntry(t, "entry-1"), c.startEntry(t, "entry-2")
+	replies := make([]response, 2)
 	group := sync.WaitGroup{}
 	group.Go(func() {
 		replies[0], _ = one.try("POST", "/services/register-api/transfers", "{}", "Idempotency-Key", "t1")
@@ -39,34 +39,36 @@
 	require.Equal(t, 1, total(s.Executions()))
 }
 
+// TestRecordedReplyAndConflict checks that after the crash of its entry a reply
+// is read from the log, and that other content under its key is a conflict.
 func TestRecordedReplyAndConflict(t *testing.T) {
 	c := newCluster(t)
-	s := c.service(t, 0)
-	one, two := c.entry(t, "entry-1"), c.entry(t, "entry-2")
-	first := transfer(t, one, "t1", "{}")
+	s := c.startService(t, 0)
+	one, two := c.startEntry(t, "entry-1"), c.startEntry(t, "entry-2")
+	first := postTransfer(t, one, "t1", "{}")
 	one.crash()
-	require.Equal(t, first.body, transfer(t, two, "t1", "{}").body)
+	require.Equal(t, first.body, postTransfer(t, two, "t1", "{}").body)
 	picked := two.do(t, "GET", "/v1/answers/t1", "")
 	require.Equal(t, first.body, picked.body)
 	require.Equal(t, first.header.Get("Content-Type"), picked.header.Get("Content-Type"))
-	other := transfer(t, two, "t1", `{"other":1}`)
+	other := postTransfer(t, two, "t1", `{"other":1}`)
 	require.Equal(t, http.StatusConflict, other.status)
 	require.Equal(t, 1, total(s.Executions()))
 }
 
-// TestServiceBreaks: a call that broke off is unknown here and elsewhere, and
-// never runs again.
-func TestServiceBreaks(t *testing.T) {
+// TestInterruptedServiceCall checks that the outcome of an interrupted call is
+// unknown at every entry and that the call never runs again.
+func TestInterruptedServiceCall(t *testing.T) {
 	for _, f := range []standin.Fault{standin.Cut, standin.Truncated} {
 		t.Run(string(f), func(t *testing.T) {
 			c := newCluster(t)
-			s := c.service(t, 0)
+			s := c.startService(t, 0)
 			s.SetFault(f)
-			one, two := c.entry(t, "entry-1"), c.entry(t, "entry-2")
-			require.Equal(t, fault.MayHaveRun, faultOf(t, transfer(t, one, "t1", "{}").body).Ran)
+			one, two := c.startEntry(t, "entry-1"), c.startEntry(t, "entry-2")
+			require.Equal(t, fault.MayHaveRun, faultOf(t, postTransfer(t, one, "t1", "{}").body).Ran)
 			s.SetFault("")
-			for _, e := range []*entryRig{one, two} {
-				again := faultOf(t, transfer(t, e, "t1", "{}").body)
+			for _, e := range []*testEntry{one, two} {
+				again := faultOf(t, postTransfer(t, e, "t1", "{}").body)
 				require.Equal(t, fault.Unknown, again.Kind)
 				require.Equal(t, fault.MayHaveRun, again.Ran)
 			}
@@ -75,17 +77,17 @@
 	}
 }
 
-// TestOwnerDiesInCall: the owner is gone in the middle of a call; a resend is
-// told that the outcome is unknown.
-func TestOwnerDiesInCall(t *testing.T) {
+// TestOwnerCrashesDuringCall checks that a retry gets an unknown outcome if the
+// entry that dispatched the call crashed, and that the log records it.
+func TestOwnerCrashesDuringCall(t *testing.T) {
 	c := newCluster(t)
-	s := c.service(t, 0)
+	s := c.startService(t, 0)
 	s.SetFault(standin.Silent)
-	one, two := c.entry(t, "entry-1"), c.entry(t, "entry-2")
+	one, two := c.startEntry(t, "entry-1"), c.startEntry(t, "entry-2")
 	go func() { _, _ = one.try("POST", "/services/register-api/transfers", "{}", "Idempotency-Key", "t1") }()
 	require.Eventually(t, func() bool { return total(s.Executions()) == 1 }, 5*time.Second, time.Millisecond)
 	one.crash()
-	again := faultOf(t, transfer(t, two, "t1", "{}").body)
+	again := faultOf(t, postTransfer(t, two, "t1", "{}").body)
 	require.Equal(t, fault.Unknown, again.Kind)
 	require.Equal(t, fault.MayHaveRun, again.Ran)
 	claim, found, err := c.Lookup(t.Context(), "", "judging", "t1")
@@ -94,41 +96,46 @@
 	require.Equal(t, 1, total(s.Executions()))
 }
 
-func TestLostClaimIsProposedAgain(t *testing.T) {
+// TestClaimIsRetriedAfterLostReply guards against a failed or doubled call if the
+// log commits a claim but its replies are lost.
+func TestClaimIsRetriedAfterLostReply(t *testing.T) {
 	c := newCluster(t)
-	s := c.service(t, 0)
-	e := c.entry(t, "entry-1")
+	s := c.startService(t, 0)
+	e := c.startEntry(t, "entry-1")
 	c.mu.Lock()
-	c.lost = 3
+	c.lostReplies = 3
 	c.mu.Unlock()
-	require.Equal(t, http.StatusOK, transfer(t, e, "t1", "{}").status)
+	require.Equal(t, http.StatusOK, postTransfer(t, e, "t1", "{}").status)
 	require.Equal(t, 1, total(s.Executions()))
 }
 
-// TestNoLog: without the log a keyed request does not run, and is not told so
-// with certainty, for an earlier attempt may have.
-func TestNoLog(t *testing.T) {
+// TestLogUnavailable checks that a request with a key does not run while the log
+// is unavailable. The refusal says that it may have run, because an earlier
+// attempt under the key may have.
+func TestLogUnavailable(t *testing.T) {
 	c := newCluster(t)
-	s := c.service(t, 0)
-	e := c.entry(t, "entry-1")
-	c.down = true
-	f := faultOf(t, transfer(t, e, "t1", "{}").body)
+	s := c.startService(t, 0)
+	e := c.startEntry(t, "entry-1")
+	c.logDown = true
+	f := faultOf(t, postTransfer(t, e, "t1", "{}").body)
 	require.Equal(t, fault.Unavailable, f.Kind)
 	require.Equal(t, fault.MayHaveRun, f.Ran)
 	require.Zero(t, total(s.Executions()))
 }
 
-func TestRefusalAndResend(t *testing.T) {
+// TestRefusalAndRetry checks that a refused request is reported as not run and
+// runs when it is sent again under the same key.
+func TestRefusalAndRetry(t *testing.T) {
 	c := newCluster(t)
-	s := c.service(t, 0)
-	e := c.entry(t, "entry-1")
-	c.refuse = fault.New(fault.Overloaded, "wait", "full").After(1500 * time.Millisecond)
-	got := transfer(t, e, "t1", "{}")
+	s := c.startService(t, 0)
+	e := c.startEntry(t, "entry-1")
+	c.schedulerError = fault.New(fault.Overloaded, "wait", "full").After(1500 * time.Millisecond)
+	got := postTransfer(t, e, "t1", "{}")
 	require.Equal(t, fault.NotRun, faultOf(t, got.body).Ran)
 	require.Equal(t, "2", got.header.Get("Retry-After"))
 	c.mu.Lock()
-	c.refuse = nil
+	c.schedulerError = nil
 	c.mu.Unlock()
-	require.Equal(t, http.StatusOK, transfer(t, e, "t1", "{}").status)
+	require.Equal(t, http.StatusOK, postTransfer(t, e, "t1", "{}").status)
 	require.Equal(t, 1, total(s.Executions()))
 }
--- a/internal/entry/connections.go
+++ b/internal/entry/connections.go
@@ -7,69 +7,72 @@
 	"sync"
 )
 
-// connections bounds the callers' connections. Where there are too many it
-// closes the one that has carried no request for longest, so that idle or slow
-// callers never keep others out.
+// connections limits the number of open callers' connections. Above the limit it
+// closes the connection that has been idle for longest, so that idle or slow
+// callers can't exhaust the limit.
 type connections struct {
-	limit int
+	maxOpen int
 
 	mu sync.Mutex
-	// quiet holds the connections without a request, the longest first.
-	quiet *list.List
-	at    map[net.Conn]*list.Element
-	total int
+	// idle lists the connections without a request, longest idle at the front.
+	idle *list.List
+	// idleElements holds the list element of each idle connection.
+	idleElements map[net.Conn]*list.Element
+	total        int
 }
 
 func newConnections(limit int) *connections {
-	return &connections{limit: limit, quiet: list.New(), at: map[net.Conn]*list.Element{}}
+	return &connections{maxOpen: limit, idle: list.New(), idleElements: map[net.Conn]*list.Element{}}
 }
 
-// changed follows each connection; it is the server's ConnState.
-func (c *connections) changed(conn net.Conn, s http.ConnState) {
+// onStateChange is the ConnState callback of the HTTP server.
+func (c *connections) onStateChange(conn net.Conn, s http.ConnState) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch s {
 	case http.StateNew:
 		c.total++
-		c.enter(conn)
-		if c.total > c.limit {
-			c.closeQuietest()
+		c.markIdle(conn)
+		if c.total > c.maxOpen {
+			c.closeLongestIdle()
 		}
 	case http.StateIdle:
-		c.enter(conn)
+		c.markIdle(conn)
 	case http.StateActive:
-		c.leave(conn)
+		c.unmarkIdle(conn)
 	case http.StateClosed, http.StateHijacked:
-		c.leave(conn)
+		c.unmarkIdle(conn)
 		c.total--
 	}
 }
 
-func (c *connections) enter(conn net.Conn) {
-	c.leave(conn)
-	c.at[conn] = c.quiet.PushBack(conn)
+// markIdle moves a connection to the end of the idle list. The caller holds mu.
+func (c *connections) markIdle(conn net.Conn) {
+	c.unmarkIdle(conn)
+	c.idleElements[conn] = c.idle.PushBack(conn)
 }
 
-func (c *connections) leave(conn net.Conn) {
-	if e, ok := c.at[conn]; ok {
-		c.quiet.Remove(e)
-		delete(c.at, conn)
+// unmarkIdle removes a connection from the idle list. The caller holds mu.
+func (c *connections) unmarkIdle(conn net.Conn) {
+	if e, ok := c.idleElements[conn]; ok {
+		c.idle.Remove(e)
+		delete(c.idleElements, conn)
 	}
 }
 
-// closeQuietest closes the longest quiet connection: the new one where all
-// others carry requests.
-func (c *connections) closeQuietest() {
-	oldest := c.quiet.Front()
+// closeLongestIdle closes the connection that has been idle for longest. This is
+// the newest one if all others carry requests. The caller holds mu.
+func (c *connections) closeLongestIdle() {
+	oldest := c.idle.Front()
 	if oldest == nil {
 		return
 	}
 	conn := oldest.Value.(net.Conn)
-	c.leave(conn)
+	c.unmarkIdle(conn)
 	_ = conn.Close()
 }
 
-// count returns how many connections are open.
+// count returns the number of open connections.
 func (c *connections) count() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/entry/effects.go
+++ b/internal/entry/effects.go
@@ -17,50 +17,51 @@
 	"github.com/verbenastep/verbenastep/internal/wait"
 )
 
-// act does one thing that nothing waits for.
-func (x *execution) act(e claims.Effect) {
+// perform carries out an effect that has no resulting event.
+func (x *execution) perform(e claims.Effect) {
 	switch e.Kind {
 	case claims.Dispatched:
-		x.answer.Begin(e.Stream)
-		x.service.observer.followed(x.request, e.Stream)
+		x.answer.MarkDispatched(e.Stream)
+		x.service.observer.recordStream(x.request, e.Stream)
 	case claims.RecordNotRun:
-		x.service.marks.note(x.request.workspace.Name, x.request.key, e.Claim.Attempt)
+		x.service.notRun.add(x.request.workspace.Name, x.request.key, e.Claim.Attempt)
 	case claims.Deliver:
-		x.deliver()
+		x.appendFrame()
 	case claims.CloseConnection:
-		x.retire()
+		x.closeUpstream()
 	case claims.Cancel:
-		x.cancelAtEngine(e)
+		x.cancelOnEngine(e)
 	case claims.Release:
 		x.release(e.Slot)
 	case claims.Finish:
-		x.finish(e.Finish)
+		x.recordEnd(e.Finish)
 	case claims.ResolveClaim:
-		x.service.running.Go(func() { x.service.settle(e.Claim) })
+		x.service.inFlight.Go(func() { x.service.resolveClaim(e.Claim) })
 	case claims.ServeRecorded:
 		_ = x.answer.Append(0, e.Claim.Body)
-		x.answer.End(answer.Result{Status: e.Claim.Status, ContentType: e.Claim.ContentType, Finish: "stop"})
+		x.answer.End(answer.Result{Status: e.Claim.Status, ContentType: e.Claim.ContentType, FinishReason: "stop"})
 	case claims.End:
 		x.end()
 	case claims.Fail:
-		if !x.abandoned() {
+		if !x.mayBeAdopted() {
 			x.fail(e.Failure)
 		}
 	}
 }
 
-func (x *execution) deliver() {
+// appendFrame adds the text of the last frame to the answer.
+func (x *execution) appendFrame() {
 	if err := x.answer.Append(x.frame.Offset, []byte(x.frame.Text)); err != nil {
-		x.service.log.Error("frame was not appended", zap.Error(err))
+		x.service.log.Error("could not append a frame to the answer", zap.Error(err))
 		return
 	}
-	x.seen.frame(x.frame, x.request)
+	x.stats.addFrame(x.frame, x.request)
 	if x.frame.End {
-		x.result = answer.Result{Status: http.StatusOK, Finish: x.frame.Finish, PromptTokens: x.seen.prompt, CachedTokens: x.seen.cached, OutputTokens: x.seen.tokens}
+		x.result = answer.Result{Status: http.StatusOK, FinishReason: x.frame.Finish, PromptTokens: x.stats.promptTokens, CachedTokens: x.stats.cachedTokens, OutputTokens: x.stats.outputTokens}
 	}
 }
 
-// outcomes translates the use of a slot for the scheduler.
+// outcomes maps the use of a slot to the outcome reported to the scheduler.
 var outcomes = map[claims.Slot]sched.Outcome{
 	claims.SlotCompleted:      sched.Completed,
 	claims.SlotNotSent:        sched.NotSent,
@@ -68,74 +69,80 @@
 	claims.SlotConnectionLost: sched.ConnectionLost,
 }
 
+// release gives the slot back to the scheduler and reports its use.
 func (x *execution) release(slot claims.Slot) {
 	if slot == claims.SlotNotSent {
-		x.retire()
+		x.closeUpstream()
 	}
-	x.ticket.Release(x.seen.release(outcomes[slot]))
+	x.ticket.Release(x.stats.schedulerReport(outcomes[slot]))
 }
 
-// finish records the end of a claimed request.
-func (x *execution) finish(f state.Finish) {
+// recordEnd completes the end of a claimed request with the reply, if it is
+// small enough for the log, and proposes it.
+func (x *execution) recordEnd(f state.Finish) {
 	if !f.Unknown && !f.NotRun {
 		f.Status = x.result.Status
 		f.ContentType = x.result.ContentType
-		if x.request.plain && len(x.reply.Body) <= maxRecorded {
+		if x.request.plainService && len(x.reply.Body) <= maxRecordedReplyBytes {
 			f.Body = x.reply.Body
 		}
 	}
-	ctx, cancel := context.WithTimeout(x.service.ctx, finishTimeout)
+	ctx, cancel := context.WithTimeout(x.service.ctx, recordEndTimeout)
 	defer cancel()
-	x.service.record(ctx, f)
+	x.service.proposeFinish(ctx, f)
 }
 
-// record proposes an end until it is answered or the context ends.
-func (s *Service) record(ctx context.Context, f state.Finish) {
+// proposeFinish proposes a request's end until the log accepts it or the context
+// ends.
+func (s *Service) proposeFinish(ctx context.Context, f state.Finish) {
 	for ctx.Err() == nil {
 		_, err := s.logs.Propose(ctx, s.group(f.Workspace), state.Command{Finish: &f})
 		if err == nil {
 			return
 		}
-		s.log.Warn("end of a request is not recorded yet", zap.String("key", f.Key), zap.Error(err))
-		wait.For(ctx, retryPause)
+		s.log.Warn("could not record the end of a request; retrying", zap.String("key", f.Key), zap.Error(err))
+		wait.For(ctx, retryDelay)
 	}
 }
 
-// settle proposes a claim of unknown fate until it is answered. Where the claim
-// stands it is marked as not run, for nothing was sent under it.
-func (s *Service) settle(c state.Claim) {
-	ctx, cancel := context.WithTimeout(s.ctx, settleTimeout)
+// resolveClaim proposes a claim with an unknown result again until the log
+// responds. If the claim is committed it is recorded as not run, because nothing
+// was sent under it.
+func (s *Service) resolveClaim(c state.Claim) {
+	ctx, cancel := context.WithTimeout(s.ctx, resolveClaimTimeout)
 	defer cancel()
 	c.AtMS = time.Now().UnixMilli()
 	for ctx.Err() == nil {
 		result, err := s.logs.Propose(ctx, s.group(c.Workspace), state.Command{Claim: &c})
 		if err != nil {
-			wait.For(ctx, retryPause)
+			wait.For(ctx, retryDelay)
 			continue
 		}
 		if result.Status == state.OK {
-			s.record(ctx, state.Finish{Workspace: c.Workspace, Key: c.Key, Stream: c.Stream, NotRun: true})
+			s.proposeFinish(ctx, state.Finish{Workspace: c.Workspace, Key: c.Key, Stream: c.Stream, NotRun: true})
 		}
 		return
 	}
 }
 
+// end completes the answer.
 func (x *execution) end() {
-	if x.request.plain && x.reply.Status != 0 {
+	if x.request.plainService && x.reply.Status != 0 {
 		_ = x.answer.Append(0, x.reply.Body)
 	}
 	x.answer.End(x.result)
 }
 
-// fail ends an answer. Under a caller's key it is forgotten, so that a resend
-// asks the log; the log knows what ran.
+// fail ends the answer with an error. If the key is the caller's own or the
+// request did not run, the answer is removed, so that a retry under the key is
+// decided by the log, which records what ran.
 func (x *execution) fail(f claims.Failure) {
 	e := x.failure(f)
 	e.Key = x.request.key
-	if x.seen.prompt > 0 && x.ticket != nil {
-		x.service.observer.wasted(x.request.workspace.Name, x.seen.prompt-x.seen.cached)
+	if x.stats.promptTokens > 0 && x.ticket != nil {
+		x.service.observer.countWasted(x.request.workspace.Name, x.stats.promptTokens-x.stats.cachedTokens)
 	}
-	if x.request.callerKey || e.Ran == fault.NotRun {
+	if x.request.hasCallerKey || e.Ran == fault.NotRun {
 		x.answer.Fail(e)
 		x.service.answers.Remove(x.answer)
 		return
@@ -143,74 +150,87 @@
 	x.answer.Fail(e)
 }
 
-// observed is what a stream taught about its upstream.
-type observed struct {
-	began  time.Time
-	first  time.Time
-	last   time.Time
-	tokens int
-	cached int
-	prompt int
-	whole  bool
-	// moved says that the stream came from another engine, base how many tokens
-	// were generated there.
-	moved bool
-	base  int
-	// watch counts tokens of the own dispatch; nil for another's.
-	watch *observer
-}
-
-func (o *observed) frame(f upstream.Frame, r *request) {
+// streamStats collects the times and token counts of a stream or service call.
+type streamStats struct {
+	// startedAt is when the request was sent, or the stream moved to its engine.
+	startedAt time.Time
+	// firstTokenAt is when the first token arrived on this engine.
+	firstTokenAt time.Time
+	// lastFrameAt is when the latest frame arrived.
+	lastFrameAt time.Time
+	// outputTokens counts the tokens received; cachedTokens and promptTokens are
+	// the largest counts that a frame reported.
+	outputTokens int
+	cachedTokens int
+	promptTokens int
+	// complete reports that the last frame or the complete reply arrived.
+	complete bool
+	// moved reports that the stream was imported from another engine, which had
+	// generated baseTokens tokens.
+	moved      bool
+	baseTokens int
+	// metrics receives the token times of requests dispatched by this entry; it
+	// is nil for streams that another entry dispatched.
+	metrics *observer
+}
+
+// addFrame updates the statistics with a received frame.
+func (o *streamStats) addFrame(f upstream.Frame, r *request) {
 	now := time.Now()
-	if f.Tokens > 0 && o.watch != nil {
-		o.count(f, r, now)
+	if f.Tokens > 0 && o.metrics != nil {
+		o.observeTokens(f, r, now)
 	}
-	if f.Tokens > 0 && o.first.IsZero() {
-		o.first = now
+	if f.Tokens > 0 && o.firstTokenAt.IsZero() {
+		o.firstTokenAt = now
 	}
-	o.last = now
-	o.tokens += f.Tokens
-	o.cached = max(o.cached, f.CachedTokens)
-	o.prompt = max(o.prompt, f.PromptTokens)
-	o.whole = o.whole || f.End
+	o.lastFrameAt = now
+	o.outputTokens += f.Tokens
+	o.cachedTokens = max(o.cachedTokens, f.CachedTokens)
+	o.promptTokens = max(o.promptTokens, f.PromptTokens)
+	o.complete = o.complete || f.End
 }
 
-func (o *observed) count(f upstream.Frame, r *request, now time.Time) {
-	if o.first.IsZero() {
-		o.watch.firstToken(r, now)
+// observeTokens exports the time to the first token or between two tokens.
+func (o *streamStats) observeTokens(f upstream.Frame, r *request, now time.Time) {
+	if o.firstTokenAt.IsZero() {
+		o.metrics.observeFirstToken(r, now)
 		return
 	}
-	o.watch.interToken(r, now.Sub(o.last)/time.Duration(f.Tokens))
+	o.metrics.observeInterToken(r, now.Sub(o.lastFrameAt)/time.Duration(f.Tokens))
 }
 
-func (o *observed) release(outcome sched.Outcome) sched.Release {
-	r := sched.Release{Outcome: outcome, OutputTokens: o.tokens - o.base, CachedTokens: o.cached}
+// schedulerReport returns what the scheduler learns when the slot is released.
+// Decode is the duration of the whole call for a service.
+func (o *streamStats) schedulerReport(outcome sched.Outcome) sched.Release {
+	r := sched.Release{Outcome: outcome, OutputTokens: o.outputTokens - o.baseTokens, CachedTokens: o.cachedTokens}
 	if o.moved {
-		r.CachedTokens = o.prompt
+		r.CachedTokens = o.promptTokens
 	}
-	if !o.first.IsZero() {
-		r.Prefill = o.first.Sub(o.began)
-		r.Decode = o.last.Sub(o.first)
-	} else if o.whole {
-		r.Decode = time.Since(o.began)
+	if !o.firstTokenAt.IsZero() {
+		r.Prefill = o.firstTokenAt.Sub(o.startedAt)
+		r.Decode = o.lastFrameAt.Sub(o.firstTokenAt)
+	} else if o.complete {
+		r.Decode = time.Since(o.startedAt)
 	}
 	return r
 }
 
-// abandoned tells whether it is this daemon that ends, and not the request:
-// another entry may go on with one under its caller's key, so nothing is said
-// of how it ended.
-func (x *execution) abandoned() bool {
-	return x.request.callerKey && x.service.stopped()
+// mayBeAdopted reports whether the daemon is stopping while another entry may
+// adopt the request, which is possible under a caller's own key. Its outcome is
+// then not reported here.
+func (x *execution) mayBeAdopted() bool {
+	return x.request.hasCallerKey && x.service.isStopped()
 }
 
-// cancelAtEngine leaves an abandoned stream running.
-func (x *execution) cancelAtEngine(e claims.Effect) {
-	if !x.abandoned() {
+// cancelOnEngine cancels a stream unless another entry may adopt its request.
+func (x *execution) cancelOnEngine(e claims.Effect) {
+	if !x.mayBeAdopted() {
 		go cancelStream(e.Address, e.Stream)
 	}
 }
 
+// cancelStream asks an engine to cancel a stream. Errors are ignored: the
+// stream's answer is no longer needed.
 func cancelStream(address, stream string) {
 	ctx, cancel := context.WithTimeout(context.Background(), cancelTimeout)
 	defer cancel()
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -1,5 +1,10 @@
-// Package entry serves callers over HTTP: the OpenAI-compatible calls, plain
-// services, answers by key, and the directory.
+// Package entry implements the callers' HTTP API: the OpenAI-compatible calls,
+// services, retrieval of answers by key, and the directory. The daemon starts it
+// in the entry role.
+//
+// A request that must not run twice is dispatched at most once under its key.
+// Every accepted request ends with an answer or with an error that says whether
+// it may have run, unless the daemon stops before.
 package entry
 
 import (
@@ -23,12 +28,12 @@
 )
 
 const (
-	// headerTimeout bounds reading a request's header.
-	headerTimeout = 5 * time.Second
-	// idleTimeout closes connections that carry no request.
+	// readHeaderTimeout limits reading a request's header.
+	readHeaderTimeout = 5 * time.Second
+	// idleTimeout is how long a connection may stay open without a request.
 	idleTimeout = 2 * time.Minute
-	// expireEvery is how often old answers are forgotten.
-	expireEvery = 10 * time.Second
+	// expireInterval is the interval at which expired answers are removed.
+	expireInterval = 10 * time.Second
 )
 
 // Service is the "entry.http" service.
@@ -45,42 +50,43 @@
 	answers     *answer.Store
 	observer    *observer
 	conns       *connections
-	memory      *memory
-	marks       *marks
+	bodyMemory  *memoryPool
+	notRun      *notRunAttempts
 	server      *http.Server
 	ln          net.Listener
 	ctx         context.Context
 	cancel      context.CancelFunc
-	// running counts requests from acceptance to the answer's end.
-	running sync.WaitGroup
+	// inFlight counts requests from acceptance to the end of their answer, and
+	// the claims that are still being resolved.
+	inFlight sync.WaitGroup
 }
 
-// New returns the service.
+// New returns a service that is not started yet.
 func New(set *settings.Settings, log *zap.Logger, self port.Holder) *Service {
 	return &Service{
 		set: set, log: log.Named("entry"), self: self, answers: answer.NewStore(),
-		conns: newConnections(set.Limits.Connections), memory: newMemory(DefaultBodyMemory), marks: newMarks(),
+		conns: newConnections(set.Limits.Connections), bodyMemory: newMemoryPool(DefaultBodyMemory), notRun: newNotRunAttempts(),
 	}
 }
 
-// Name returns the service's name.
+// Name returns port.NameEntry.
 func (s *Service) Name() string { return port.NameEntry }
 
-// Needs returns what a request passes through.
+// Needs returns the services that must start before the entry and stop after it.
 func (s *Service) Needs() []string {
 	return []string{
 		port.NameView, port.NameScheduler, port.NameLog, port.NameMembers, port.NameDirectory, port.NameLink, port.NameEvents, port.NameMetrics,
-		// The dispatcher must outlast the requests in flight here.
+		// The dispatcher must stop after the entry's requests in flight have ended.
 		port.NameDispatcher,
 	}
 }
 
-// Start listens for callers.
+// Start registers the Answers RPC service and listens for callers.
 func (s *Service) Start(_ context.Context, k *kernel.Kernel) error {
-	if err := s.resolve(k); err != nil {
+	if err := s.findServices(k); err != nil {
 		return err
 	}
-	if err := rpc.DRPCRegisterAnswers(s.link.Mux(), &answersServer{answers: s.answers, stopped: s.stopped}); err != nil {
+	if err := rpc.DRPCRegisterAnswers(s.link.Mux(), &answersServer{answers: s.answers, isStopped: s.isStopped}); err != nil {
 		return err
 	}
 	ln, err := net.Listen("tcp", s.set.Addresses.Callers)
@@ -91,21 +97,22 @@
 	s.ctx, s.cancel = context.WithCancel(context.Background())
 	s.server = &http.Server{
 		Handler:           s.routes(),
-		ReadHeaderTimeout: headerTimeout,
+		ReadHeaderTimeout: readHeaderTimeout,
 		IdleTimeout:       idleTimeout,
 		MaxHeaderBytes:    s.set.Limits.HeaderBytes,
-		ConnState:         s.conns.changed,
+		ConnState:         s.conns.onStateChange,
 	}
 	go func() { _ = s.server.Serve(ln) }()
-	go s.expire()
+	go s.expireAnswers()
 	return nil
 }
 
-// Address returns where callers are served; it is known once it is started.
+// Address returns the callers' address, host:port. It must not be called before
+// Start.
 func (s *Service) Address() string { return s.ln.Addr().String() }
 
-// resolve finds the services that requests pass through.
-func (s *Service) resolve(k *kernel.Kernel) error {
+// findServices looks up the services that the entry uses.
+func (s *Service) findServices(k *kernel.Kernel) error {
 	events, err := kernel.Find[port.Events](k, port.NameEvents)
 	if err != nil {
 		return err
@@ -133,35 +140,36 @@
 		return err
 	}
 	s.observer = newObserver(events, m, s)
-	s.answers.Dropped = s.observer.dropped
+	s.answers.OnRemoved = s.observer.countUndelivered
 	return nil
 }
 
 func (s *Service) routes() http.Handler {
 	e := echo.New()
-	e.HTTPErrorHandler = s.failed
-	e.Use(freshDeadline)
-	e.POST("/v1/chat/completions", s.chat)
-	e.POST("/v1/completions", s.complete)
-	e.GET("/v1/models", s.models)
-	e.GET("/v1/answers/:key", s.pickUp)
-	e.GET("/v1/answers/:key/why", s.explain)
-	e.GET("/v1/directory", s.directory)
-	e.Any("/services/:service/*", s.call)
+	e.HTTPErrorHandler = s.writeError
+	e.Use(resetWriteDeadline)
+	e.POST("/v1/chat/completions", s.chatCompletions)
+	e.POST("/v1/completions", s.completions)
+	e.GET("/v1/models", s.listModels)
+	e.GET("/v1/answers/:key", s.getAnswer)
+	e.GET("/v1/answers/:key/why", s.explainRequest)
+	e.GET("/v1/directory", s.getDirectory)
+	e.Any("/services/:service/*", s.serveServiceCall)
 	return e
 }
 
-// freshDeadline lifts the deadlines that an earlier request on the connection
-// left behind.
-func freshDeadline(next echo.HandlerFunc) echo.HandlerFunc {
+// resetWriteDeadline clears the write deadline that an earlier request on the
+// same connection has set.
+func resetWriteDeadline(next echo.HandlerFunc) echo.HandlerFunc {
 	return func(c echo.Context) error {
 		_ = http.NewResponseController(c.Response()).SetWriteDeadline(time.Time{})
 		return next(c)
 	}
 }
 
-// failed writes any error in the published form.
-func (s *Service) failed(err error, c echo.Context) {
+// writeError writes an error in the documented JSON form, unless the response
+// has already begun.
+func (s *Service) writeError(err error, c echo.Context) {
 	if c.Response().Committed {
 		return
 	}
@@ -174,11 +182,12 @@
 	_ = c.JSON(e.HTTPStatus(), errorBody{Error: e})
 }
 
-// errorBody is the JSON form of a refusal.
+// errorBody is the JSON form of an error.
 type errorBody struct {
 	Error *fault.Error `json:"error"`
 }
 
+// asFault converts an error of the router or a handler to the published form.
 func asFault(err error) *fault.Error {
 	if he, ok := err.(*echo.HTTPError); ok {
 		kind := fault.NotFound
@@ -190,35 +199,37 @@
 	return fault.From(err)
 }
 
-// expire forgets answers after the declared retention.
-func (s *Service) expire() {
+// expireAnswers removes answers older than the configured retention until the
+// service stops.
+func (s *Service) expireAnswers() {
 	for {
 		select {
 		case <-s.ctx.Done():
 			return
-		case <-time.After(expireEvery):
+		case <-time.After(expireInterval):
 		}
 		retention := time.Duration(s.view.Snapshot().Config.EffectiveTimeouts().RetentionMS) * time.Millisecond
 		s.answers.Expire(time.Now().Add(-retention))
 	}
 }
 
-// Directory is the answer to "which addresses may I use".
+// Directory is the JSON form of a directory answer.
 type Directory struct {
-	// Addresses are callers' addresses, the best first.
+	// Addresses are callers' addresses of daemons, in order of preference.
 	Addresses []string `json:"addresses"`
-	// Seconds is how long the answer may be kept.
+	// Seconds is how long the caller may cache the answer.
 	Seconds int `json:"seconds"`
 }
 
-func (s *Service) directory(c echo.Context) error {
-	addresses, life := s.directories.Answer(c.QueryParam("data_centre"))
-	return c.JSON(http.StatusOK, Directory{Addresses: addresses, Seconds: int(life.Seconds())})
+func (s *Service) getDirectory(c echo.Context) error {
+	addresses, ttl := s.directories.Answer(c.QueryParam("data_centre"))
+	return c.JSON(http.StatusOK, Directory{Addresses: addresses, Seconds: int(ttl.Seconds())})
 }
 
-// Explain finds a request by its key, for operators.
+// Explain returns the explanation of a request by its key, in any workspace, as
+// JSON for operators.
 func (s *Service) Explain(key string) (json.RawMessage, bool) {
-	e, ok := s.observer.find("", key)
+	e, ok := s.observer.explanation("", key)
 	if !ok {
 		return nil, false
 	}
@@ -226,14 +237,14 @@
 	return data, err == nil
 }
 
-// Stop refuses new requests and waits for those in flight. Where the context
-// ends before, callers' connections are cut without a word, as in a crash: what
-// became of their requests is for other entries to say.
+// Stop refuses new requests and waits for those in flight. If the context ends
+// first, it closes the callers' connections without a response, as a crash
+// would, because another entry may still complete their requests.
 func (s *Service) Stop(ctx context.Context) error {
 	err := s.server.Shutdown(ctx)
 	done := make(chan struct{})
 	go func() {
-		s.running.Wait()
+		s.inFlight.Wait()
 		close(done)
 	}()
 	select {
@@ -246,23 +257,24 @@
 	return err
 }
 
-// Load is the part of the allowed connections that are open.
+// Load returns the number of open connections as a fraction of the maximum.
 func (s *Service) Load() float64 {
 	return float64(s.conns.count()) / float64(max(1, s.set.Limits.Connections))
 }
 
-// stopped tells whether the entry's requests have been ended.
-func (s *Service) stopped() bool { return s.ctx.Err() != nil }
+// isStopped reports whether the context of the entry's requests has ended.
+func (s *Service) isStopped() bool { return s.ctx.Err() != nil }
 
-// Health returns nil while the server listens.
+// Health always returns nil.
 func (s *Service) Health() error { return nil }
 
-// Dump counts the answers held.
+// Dump returns the number and size of the stored answers, the open connections
+// and the memory reserved for request bodies.
 func (s *Service) Dump() any {
 	return struct {
 		Answers     int   `json:"answers"`
 		Bytes       int64 `json:"answer_bytes"`
 		Connections int   `json:"connections"`
 		Bodies      int64 `json:"body_bytes"`
-	}{s.answers.Len(), s.answers.Bytes(), s.conns.count(), s.memory.lent(DefaultBodyMemory)}
+	}{s.answers.Len(), s.answers.Bytes(), s.conns.count(), s.bodyMemory.reserved(DefaultBodyMemory)}
 }
--- a/internal/entry/execution.go
+++ b/internal/entry/execution.go
@@ -21,85 +21,90 @@
 )
 
 const (
-	// retryPause is the wait before something is tried again.
-	retryPause = 200 * time.Millisecond
-	// lastTimeout bounds a proposal on which a refusal depends.
-	lastTimeout = 2 * time.Second
-	// finishTimeout bounds recording a request's end.
-	finishTimeout = 3 * time.Second
-	// settleTimeout bounds settling a claim of unknown fate.
-	settleTimeout = time.Minute
-	// cancelTimeout bounds telling an engine to cancel.
+	// retryDelay is the delay before an operation is retried.
+	retryDelay = 200 * time.Millisecond
+	// urgentProposalTimeout limits a proposal on which a refusal depends. It
+	// applies even if the request's own context has ended.
+	urgentProposalTimeout = 2 * time.Second
+	// recordEndTimeout limits recording the end of a request.
+	recordEndTimeout = 3 * time.Second
+	// resolveClaimTimeout limits resolving a claim with an unknown result.
+	resolveClaimTimeout = time.Minute
+	// cancelTimeout limits cancelling a stream on its engine, and returning a
+	// stream to it.
 	cancelTimeout = 2 * time.Second
-	// maxReply is the largest reply of a plain service, in bytes.
-	maxReply = answer.MaxBytes
-	// maxRecorded is the largest reply that is kept in the log, in bytes.
-	maxRecorded = 16 << 10
+	// maxReplyBytes is the maximum size of a service's reply.
+	maxReplyBytes = answer.MaxBytes
+	// maxRecordedReplyBytes is the maximum size of a reply recorded in the log.
+	maxRecordedReplyBytes = 16 << 10
 )
 
-// execution carries out the decisions on one request.
+// execution processes one request: it performs the effects that the state machine
+// of core/claims decides on and reports their results to it. One goroutine uses
+// it.
 type execution struct {
 	service *Service
 	request *request
 	answer  *answer.Answer
 	machine *claims.Machine
-	// ctx ends with the deadline, and with the caller where nobody could pick
-	// the answer up.
+	// ctx ends with the deadline, and when the caller disconnects from a request
+	// whose answer nobody could retrieve later.
 	ctx context.Context
 
 	ticket port.Ticket
 	conn   *engine.Conn
 	stream *engine.Stream
 	frame  upstream.Frame
-	// offer is what the scheduler was asked.
+	// offer is the request as the scheduler received it.
 	offer   port.Request
-	reply   engine.Reply
+	reply   engine.ServiceReply
 	result  answer.Result
 	refusal *fault.Error
-	// rejection is a runner's refusal to start.
+	// rejection is a runner's refusal to start the stream.
 	rejection *engine.StatusError
-	// ownersFailure is what the answer of another entry ended in.
-	ownersFailure *fault.Error
-	seen          observed
+	// ownerFailure is the error with which the answer ended at the entry that
+	// dispatched it.
+	ownerFailure *fault.Error
+	stats        streamStats
 }
 
-// submit joins the running or finished answer of the same key, or starts the
-// request.
+// submit returns the running or finished answer of the same key, or starts
+// processing the request. It fails if the key belongs to other content.
 func (s *Service) submit(r *request) (*answer.Answer, error) {
 	fresh := answer.New(answer.Meta{Workspace: r.workspace.Name, Key: r.key, Digest: r.digest, Pool: r.pool, Form: r.form})
-	a, isNew := s.answers.Put(fresh)
+	a, isNew := s.answers.PutIfAbsent(fresh)
 	if !isNew && a.Meta().Digest != r.digest {
 		return nil, keyConflict(r.key)
 	}
-	s.observer.accepted(r)
+	s.observer.recordAccept(r)
 	if !isNew {
 		return a, nil
 	}
 	detached := a.Detached()
-	r.running = true
-	s.running.Go(func() { s.run(r, a, detached) })
+	r.submitted = true
+	s.inFlight.Go(func() { s.run(r, a, detached) })
 	return a, nil
 }
 
-// run takes a request from the queue to the end of its answer.
+// run processes a request until its answer ends.
 func (s *Service) run(r *request, a *answer.Answer, detached <-chan struct{}) {
 	ctx, cancel := context.WithDeadline(s.ctx, r.deadline)
 	defer cancel()
-	if !r.callerKey && !r.once() {
+	if !r.hasCallerKey && !r.mustRunOnce() {
 		go cancelWhenDetached(ctx, detached, cancel)
 	}
 	x := &execution{service: s, request: r, answer: a, ctx: ctx}
 	x.machine = claims.NewMachine(claims.Request{
-		Workspace: r.workspace.Name, Key: r.key, Keyed: r.callerKey, JoinOnly: r.join, PlainService: r.plain, Digest: r.digest,
-		Pool: r.pool, Stream: r.stream, Entry: s.self.Address, KnownNotRunAttempt: r.known,
+		Workspace: r.workspace.Name, Key: r.key, Keyed: r.hasCallerKey, JoinOnly: r.joinOnly, PlainService: r.plainService, Digest: r.digest,
+		Pool: r.pool, Stream: r.stream, Entry: s.self.Address, KnownNotRunAttempt: r.knownNotRunAttempt,
 	})
-	defer r.giveBack()
-	defer x.retire()
-	x.loop()
+	defer r.releaseMemory()
+	defer x.closeUpstream()
+	x.runMachine()
 }
 
-// loop steps the machine until nothing is awaited.
-func (x *execution) loop() {
+// runMachine steps the state machine until it awaits no further event.
+func (x *execution) runMachine() {
 	e := claims.Event{Kind: claims.Begin}
 	for {
 		awaited := (*claims.Effect)(nil)
@@ -108,33 +113,33 @@
 				awaited = &effect
 				break
 			}
-			x.act(effect)
+			x.perform(effect)
 		}
 		if awaited == nil {
-			x.ensureEnd()
+			x.ensureEnded()
 			return
 		}
 		if awaited.Delayed {
-			wait.For(x.ctx, retryPause)
+			wait.For(x.ctx, retryDelay)
 		}
 		e = x.await(*awaited)
 	}
 }
 
-// ensureEnd leaves no caller without an end and no slot held, whatever was
-// missed.
-func (x *execution) ensureEnd() {
+// ensureEnded ends the answer and releases the slot if the state machine stopped
+// before its final state, which would be a defect.
+func (x *execution) ensureEnded() {
 	if x.machine.State() == claims.Ended {
 		return
 	}
-	x.service.log.Error("request stopped without an end", zap.String("key", x.request.key), zap.String("state", string(x.machine.State())))
+	x.service.log.Error("request processing stopped before the final state", zap.String("key", x.request.key), zap.String("state", string(x.machine.State())))
 	x.fail(claims.Failure{Code: claims.OutcomeUnknown, Ran: claims.MayHaveRun})
 	if x.ticket != nil {
-		x.ticket.Release(x.seen.release(sched.ConnectionLost))
+		x.ticket.Release(x.stats.schedulerReport(sched.ConnectionLost))
 	}
 }
 
-// cancelWhenDetached ends a request that no caller can pick up any more.
+// cancelWhenDetached cancels a request when its last caller disconnects.
 func cancelWhenDetached(ctx context.Context, detached <-chan struct{}, cancel context.CancelFunc) {
 	select {
 	case <-detached:
@@ -143,7 +148,7 @@
 	}
 }
 
-// await does one thing and returns what came of it.
+// await performs an effect and returns the resulting event.
 func (x *execution) await(e claims.Effect) claims.Event {
 	switch e.Kind {
 	case claims.Lookup:
@@ -168,7 +173,8 @@
 	return claims.Event{Kind: claims.Failed}
 }
 
-// interrupted names why the context ended, or the given kind where it did not.
+// interrupted returns the event for the end of the context, or an event of the
+// given kind if it has not ended.
 func (x *execution) interrupted(otherwise claims.EventKind) claims.Event {
 	switch {
 	case errors.Is(x.ctx.Err(), context.DeadlineExceeded):
@@ -179,7 +185,7 @@
 	return claims.Event{Kind: otherwise}
 }
 
-// group names the log group that holds a workspace's claims.
+// group returns the log group that holds the claims of a workspace.
 func (s *Service) group(string) string { return port.GroupMain }
 
 func (x *execution) lookup() claims.Event {
@@ -195,22 +201,22 @@
 }
 
 func (x *execution) acquire() claims.Event {
-	x.offer = x.request.schedulable(x.service.view.Snapshot().Config)
+	x.offer = x.request.schedulerRequest(x.service.view.Snapshot().Config)
 	t, err := x.service.sched.Acquire(x.ctx, x.offer)
 	if err != nil {
 		x.refusal = fault.From(err)
 		return x.interrupted(claims.Refused)
 	}
 	x.ticket = t
-	x.seen.watch = x.service.observer
-	x.service.observer.granted(x.request, t)
+	x.stats.metrics = x.service.observer
+	x.service.observer.recordGrant(x.request, t)
 	return claims.Event{Kind: claims.GrantReceived, Upstream: t.Upstream(), Address: t.Address()}
 }
 
 func (x *execution) dial(e claims.Effect) claims.Event {
 	conn, err := engine.Dial(x.ctx, e.Address)
 	if err != nil {
-		x.service.log.Warn("upstream refused the connection", zap.String("address", e.Address), zap.Error(err))
+		x.service.log.Warn("could not connect to the upstream", zap.String("address", e.Address), zap.Error(err))
 		return x.interrupted(claims.Unreachable)
 	}
 	x.conn = conn
@@ -220,14 +226,14 @@
 func (x *execution) propose(e claims.Effect) claims.Event {
 	ctx := x.ctx
 	if e.Urgent {
-		last, cancel := context.WithTimeout(x.service.ctx, lastTimeout)
+		urgent, cancel := context.WithTimeout(x.service.ctx, urgentProposalTimeout)
 		defer cancel()
-		ctx = last
+		ctx = urgent
 	}
 	e.Claim.AtMS = time.Now().UnixMilli()
 	result, err := x.service.logs.Propose(ctx, x.service.group(e.Claim.Workspace), state.Command{Claim: &e.Claim})
 	if err != nil {
-		x.service.log.Warn("claim was not answered", zap.String("key", x.request.key), zap.Error(err))
+		x.service.log.Warn("claim proposal was not confirmed", zap.String("key", x.request.key), zap.Error(err))
 		if e.Urgent {
 			return claims.Event{Kind: claims.ClaimUnconfirmed}
 		}
@@ -244,35 +250,36 @@
 	return claims.Event{Kind: claims.Failed}
 }
 
-// silence is how long a stream may carry nothing.
-func (x *execution) silence() time.Duration {
+// streamIdleTimeout returns how long a stream may carry no data.
+func (x *execution) streamIdleTimeout() time.Duration {
 	return time.Duration(x.service.view.Snapshot().Config.EffectiveTimeouts().SilenceMS) * time.Millisecond
 }
 
 func (x *execution) send(e claims.Effect) claims.Event {
-	x.seen.began = time.Now()
-	x.conn.OnSend(func() { x.service.observer.dispatched(x.request, e.Stream, x.ticket) })
-	if x.request.plain {
-		return x.call(e)
+	x.stats.startedAt = time.Now()
+	x.conn.OnFirstWrite(func() { x.service.observer.recordDispatch(x.request, e.Stream, x.ticket) })
+	if x.request.plainService {
+		return x.callService(e)
 	}
 	r := x.request
 	start := upstream.Start{Stream: e.Stream, Model: r.pool, Prompt: r.prompt, MaxTokens: r.maxTokens, Options: r.options}
 	start.Blocks = x.offer.Blocks
-	st, err := x.conn.Start(x.ctx, start, x.silence())
+	st, err := x.conn.Start(x.ctx, start, x.streamIdleTimeout())
 	r.prompt = ""
-	r.giveBack()
+	r.releaseMemory()
 	if err == nil {
 		x.stream = st
 		return claims.Event{Kind: claims.Started}
 	}
-	x.service.log.Warn("stream did not start", zap.String("stream", e.Stream), zap.Error(err))
+	x.service.log.Warn("could not start the stream", zap.String("stream", e.Stream), zap.Error(err))
 	return x.sendFailed(err)
 }
 
-// sendFailed tells what is certain after a failed dispatch.
+// sendFailed closes the connection and returns the event for a failed dispatch,
+// according to what is known to have been sent.
 func (x *execution) sendFailed(err error) claims.Event {
-	sent := x.conn.Sent()
-	x.retire()
+	sent := x.conn.MayHaveSent()
+	x.closeUpstream()
 	refused := (*engine.StatusError)(nil)
 	switch {
 	case !sent:
@@ -284,33 +291,33 @@
 	return x.interrupted(claims.SendInterrupted)
 }
 
-// notStarted holds for statuses by which a runner says that it did not start a
-// stream and won't; see docs/UPSTREAMS.md.
+// notStarted reports whether a status means that the runner did not start the
+// stream and will not; see docs/UPSTREAMS.md.
 func notStarted(status int) bool {
 	clientError := status >= http.StatusBadRequest && status < http.StatusInternalServerError
 	return clientError && status != http.StatusConflict && status != http.StatusRequestTimeout
 }
 
-// call makes a plain service's call, once.
-func (x *execution) call(e claims.Effect) claims.Event {
+// callService sends the request to a service, once.
+func (x *execution) callService(e claims.Effect) claims.Event {
 	r := x.request
-	reply, err := x.conn.Do(x.ctx, engine.Call{Stream: e.Stream, Method: r.method, Path: r.path, Header: r.header, Body: r.body}, maxReply)
+	reply, err := x.conn.CallService(x.ctx, engine.ServiceRequest{Stream: e.Stream, Method: r.method, Path: r.path, Header: r.header, Body: r.body}, maxReplyBytes)
 	if err != nil {
 		x.service.log.Warn("call broke off", zap.String("stream", e.Stream), zap.Error(err))
 		return x.sendFailed(err)
 	}
 	x.reply = reply
-	x.seen.whole = true
+	x.stats.complete = true
 	x.result = answer.Result{Status: reply.Status, ContentType: reply.ContentType}
 	return claims.Event{Kind: claims.Replied, Length: int64(len(reply.Body))}
 }
 
 func (x *execution) receive() claims.Event {
-	x.answer.WaitRoom(x.ctx)
+	x.answer.WaitForReaders(x.ctx)
 	if x.ctx.Err() != nil {
 		return x.interrupted(claims.ConnectionLost)
 	}
-	f, err := x.stream.Next(x.silence())
+	f, err := x.stream.Next(x.streamIdleTimeout())
 	if err != nil {
 		x.service.log.Warn("stream broke off", zap.String("upstream_error", err.Error()))
 		return x.interrupted(claims.ConnectionLost)
@@ -328,20 +335,20 @@
 	if err != nil {
 		return x.interrupted(claims.Unreachable)
 	}
-	st, err := conn.Resume(x.ctx, e.Stream, e.Offset, x.silence())
+	st, err := conn.Resume(x.ctx, e.Stream, e.Offset, x.streamIdleTimeout())
 	if err != nil {
 		conn.Close()
-		x.service.log.Warn("stream could not be resumed", zap.String("stream", e.Stream), zap.Error(err))
+		x.service.log.Warn("could not resume the stream", zap.String("stream", e.Stream), zap.Error(err))
 		return x.interrupted(claims.ConnectionLost)
 	}
-	x.service.observer.resumed(x.request)
+	x.service.observer.recordResume(x.request)
 	x.conn = conn
 	x.stream = st
 	return claims.Event{Kind: claims.Started}
 }
 
-// retire closes the connection to the upstream.
-func (x *execution) retire() {
+// closeUpstream closes the stream and the connection to the upstream, if any.
+func (x *execution) closeUpstream() {
 	if x.stream != nil {
 		x.stream.Close()
 	}
--- a/internal/entry/failure.go
+++ b/internal/entry/failure.go
@@ -9,9 +9,10 @@
 )
 
 const (
-	// logRetryAfter is when to come back while the log does not answer.
+	// logRetryAfter is the Retry-After time while the log does not respond.
 	logRetryAfter = 2 * time.Second
-	// upstreamRetryAfter is when to come back after an upstream broke off.
+	// upstreamRetryAfter is the Retry-After time after an upstream refused or
+	// lost a request, or when memory is short.
 	upstreamRetryAfter = time.Second
 )
 
@@ -26,16 +27,18 @@
 	return e.WithRan(fault.MayHaveRun)
 }
 
-// failure words what the machine decided.
+// failure returns the error for a failure that the state machine decided on,
+// with its statement of whether the request ran.
 func (x *execution) failure(f claims.Failure) *fault.Error {
-	e := x.wording(f)
+	e := x.errorOf(f)
 	if f.Ran != "" {
 		e = e.WithRan(fault.Ran(f.Ran))
 	}
 	return e
 }
 
-func (x *execution) wording(f claims.Failure) *fault.Error {
+// errorOf returns the code, message and remedy for a failure.
+func (x *execution) errorOf(f claims.Failure) *fault.Error {
 	switch f.Code {
 	case claims.SchedulerRefused:
 		return x.refusal
@@ -59,9 +62,9 @@
 	case claims.UpstreamFailed:
 		return fault.New(fault.Unknown, "send the request again with a new key", "the upstream failed: %s", f.Detail)
 	case claims.ClaimNotFound:
-		return noAnswer(x.request.key)
+		return answerNotFound(x.request.key)
 	case claims.OwnerFailure:
-		return x.ownersFailure
+		return x.ownerFailure
 	case claims.AnswerUnavailable:
 		return fault.New(fault.Unknown, "ask the service for the result; the key will not run again", "the request ran, but its answer is held no more")
 	}
--- a/internal/entry/fetch.go
+++ b/internal/entry/fetch.go
@@ -13,58 +13,64 @@
 )
 
 const (
-	// fetchHeartbeat is the longest pause between two frames of a fetch.
-	fetchHeartbeat = 250 * time.Millisecond
-	// fetchSilence ends a fetch that carries nothing.
-	fetchSilence = time.Second
-	// fetchBytes is the largest frame of a fetch.
-	fetchBytes = 256 << 10
+	// fetchHeartbeatInterval is the maximum interval between two frames of a
+	// fetch.
+	fetchHeartbeatInterval = 250 * time.Millisecond
+	// fetchIdleTimeout is how long a fetch may carry no frame.
+	fetchIdleTimeout = time.Second
+	// maxFetchFrameBytes is the maximum size of the data of a frame.
+	maxFetchFrameBytes = 256 << 10
 )
 
-// answersServer serves the answers that this entry holds to other entries.
+// answersServer implements the Answers RPC service, by which other entries read
+// the answers that this entry holds.
 type answersServer struct {
 	rpc.DRPCAnswersUnimplementedServer
 	answers *answer.Store
-	// stopped tells whether the entry has stopped: its unfinished answers go on
-	// elsewhere, if at all.
-	stopped func() bool
+	// isStopped reports whether the entry has stopped. Its unfinished answers get
+	// no more data here; another entry may continue them.
+	isStopped func() bool
 }
 
-// Fetch streams an answer from an offset to its end.
+// Fetch streams an answer from an offset to its end, with empty frames as
+// heartbeats. It ends with a not_found failure if the answer is not held, belongs
+// to another stream, or can no longer continue here.
 func (s *answersServer) Fetch(req *rpc.FetchRequest, out rpc.DRPCAnswers_FetchStream) error {
 	a, ok := s.answers.Get(req.Workspace, req.Key)
 	if !ok {
-		return out.Send(unheld(req.Key))
+		return out.Send(notHeldFrame(req.Key))
 	}
 	reader := a.Attach(int64(req.Offset))
 	defer reader.Close()
 	for {
-		p, err := reader.Read(out.Context(), fetchHeartbeat)
+		p, err := reader.Read(out.Context(), fetchHeartbeatInterval)
 		if err != nil {
 			return err
 		}
-		if s.stopped() && !p.Ended {
-			return out.Send(unheld(req.Key))
+		if s.isStopped() && !p.Ended {
+			return out.Send(notHeldFrame(req.Key))
 		}
 		m := a.Meta()
 		if req.Stream != "" && m.Stream != "" && req.Stream != m.Stream {
-			return out.Send(unheld(req.Key))
+			return out.Send(notHeldFrame(req.Key))
 		}
-		if err := sendPiece(out, m, p); err != nil || p.Ended {
+		if err := sendChunk(out, m, p); err != nil || p.Ended {
 			return err
 		}
 	}
 }
 
-func unheld(key string) *rpc.FetchFrame {
-	return &rpc.FetchFrame{End: true, Failure: noAnswer(key).Encode()}
+// notHeldFrame returns the last frame for an answer that is not held.
+func notHeldFrame(key string) *rpc.FetchFrame {
+	return &rpc.FetchFrame{End: true, Failure: answerNotFound(key).Encode()}
 }
 
-// sendPiece sends a piece in frames, the last of which bears the end.
-func sendPiece(out rpc.DRPCAnswers_FetchStream, m answer.Meta, p answer.Piece) error {
+// sendChunk sends a chunk in one or more frames. The last one carries the end of
+// the answer, if the chunk has it.
+func sendChunk(out rpc.DRPCAnswers_FetchStream, m answer.Meta, p answer.Chunk) error {
 	offset, data := p.Offset, p.Data
 	for {
-		n := min(len(data), fetchBytes)
+		n := min(len(data), maxFetchFrameBytes)
 		f := &rpc.FetchFrame{Offset: uint64(offset), Data: data[:n], Stream: m.Stream, Pool: m.Pool, Form: m.Form}
 		offset += int64(n)
 		data = data[n:]
@@ -80,11 +86,12 @@
 	}
 }
 
-func setEnd(f *rpc.FetchFrame, p answer.Piece) {
+// setEnd marks a frame as the last and sets the result or failure.
+func setEnd(f *rpc.FetchFrame, p answer.Chunk) {
 	f.End = true
 	f.Status = uint32(p.Result.Status)
 	f.ContentType = p.Result.ContentType
-	f.Finish = p.Result.Finish
+	f.Finish = p.Result.FinishReason
 	f.PromptTokens = uint32(p.Result.PromptTokens)
 	f.OutputTokens = uint32(p.Result.OutputTokens)
 	if p.Failure != nil {
@@ -92,23 +99,25 @@
 	}
 }
 
-// fetcher copies an answer from the entry that holds it.
+// fetcher copies an answer from the entry that holds it into a local one.
 type fetcher struct {
 	link    port.Link
 	answer  *answer.Answer
 	address string
-	// stream is the dispatch that is meant; empty for whichever it is.
+	// stream is the stream that the answer must come from; empty for any.
 	stream  string
 	result  answer.Result
 	failure *fault.Error
 }
 
-// run reads on from the answer's length; it leaves the end to the caller.
+// run copies the answer from the current length of the local one. It returns
+// Fetched with result set, FetchFailed with failure set, AnswerNotHeld or
+// FetchInterrupted. Ending the local answer is left to the caller.
 func (f *fetcher) run(ctx context.Context) claims.EventKind {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	silence := time.AfterFunc(fetchSilence, cancel)
-	defer silence.Stop()
+	idleTimer := time.AfterFunc(fetchIdleTimeout, cancel)
+	defer idleTimer.Stop()
 	m := f.answer.Meta()
 	req := &rpc.FetchRequest{Workspace: m.Workspace, Key: m.Key, Offset: uint64(f.answer.Length()), Stream: f.stream}
 	in, err := rpc.NewDRPCAnswersClient(f.link.Conn(f.address)).Fetch(ctx, req)
@@ -121,14 +130,16 @@
 		if err != nil {
 			return claims.FetchInterrupted
 		}
-		silence.Reset(fetchSilence)
-		if kind, done := f.take(frame); done {
+		idleTimer.Reset(fetchIdleTimeout)
+		if kind, done := f.handleFrame(frame); done {
 			return kind
 		}
 	}
 }
 
-func (f *fetcher) take(frame *rpc.FetchFrame) (claims.EventKind, bool) {
+// handleFrame appends a frame's data and reports the outcome of the fetch once it
+// is decided.
+func (f *fetcher) handleFrame(frame *rpc.FetchFrame) (claims.EventKind, bool) {
 	if f.stream != "" && frame.Stream != "" && frame.Stream != f.stream {
 		return claims.FetchInterrupted, true
 	}
@@ -147,7 +158,7 @@
 		}
 		f.answer.Describe(frame.Pool, frame.Form)
 		f.result = answer.Result{
-			Status: int(frame.Status), ContentType: frame.ContentType, Finish: frame.Finish,
+			Status: int(frame.Status), ContentType: frame.ContentType, FinishReason: frame.Finish,
 			PromptTokens: int(frame.PromptTokens), OutputTokens: int(frame.OutputTokens),
 		}
 		return claims.Fetched, true
@@ -167,17 +178,18 @@
 	f := &fetcher{link: x.service.link, answer: x.answer, address: e.Address, stream: e.Stream}
 	kind := f.run(x.ctx)
 	x.result = f.result
-	x.ownersFailure = f.failure
+	x.ownerFailure = f.failure
 	if kind == claims.FetchInterrupted && x.ctx.Err() != nil {
 		return x.interrupted(kind)
 	}
-	if kind == claims.FetchInterrupted && !x.service.live(e.Address) {
+	if kind == claims.FetchInterrupted && !x.service.isLive(e.Address) {
 		kind = claims.OwnerDead
 	}
 	return claims.Event{Kind: kind, Length: x.answer.Length()}
 }
 
-// live tells whether a daemon of a peers' address is a live member.
-func (s *Service) live(address string) bool {
+// isLive reports whether the daemon with the given peers' address is a live
+// member.
+func (s *Service) isLive(address string) bool {
 	return slices.ContainsFunc(s.members.Live(), func(m port.Member) bool { return m.Peers == address })
 }
--- a/internal/entry/fuzz_test.go
+++ b/internal/entry/fuzz_test.go
@@ -9,8 +9,8 @@
 	"github.com/verbenastep/verbenastep/core/config"
 )
 
-// FuzzCompletion shapes any body into a request: it is refused, or holds a
-// prompt, a bound and a digest that the same body gives again.
+// FuzzCompletion checks that an arbitrary body is either refused or gives a prompt,
+// a token limit and a digest that does not change for the same body.
 func FuzzCompletion(f *testing.F) {
 	f.Add([]byte(chatBody("draft #2", true)))
 	f.Add([]byte(`{"model":"logbook-model","prompt":"x","max_tokens":-1,"stop":null}`))
@@ -24,7 +24,7 @@
 		if err := json.Unmarshal(data, &body); err != nil {
 			return nil, err
 		}
-		return r, s.shape(r, body)
+		return r, s.setCompletion(r, body)
 	}
 	f.Fuzz(func(t *testing.T, data []byte) {
 		r, err := shape(data)
--- a/internal/entry/main_test.go
+++ b/internal/entry/main_test.go
@@ -6,7 +6,7 @@
 	"go.uber.org/goleak"
 )
 
-// TestMain checks that no entry, caller or stream leaves a goroutine behind.
+// TestMain fails if the tests leak goroutines.
 func TestMain(m *testing.M) {
 	goleak.VerifyTestMain(m)
 }
--- a/internal/entry/marks.go
+++ b/internal/entry/marks.go
@@ -2,45 +2,46 @@
 
 import "sync"
 
-// keptMarks is how many marked keys an entry remembers.
-const keptMarks = 4096
+// maxNotRunKeys is the maximum number of keys in notRunAttempts.
+const maxNotRunKeys = 4096
 
-// keyID tells keys of different workspaces apart.
-type keyID struct {
+// requestID identifies a request; keys are unique only within their workspace.
+type requestID struct {
 	workspace string
 	key       string
 }
 
-// marks remembers the newest attempt under each key that this entry knows to be
-// marked as not run. A forgotten mark costs its caller one more refusal.
-type marks struct {
-	mu    sync.Mutex
-	known map[keyID]uint64
-	order []keyID
+// notRunAttempts caches the newest attempt under each key that the log has
+// recorded as not run, as far as this entry knows. After an eviction the next
+// retry under that key is refused once more. It is safe for concurrent use.
+type notRunAttempts struct {
+	mu       sync.Mutex
+	attempts map[requestID]uint64
+	order    []requestID
 }
 
-func newMarks() *marks { return &marks{known: map[keyID]uint64{}} }
+func newNotRunAttempts() *notRunAttempts { return &notRunAttempts{attempts: map[requestID]uint64{}} }
 
-// note remembers an attempt.
-func (m *marks) note(workspace, key string, attempt uint64) {
+// add records an attempt as not run and evicts the oldest key above the maximum.
+func (m *notRunAttempts) add(workspace, key string, attempt uint64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	id := keyID{workspace, key}
-	old, again := m.known[id]
-	m.known[id] = max(old, attempt, 1)
+	id := requestID{workspace, key}
+	old, again := m.attempts[id]
+	m.attempts[id] = max(old, attempt, 1)
 	if again {
 		return
 	}
 	m.order = append(m.order, id)
-	if len(m.order) > keptMarks {
-		delete(m.known, m.order[0])
+	if len(m.order) > maxNotRunKeys {
+		delete(m.attempts, m.order[0])
 		m.order = m.order[1:]
 	}
 }
 
-// attempt returns what is known of a key; zero for nothing.
-func (m *marks) attempt(workspace, key string) uint64 {
+// newest returns the newest known attempt under a key, or zero.
+func (m *notRunAttempts) newest(workspace, key string) uint64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.known[keyID{workspace, key}]
+	return m.attempts[requestID{workspace, key}]
 }
--- a/internal/entry/memory.go
+++ b/internal/entry/memory.go
@@ -8,61 +8,66 @@
 	"github.com/verbenastep/verbenastep/api/fault"
 )
 
-// DefaultBodyMemory bounds the bodies and prompts that wait to be dispatched,
-// in bytes.
+// DefaultBodyMemory is the memory for the bodies and prompts of requests that
+// are not dispatched yet, in bytes.
 const DefaultBodyMemory = 256 << 20
 
-// memory lends bytes for bodies. Where it runs short, callers wait before their
-// body is read: higher tiers are served first, and within a tier the first to
-// come.
-type memory struct {
+// memoryPool limits the memory of request bodies. If it is exhausted, requests
+// wait before their body is read, ordered by tier and then by arrival. It is
+// safe for concurrent use.
+type memoryPool struct {
 	mu      sync.Mutex
 	free    int64
-	waiting []*borrower
+	waiting []*memoryWaiter
 	nextID  uint64
 }
 
-// borrower is a caller whose body is not read yet.
-type borrower struct {
+// memoryWaiter is a request that waits for memory. A lower tier index means a
+// higher priority.
+type memoryWaiter struct {
 	tier  int
 	id    uint64
 	size  int64
 	ready chan struct{}
 }
 
-func newMemory(size int64) *memory { return &memory{free: size} }
+func newMemoryPool(size int64) *memoryPool { return &memoryPool{free: size} }
 
-// borrow waits for bytes, which the returned function gives back.
-func (m *memory) borrow(ctx context.Context, tier int, size int64) (func(), error) {
-	b := m.enter(tier, size)
+// acquire reserves size bytes and returns the function that releases them, which
+// may be called more than once. If the context ends first it returns an error
+// that asks the caller to retry.
+func (m *memoryPool) acquire(ctx context.Context, tier int, size int64) (func(), error) {
+	b := m.enqueue(tier, size)
 	select {
 	case <-b.ready:
 		once := sync.Once{}
-		return func() { once.Do(func() { m.give(b.size) }) }, nil
+		return func() { once.Do(func() { m.release(b.size) }) }, nil
 	case <-ctx.Done():
-		m.leave(b)
+		m.cancel(b)
 		return nil, fault.New(fault.Unavailable, "send the request again later", "the entry had no memory for the body in time").After(upstreamRetryAfter)
 	}
 }
 
-func (m *memory) enter(tier int, size int64) *borrower {
+// enqueue adds a waiter in order of tier and arrival.
+func (m *memoryPool) enqueue(tier int, size int64) *memoryWaiter {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.nextID++
-	b := &borrower{tier: tier, id: m.nextID, size: size, ready: make(chan struct{})}
-	at, _ := slices.BinarySearchFunc(m.waiting, b, func(x, y *borrower) int {
+	b := &memoryWaiter{tier: tier, id: m.nextID, size: size, ready: make(chan struct{})}
+	at, _ := slices.BinarySearchFunc(m.waiting, b, func(x, y *memoryWaiter) int {
 		if x.tier != y.tier {
 			return x.tier - y.tier
 		}
 		return int(x.id) - int(y.id)
 	})
 	m.waiting = slices.Insert(m.waiting, at, b)
-	m.serve()
+	m.grant()
 	return b
 }
 
-// serve lends to the first in line, and stops at one that must wait.
-func (m *memory) serve() {
+// grant reserves memory for the waiters in order, up to the first that does not
+// fit. The caller holds mu.
+func (m *memoryPool) grant() {
 	for len(m.waiting) > 0 && m.waiting[0].size <= m.free {
 		b := m.waiting[0]
 		m.waiting = slices.Delete(m.waiting, 0, 1)
@@ -71,15 +76,16 @@
 	}
 }
 
-func (m *memory) give(size int64) {
+// release returns bytes to the pool.
+func (m *memoryPool) release(size int64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.free += size
-	m.serve()
+	m.grant()
 }
 
-// leave ends a wait; bytes that were lent meanwhile go back.
-func (m *memory) leave(b *borrower) {
+// cancel removes a waiter, or releases its bytes if they were granted meanwhile.
+func (m *memoryPool) cancel(b *memoryWaiter) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	i := slices.Index(m.waiting, b)
@@ -88,11 +94,11 @@
 	} else {
 		m.waiting = slices.Delete(m.waiting, i, i+1)
 	}
-	m.serve()
+	m.grant()
 }
 
-// lent returns how many bytes are short of the whole, for a memory of a size.
-func (m *memory) lent(size int64) int64 {
+// reserved returns how many bytes are reserved, given the size of the pool.
+func (m *memoryPool) reserved(size int64) int64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return size - m.free
--- a/internal/entry/memory_test.go
+++ b/internal/entry/memory_test.go
@@ -12,17 +12,18 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestMemoryServesHigherTiersFirst: bodies wait where memory is short, lower
-// tiers longest, and nobody's wait that ends early loses bytes.
-func TestMemoryServesHigherTiersFirst(t *testing.T) {
+// TestMemoryIsGrantedByTier checks that waiters get memory in order of their
+// tiers, that a canceled wait loses no bytes, and that a second release has no
+// effect.
+func TestMemoryIsGrantedByTier(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		m := newMemory(10)
-		back, err := m.borrow(t.Context(), 2, 10)
+		m := newMemoryPool(10)
+		back, err := m.acquire(t.Context(), 2, 10)
 		require.NoError(t, err)
 		order := make(chan int, 4)
 		for _, tier := range []int{2, 0, 1} {
 			go func() {
-				give, err := m.borrow(t.Context(), tier, 10)
+				give, err := m.acquire(t.Context(), tier, 10)
 				if err == nil {
 					order <- tier
 					give()
@@ -32,31 +33,32 @@
 		}
 		gone, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
-		_, err = m.borrow(gone, 0, 10)
+		_, err = m.acquire(gone, 0, 10)
 		require.Error(t, err)
 		back()
 		back()
 		synctest.Wait()
 		require.Equal(t, []int{0, 1, 2}, []int{<-order, <-order, <-order})
-		require.Zero(t, m.lent(10))
+		require.Zero(t, m.reserved(10))
 	})
 }
 
-// TestMemoryComesBack: after whole, refused and broken bodies nothing is lent.
-func TestMemoryComesBack(t *testing.T) {
+// TestMemoryIsReleased guards against leaks of body memory after complete,
+// refused and interrupted requests.
+func TestMemoryIsReleased(t *testing.T) {
 	c := newCluster(t)
-	c.runner(t, 500)
-	c.service(t, 0)
-	e := c.entry(t, "entry-1")
+	c.startRunner(t, 500)
+	c.startService(t, 0)
+	e := c.startEntry(t, "entry-1")
 	require.Equal(t, http.StatusOK, e.do(t, "POST", "/v1/chat/completions", chatBody("draft #2", true)).status)
-	require.Equal(t, http.StatusOK, transfer(t, e, "t1", "{}").status)
-	require.Equal(t, http.StatusOK, transfer(t, e, "t1", "{}").status)
-	require.Equal(t, http.StatusConflict, transfer(t, e, "t1", "{ }").status)
+	require.Equal(t, http.StatusOK, postTransfer(t, e, "t1", "{}").status)
+	require.Equal(t, http.StatusOK, postTransfer(t, e, "t1", "{}").status)
+	require.Equal(t, http.StatusConflict, postTransfer(t, e, "t1", "{ }").status)
 	require.Equal(t, http.StatusBadRequest, e.do(t, "POST", "/v1/chat/completions", "{").status)
 	conn, err := net.Dial("tcp", e.Address())
 	require.NoError(t, err)
 	_, _ = io.WriteString(conn, "POST /v1/completions HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer secret\r\nContent-Length: 100\r\n\r\nhalf")
-	require.Eventually(t, func() bool { return e.memory.lent(DefaultBodyMemory) == 100 }, 5*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return e.bodyMemory.reserved(DefaultBodyMemory) == 100 }, 5*time.Second, time.Millisecond)
 	require.NoError(t, conn.Close())
-	require.Eventually(t, func() bool { return e.memory.lent(DefaultBodyMemory) == 0 }, 5*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return e.bodyMemory.reserved(DefaultBodyMemory) == 0 }, 5*time.Second, time.Millisecond)
 }
--- a/internal/entry/move.go
+++ b/internal/entry/move.go
@@ -12,11 +12,11 @@
 	"github.com/verbenastep/verbenastep/internal/engine"
 )
 
-// moveTimeout bounds finding another engine and moving a stream to it.
+// moveTimeout limits finding another engine and moving a stream to it.
 const moveTimeout = 5 * time.Second
 
-// move takes the stream from a leaving engine to one that the scheduler grants.
-// Where that fails the stream goes on where it is.
+// move transfers the stream from a leaving engine to one that the scheduler
+// grants. If that fails, the stream continues on its engine.
 func (x *execution) move(e claims.Effect) claims.Event {
 	ctx, cancel := context.WithTimeout(x.ctx, moveTimeout)
 	defer cancel()
@@ -24,30 +24,32 @@
 	if err != nil {
 		return x.interrupted(claims.MoveFailed)
 	}
-	err = errStays
+	err = errSameEngine
 	if t.Address() != e.Address {
-		err = migrate(ctx, e.Address, t.Address(), e.Stream)
+		err = transferStream(ctx, e.Address, t.Address(), e.Stream)
 	}
 	if err != nil {
-		x.service.log.Info("stream stays with its engine", zap.String("stream", e.Stream), zap.Error(err))
+		x.service.log.Info("could not move the stream; it stays on its engine", zap.String("stream", e.Stream), zap.Error(err))
 		t.Release(sched.Release{Outcome: sched.NotSent})
 		return x.interrupted(claims.MoveFailed)
 	}
-	x.ticket.Release(x.seen.release(sched.Completed))
+	x.ticket.Release(x.stats.schedulerReport(sched.Completed))
 	x.ticket = t
-	x.seen.moved = true
-	x.seen.base = x.seen.tokens
-	x.seen.began = time.Now()
-	x.seen.first = x.seen.began
-	x.service.observer.movedSum.Inc()
+	x.stats.moved = true
+	x.stats.baseTokens = x.stats.outputTokens
+	x.stats.startedAt = time.Now()
+	x.stats.firstTokenAt = x.stats.startedAt
+	x.service.observer.streamsMoved.Inc()
 	return claims.Event{Kind: claims.Moved, Address: t.Address()}
 }
 
-// errStays says that no other engine was granted.
-var errStays = &engine.StatusError{Body: "the scheduler granted the same engine"}
+// errSameEngine reports that the scheduler granted no other engine.
+var errSameEngine = &engine.StatusError{Body: "the scheduler granted the same engine"}
 
-// migrate exports a stream and imports it elsewhere, or back where it is refused.
-func migrate(ctx context.Context, from, to, stream string) error {
+// transferStream exports a stream from one engine and imports it into another.
+// If the target refuses it, it is imported into its source again and the refusal
+// returned.
+func transferStream(ctx context.Context, from, to, stream string) error {
 	target, err := engine.Dial(ctx, to)
 	if err != nil {
 		return err
@@ -58,22 +60,22 @@
 		return err
 	}
 	defer source.Close()
-	moved, err := source.Export(ctx, stream)
+	exported, err := source.Export(ctx, stream)
 	if err != nil {
 		return err
 	}
-	err = target.Import(ctx, moved)
+	err = target.Import(ctx, exported)
 	refused := (*engine.StatusError)(nil)
 	if !errors.As(err, &refused) {
-		// Without an answer the target may have the stream: it must not run in
-		// two places, so that only the target is asked for it from here on.
+		// Without a response the target may have the stream. To keep it from
+		// running on both engines, only the target is used from here on.
 		return nil
 	}
-	back, cancel := context.WithTimeout(context.WithoutCancel(ctx), cancelTimeout)
+	returnCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), cancelTimeout)
 	defer cancel()
-	if again, dialErr := engine.Dial(back, from); dialErr == nil {
-		defer again.Close()
-		_ = again.Import(back, moved)
+	if reconnected, dialErr := engine.Dial(returnCtx, from); dialErr == nil {
+		defer reconnected.Close()
+		_ = reconnected.Import(returnCtx, exported)
 	}
 	return err
 }
--- a/internal/entry/observe.go
+++ b/internal/entry/observe.go
@@ -14,75 +14,80 @@
 	"github.com/verbenastep/verbenastep/internal/port"
 )
 
-// keptExplanations is how many requests an entry can explain.
-const keptExplanations = 4096
+// maxExplanations is the maximum number of requests that an entry can explain.
+const maxExplanations = 4096
 
-// outcomeWhole labels requests whose caller received the whole answer, and
-// outcomeGone those whose caller went away.
+// Outcomes in metrics and explanations, besides the codes of errors:
+// outcomeComplete means that the caller received the complete answer,
+// outcomeDisconnected that it disconnected before.
 const (
-	outcomeWhole = "whole"
-	outcomeGone  = "caller_gone"
+	outcomeComplete     = "whole"
+	outcomeDisconnected = "caller_gone"
 )
 
-// Explanation tells what became of a request at this entry.
+// Explanation describes how this entry processed a request.
 type Explanation struct {
 	Key       string    `json:"key"`
 	Workspace string    `json:"workspace"`
 	Pool      string    `json:"pool"`
 	Tier      string    `json:"tier"`
 	Accepted  time.Time `json:"accepted"`
-	// WaitedMS is from acceptance to the grant, in milliseconds.
-	WaitedMS int64           `json:"waited_ms,omitempty"`
-	Upstream string          `json:"upstream,omitempty"`
-	Stream   string          `json:"stream,omitempty"`
-	Resumed  int             `json:"resumed,omitempty"`
-	Why      json.RawMessage `json:"why,omitempty"`
-	Outcome  string          `json:"outcome,omitempty"`
-	Ran      string          `json:"ran,omitempty"`
-	Message  string          `json:"message,omitempty"`
+	// WaitedMS is the time from acceptance to the grant, in milliseconds.
+	WaitedMS int64  `json:"waited_ms,omitempty"`
+	Upstream string `json:"upstream,omitempty"`
+	Stream   string `json:"stream,omitempty"`
+	// Resumed is how often the stream was resumed over a new connection.
+	Resumed int `json:"resumed,omitempty"`
+	// Reason is the scheduler's reason for its choice of the upstream.
+	Reason  json.RawMessage `json:"why,omitempty"`
+	Outcome string          `json:"outcome,omitempty"`
+	Ran     string          `json:"ran,omitempty"`
+	Message string          `json:"message,omitempty"`
 }
 
-// explained identifies an explanation.
-type explained struct {
+// explanationID identifies an explanation; keys are unique only within their
+// workspace.
+type explanationID struct {
 	workspace string
 	key       string
 }
 
-// observer counts, records events and keeps explanations.
+// observer updates the entry's metrics, records events and keeps the latest
+// explanations. It is safe for concurrent use.
 type observer struct {
 	events port.Events
 
-	requests   *prometheus.CounterVec
-	goodput    *prometheus.CounterVec
-	first      *prometheus.HistogramVec
-	inter      *prometheus.HistogramVec
-	wastedSum  *prometheus.CounterVec
-	resumedSum prometheus.Counter
-	movedSum   prometheus.Counter
+	requests          *prometheus.CounterVec
+	goodput           *prometheus.CounterVec
+	firstTokenSeconds *prometheus.HistogramVec
+	interTokenSeconds *prometheus.HistogramVec
+	wastedTokens      *prometheus.CounterVec
+	streamsResumed    prometheus.Counter
+	streamsMoved      prometheus.Counter
 
-	mu    sync.Mutex
-	known map[explained]*Explanation
-	order []explained
+	mu           sync.Mutex
+	explanations map[explanationID]*Explanation
+	order        []explanationID
 }
 
-// tokenBuckets are in seconds.
+// Histogram buckets, in seconds.
 var (
-	firstBuckets = []float64{.05, .1, .2, .3, .42, .6, 1, 2, 5, 10, 20, 60}
-	interBuckets = []float64{.005, .01, .02, .028, .04, .06, .1, .2, .5, 1}
+	firstTokenBuckets = []float64{.05, .1, .2, .3, .42, .6, 1, 2, 5, 10, 20, 60}
+	interTokenBuckets = []float64{.005, .01, .02, .028, .04, .06, .1, .2, .5, 1}
 )
 
 func newObserver(events port.Events, m port.Metrics, s *Service) *observer {
 	o := &observer{
-		events: events, known: map[explained]*Explanation{},
-		requests:   counter("requests_total", "Requests by what their callers received.", "tier", "pool", "outcome"),
-		goodput:    counter("goodput_requests_total", "Whole answers within the tier's goodput time.", "tier"),
-		wastedSum:  counter("wasted_prefill_tokens_total", "Prompt tokens computed for answers that did not reach their caller whole.", "workspace"),
-		first:      histogram("first_token_seconds", "Time from acceptance to the first token.", firstBuckets, "tier", "pool"),
-		inter:      histogram("inter_token_seconds", "Time between two tokens.", interBuckets, "pool"),
-		resumedSum: prometheus.NewCounter(prometheus.CounterOpts{Namespace: "verbenastep", Name: "streams_resumed_total", Help: "Streams resumed over a new connection."}),
-		movedSum:   prometheus.NewCounter(prometheus.CounterOpts{Namespace: "verbenastep", Name: "streams_moved_total", Help: "Streams moved with their cache from a leaving engine."}),
+		events: events, explanations: map[explanationID]*Explanation{},
+		requests:          counter("requests_total", "Requests by what their callers received.", "tier", "pool", "outcome"),
+		goodput:           counter("goodput_requests_total", "Whole answers within the tier's goodput time.", "tier"),
+		wastedTokens:      counter("wasted_prefill_tokens_total", "Prompt tokens computed for answers that did not reach their caller whole.", "workspace"),
+		firstTokenSeconds: histogram("first_token_seconds", "Time from acceptance to the first token.", firstTokenBuckets, "tier", "pool"),
+		interTokenSeconds: histogram("inter_token_seconds", "Time between two tokens.", interTokenBuckets, "pool"),
+		streamsResumed:    prometheus.NewCounter(prometheus.CounterOpts{Namespace: "verbenastep", Name: "streams_resumed_total", Help: "Streams resumed over a new connection."}),
+		streamsMoved:      prometheus.NewCounter(prometheus.CounterOpts{Namespace: "verbenastep", Name: "streams_moved_total", Help: "Streams moved with their cache from a leaving engine."}),
 	}
-	m.Registerer().MustRegister(o.requests, o.goodput, o.wastedSum, o.first, o.inter, o.resumedSum, o.movedSum)
+	m.Registerer().MustRegister(o.requests, o.goodput, o.wastedTokens, o.firstTokenSeconds, o.interTokenSeconds, o.streamsResumed, o.streamsMoved)
 	m.Registerer().MustRegister(
 		gauge("answer_bytes", "Bytes of the answers held.", func() float64 { return float64(s.answers.Bytes()) }),
 		gauge("caller_connections", "Open callers' connections.", func() float64 { return float64(s.conns.count()) }),
@@ -102,105 +107,116 @@
 	return prometheus.NewGaugeFunc(prometheus.GaugeOpts{Namespace: "verbenastep", Name: name, Help: help}, value)
 }
 
-func (o *observer) event(kind promise.Kind, r *request) promise.Event {
-	return promise.Event{Kind: kind, Workspace: r.workspace.Name, Key: r.key, Pool: r.pool, Tier: r.tier, NonIdempotent: r.once(), Digest: r.digest}
+// newEvent returns an event with the properties of a request.
+func (o *observer) newEvent(kind promise.Kind, r *request) promise.Event {
+	return promise.Event{Kind: kind, Workspace: r.workspace.Name, Key: r.key, Pool: r.pool, Tier: r.tier, NonIdempotent: r.mustRunOnce(), Digest: r.digest}
 }
 
-func (o *observer) accepted(r *request) {
-	if r.join {
+// recordAccept records that a request was accepted, unless it only joins an
+// existing one, and starts its explanation.
+func (o *observer) recordAccept(r *request) {
+	if r.joinOnly {
 		return
 	}
-	o.events.Record(o.event(promise.Accept, r))
+	o.events.Record(o.newEvent(promise.Accept, r))
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	id := explained{r.workspace.Name, r.key}
-	if _, again := o.known[id]; again {
+	id := explanationID{r.workspace.Name, r.key}
+	if _, again := o.explanations[id]; again {
 		return
 	}
 	o.order = append(o.order, id)
-	o.known[id] = &Explanation{Key: r.key, Workspace: r.workspace.Name, Pool: r.pool, Tier: r.tierName, Accepted: r.accepted}
-	if len(o.order) > keptExplanations {
-		delete(o.known, o.order[0])
+	o.explanations[id] = &Explanation{Key: r.key, Workspace: r.workspace.Name, Pool: r.pool, Tier: r.tierName, Accepted: r.accepted}
+	if len(o.order) > maxExplanations {
+		delete(o.explanations, o.order[0])
 		o.order = o.order[1:]
 	}
 }
 
-// note changes a request's explanation.
-func (o *observer) note(r *request, change func(*Explanation)) {
+// updateExplanation applies change to the explanation of a request, if it is
+// still kept.
+func (o *observer) updateExplanation(r *request, change func(*Explanation)) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if e, ok := o.known[explained{r.workspace.Name, r.key}]; ok {
+	if e, ok := o.explanations[explanationID{r.workspace.Name, r.key}]; ok {
 		change(e)
 	}
 }
 
-func (o *observer) granted(r *request, t port.Ticket) {
-	o.note(r, func(e *Explanation) {
+// recordGrant notes the wait and the granted upstream.
+func (o *observer) recordGrant(r *request, t port.Ticket) {
+	o.updateExplanation(r, func(e *Explanation) {
 		e.WaitedMS = time.Since(r.accepted).Milliseconds()
 		e.Upstream = t.Upstream()
-		e.Why = t.Why()
+		e.Reason = t.Why()
 	})
 }
 
-// followed notes which stream the request's answer comes from.
-func (o *observer) followed(r *request, stream string) {
-	o.note(r, func(e *Explanation) { e.Stream = stream })
+// recordStream notes which stream the request's answer comes from.
+func (o *observer) recordStream(r *request, stream string) {
+	o.updateExplanation(r, func(e *Explanation) { e.Stream = stream })
 }
 
-// dispatched records that the first byte goes out.
-func (o *observer) dispatched(r *request, stream string, t port.Ticket) {
-	e := o.event(promise.Dispatch, r)
+// recordDispatch records that the first byte of the request is about to be sent.
+func (o *observer) recordDispatch(r *request, stream string, t port.Ticket) {
+	e := o.newEvent(promise.Dispatch, r)
 	e.Stream = stream
 	e.Upstream = t.Upstream()
 	o.events.Record(e)
 }
 
-func (o *observer) resumed(r *request) {
-	o.resumedSum.Inc()
-	o.note(r, func(e *Explanation) { e.Resumed++ })
+// recordResume counts a stream that was resumed over a new connection.
+func (o *observer) recordResume(r *request) {
+	o.streamsResumed.Inc()
+	o.updateExplanation(r, func(e *Explanation) { e.Resumed++ })
 }
 
-func (o *observer) firstToken(r *request, at time.Time) {
-	o.first.WithLabelValues(r.tierName, r.pool).Observe(at.Sub(r.accepted).Seconds())
+// observeFirstToken exports the time from acceptance to the first token.
+func (o *observer) observeFirstToken(r *request, at time.Time) {
+	o.firstTokenSeconds.WithLabelValues(r.tierName, r.pool).Observe(at.Sub(r.accepted).Seconds())
 }
 
-func (o *observer) interToken(r *request, d time.Duration) {
-	o.inter.WithLabelValues(r.pool).Observe(d.Seconds())
+// observeInterToken exports the time between two tokens.
+func (o *observer) observeInterToken(r *request, d time.Duration) {
+	o.interTokenSeconds.WithLabelValues(r.pool).Observe(d.Seconds())
 }
 
-func (o *observer) wasted(workspace string, tokens int) {
-	o.wastedSum.WithLabelValues(workspace).Add(float64(max(0, tokens)))
+// countWasted counts prompt tokens that were computed for an answer which no
+// caller received complete.
+func (o *observer) countWasted(workspace string, tokens int) {
+	o.wastedTokens.WithLabelValues(workspace).Add(float64(max(0, tokens)))
 }
 
-// dropped counts an answer that no caller ever received whole.
-func (o *observer) dropped(a *answer.Answer) {
-	if a.Whole() && !a.WasDelivered() {
+// countUndelivered counts the prompt tokens of a removed answer as wasted if no
+// caller received it complete.
+func (o *observer) countUndelivered(a *answer.Answer) {
+	if a.IsComplete() && !a.WasDelivered() {
 		r := a.Result()
-		o.wasted(a.Meta().Workspace, r.PromptTokens-r.CachedTokens)
+		o.countWasted(a.Meta().Workspace, r.PromptTokens-r.CachedTokens)
 	}
 }
 
-// told records what the caller received; err is nil for a whole answer and got
-// the hash of what was written.
-func (o *observer) told(r *request, a *answer.Answer, err error, got string) {
+// recordOutcome records what the caller received. err is nil for a complete
+// answer; writtenHash is the hash of the text written.
+func (o *observer) recordOutcome(r *request, a *answer.Answer, err error, writtenHash string) {
 	failure := (*fault.Error)(nil)
-	outcome := outcomeGone
+	outcome := outcomeDisconnected
 	switch {
 	case err == nil:
-		outcome = outcomeWhole
-		a.Delivered()
-		o.answered(o.event(promise.Answer, r), a, got)
+		outcome = outcomeComplete
+		a.MarkDelivered()
+		o.recordAnswer(o.newEvent(promise.Answer, r), a, writtenHash)
 		if time.Since(r.accepted) <= r.goodput {
 			o.goodput.WithLabelValues(r.tierName).Inc()
 		}
 	case errors.As(err, &failure):
 		outcome = string(failure.Kind)
-		o.refused(r, a, outcome, string(failure.Ran))
+		o.recordRefusal(r, a, outcome, string(failure.Ran))
 	default:
-		o.refused(r, a, outcome, string(fault.MayHaveRun))
+		o.recordRefusal(r, a, outcome, string(fault.MayHaveRun))
 	}
 	o.requests.WithLabelValues(r.tierName, r.pool, outcome).Inc()
-	o.note(r, func(e *Explanation) {
+	o.updateExplanation(r, func(e *Explanation) {
 		e.Outcome = outcome
 		if failure != nil {
 			e.Ran = string(failure.Ran)
@@ -209,30 +225,32 @@
 	})
 }
 
-// refused records an end without an answer; a caller who went away was told
-// nothing.
-func (o *observer) refused(r *request, a *answer.Answer, code, ran string) {
-	e := o.event(promise.Refuse, r)
+// recordRefusal records that a request ended without a complete answer, because
+// of an error or because its caller disconnected.
+func (o *observer) recordRefusal(r *request, a *answer.Answer, code, ran string) {
+	e := o.newEvent(promise.Refuse, r)
 	e.Stream = a.Meta().Stream
 	e.Code = code
 	e.Ran = ran
 	o.events.Record(e)
 }
 
-func (o *observer) answered(e promise.Event, a *answer.Answer, got string) {
+// recordAnswer completes and records the event of a complete answer.
+func (o *observer) recordAnswer(e promise.Event, a *answer.Answer, writtenHash string) {
 	e.Stream = a.Meta().Stream
 	e.Complete = true
-	e.SentHash = a.Sum()
-	e.ReceivedHash = got
+	e.SentHash = a.Checksum()
+	e.ReceivedHash = writtenHash
 	o.events.Record(e)
 }
 
-// pickedUp records a pick-up from the beginning that ended whole.
-func (o *observer) pickedUp(a *answer.Answer, offset int64, err error, got string) {
+// recordRetrieval marks a retrieved answer as delivered if it was written to its
+// end, and records it if it was also read from the beginning.
+func (o *observer) recordRetrieval(a *answer.Answer, offset int64, err error, writtenHash string) {
 	if err != nil {
 		return
 	}
-	a.Delivered()
+	a.MarkDelivered()
 	if offset > 0 {
 		return
 	}
@@ -240,14 +258,14 @@
 	e := promise.Event{Kind: promise.Accept, Workspace: m.Workspace, Key: m.Key, Pool: m.Pool, Digest: m.Digest}
 	o.events.Record(e)
 	e.Kind = promise.Answer
-	o.answered(e, a, got)
+	o.recordAnswer(e, a, writtenHash)
 }
 
-// find returns a copy of an explanation; an empty workspace matches any.
-func (o *observer) find(workspace, key string) (Explanation, bool) {
+// explanation returns a copy of an explanation. An empty workspace matches any.
+func (o *observer) explanation(workspace, key string) (Explanation, bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	for id, e := range o.known {
+	for id, e := range o.explanations {
 		if id.key == key && (workspace == "" || id.workspace == workspace) {
 			return *e, true
 		}
--- a/internal/entry/openai.go
+++ b/internal/entry/openai.go
@@ -12,16 +12,16 @@
 	"github.com/verbenastep/verbenastep/api/fault"
 )
 
-// defaultMaxTokens bounds an answer where neither caller nor model does.
+// defaultMaxTokens limits an answer if neither the request nor the model does.
 const defaultMaxTokens = 512
 
-// passedOptions are members of the body that engines receive as they came.
-var passedOptions = []string{
+// forwardedOptions are the members of the body that engines receive unchanged.
+var forwardedOptions = []string{
 	"temperature", "top_p", "top_k", "min_p", "stop", "seed", "presence_penalty", "frequency_penalty",
 	"repetition_penalty", "logit_bias", "response_format", "logprobs", "top_logprobs", "tools", "tool_choice", "user",
 }
 
-// content is a message's text: a string, or an array of text parts.
+// content is the text of a message, in JSON a string or an array of text parts.
 type content string
 
 // contentPart is one element of an array of parts.
@@ -30,7 +30,7 @@
 	Text string `json:"text"`
 }
 
-// UnmarshalJSON reads either form.
+// UnmarshalJSON decodes either form.
 func (t *content) UnmarshalJSON(data []byte) error {
 	if len(data) > 0 && data[0] != '[' {
 		text := ""
@@ -53,24 +53,24 @@
 	return nil
 }
 
-// message is one turn of a chat.
+// message is one message of a chat.
 type message struct {
 	Role    string  `json:"role"`
 	Content content `json:"content"`
 }
 
-// streamOptions are what a caller asks of a stream.
+// streamOptions are the options of a streamed answer.
 type streamOptions struct {
 	IncludeUsage bool `json:"include_usage"`
 }
 
-// completion is the body of both completion calls.
+// completion is the request body of both completion calls.
 type completion struct {
 	Model     string    `json:"model"`
 	Messages  []message `json:"messages"`
 	Prompt    content   `json:"prompt"`
 	MaxTokens int       `json:"max_tokens"`
-	// MaxCompletionTokens is the newer name of MaxTokens.
+	// MaxCompletionTokens is the newer name of MaxTokens; the larger value counts.
 	MaxCompletionTokens int           `json:"max_completion_tokens"`
 	N                   *int          `json:"n"`
 	BestOf              *int          `json:"best_of"`
@@ -78,27 +78,29 @@
 	StreamOptions       streamOptions `json:"stream_options"`
 }
 
-func (s *Service) chat(c echo.Context) error {
-	return s.infer(c, chatForm)
+// chatCompletions handles POST /v1/chat/completions.
+func (s *Service) chatCompletions(c echo.Context) error {
+	return s.serveCompletion(c, chatForm)
 }
 
-func (s *Service) complete(c echo.Context) error {
-	return s.infer(c, textForm)
+// completions handles POST /v1/completions.
+func (s *Service) completions(c echo.Context) error {
+	return s.serveCompletion(c, textForm)
 }
 
-// infer serves one completion in a form.
-func (s *Service) infer(c echo.Context, form string) error {
+// serveCompletion handles a completion call with the given response format.
+func (s *Service) serveCompletion(c echo.Context, form string) error {
 	r, err := s.prepare(c)
 	if err != nil {
 		return err
 	}
-	defer r.giveBackUnlessRunning()
+	defer r.releaseMemoryUnlessSubmitted()
 	r.form = form
 	body := completion{}
 	if err := json.Unmarshal(r.body, &body); err != nil {
 		return fault.New(fault.Malformed, "send a JSON object as docs/CALLERS.md shows", "the body is not readable: %v", err)
 	}
-	if err := s.shape(r, body); err != nil {
+	if err := s.setCompletion(r, body); err != nil {
 		return err
 	}
 	r.body = nil
@@ -106,16 +108,17 @@
 	if err != nil {
 		return err
 	}
-	return s.answerCaller(c, r, a, body.Stream, usageFlag(body))
+	return s.writeAnswer(c, r, a, body.Stream, usageFlag(body))
 }
 
-// shape fills in the model's part of a request.
-func (s *Service) shape(r *request, body completion) error {
+// setCompletion checks the body and sets the model, the prompt, the limits and the
+// options of the request.
+func (s *Service) setCompletion(r *request, body completion) error {
 	m, ok := s.view.Snapshot().Config.Model(body.Model)
 	if !ok {
 		return fault.New(fault.NotFound, "GET /v1/models lists the models", "model %q is not declared", body.Model)
 	}
-	if more(body.N) || more(body.BestOf) {
+	if wantsSeveral(body.N) || wantsSeveral(body.BestOf) {
 		return fault.New(fault.Malformed, "leave n and best_of out, or send several requests", "more than one choice is not supported")
 	}
 	r.pool = m.Name
@@ -139,10 +142,11 @@
 	return r.setOptions()
 }
 
-// more tells whether a count asks for several choices.
-func more(n *int) bool { return n != nil && *n != 1 }
+// wantsSeveral reports whether a number of choices is given and is not one.
+func wantsSeveral(n *int) bool { return n != nil && *n != 1 }
 
-// setOptions takes the sampling options, and the digest of all that matters.
+// setOptions sets the sampling options, and the digest of everything that
+// determines the answer.
 func (r *request) setOptions() error {
 	raw := map[string]json.RawMessage{}
 	if err := json.Unmarshal(r.body, &raw); err != nil {
@@ -150,7 +154,7 @@
 	}
 	parts := [][]byte{[]byte(r.form), []byte(r.pool), []byte(r.prompt), []byte(strconv.Itoa(r.maxTokens))}
 	r.options = map[string]json.RawMessage{}
-	for _, name := range passedOptions {
+	for _, name := range forwardedOptions {
 		value, ok := raw[name]
 		if !ok || string(value) == "null" {
 			continue
@@ -158,10 +162,11 @@
 		r.options[name] = value
 		parts = append(parts, []byte(name), value)
 	}
-	r.digest = digestOf(parts...)
+	r.digest = hashParts(parts...)
 	return nil
 }
 
+// joinMessages returns a chat as a prompt, one line with the role per message.
 func joinMessages(messages []message) string {
 	b := strings.Builder{}
 	for _, m := range messages {
@@ -170,8 +175,9 @@
 	return b.String()
 }
 
-func (s *Service) models(c echo.Context) error {
-	if _, err := s.identify(c); err != nil {
+// listModels handles GET /v1/models.
+func (s *Service) listModels(c echo.Context) error {
+	if _, err := s.authenticate(c); err != nil {
 		return err
 	}
 	list := modelList{Object: "list", Data: []modelItem{}}
--- a/internal/entry/pickup.go
+++ b/internal/entry/pickup.go
@@ -18,13 +18,14 @@
 	"github.com/verbenastep/verbenastep/internal/wait"
 )
 
-// pickUp gives the rest of an answer from an offset, in bytes.
-func (s *Service) pickUp(c echo.Context) error {
-	w, err := s.identify(c)
+// getAnswer handles GET /v1/answers/:key: it writes an answer from an offset, in
+// bytes.
+func (s *Service) getAnswer(c echo.Context) error {
+	w, err := s.authenticate(c)
 	if err != nil {
 		return err
 	}
-	offset, err := offsetOf(c)
+	offset, err := requestedOffset(c)
 	if err != nil {
 		return err
 	}
@@ -32,13 +33,16 @@
 	if form != "" && form != chatForm && form != textForm {
 		return fault.New(fault.Malformed, `give "chat.completion" or "text_completion", or leave it out`, "the form is %q", form)
 	}
-	a, err := s.find(c.Request().Context(), w, c.Param("key"), form)
+	a, err := s.findAnswer(c.Request().Context(), w, c.Param("key"), form)
 	if err != nil {
 		return err
 	}
 	return s.writeFrom(c, a, offset, form)
 }
 
+// writeFrom waits until the answer has begun and writes it from offset, in the
+// given format or, if that is empty, in the one of the original request. A
+// service's reply is always written as it is.
 func (s *Service) writeFrom(c echo.Context, a *answer.Answer, offset int64, form string) error {
 	out := newWriter(c, a, offset)
 	defer out.reader.Close()
@@ -48,23 +52,25 @@
 		return c.Request().Context().Err()
 	}
 	out.form = a.Meta().Form
-	if form != "" && out.form != plainForm {
+	if form != "" && out.form != serviceForm {
 		out.form = form
 	}
-	c.Response().Header().Set(headerRequest, a.Meta().Key)
+	c.Response().Header().Set(requestKeyHeader, a.Meta().Key)
 	stream := !strings.Contains(c.Request().Header.Get("Accept"), echo.MIMEApplicationJSON)
 	if !stream && offset > 0 {
 		return fault.New(fault.Malformed, "ask for an event stream, or leave the offset out", "a JSON answer can't begin at an offset")
 	}
 	err := out.write(stream)
-	s.observer.pickedUp(a, offset, err, hex.EncodeToString(out.got.Sum(nil)))
-	if errors.Is(err, errCut) {
+	s.observer.recordRetrieval(a, offset, err, hex.EncodeToString(out.written.Sum(nil)))
+	if errors.Is(err, errTruncated) {
 		return nil
 	}
 	return err
 }
 
-func offsetOf(c echo.Context) (int64, error) {
+// requestedOffset returns the offset that the query or the Last-Event-ID header
+// names, or zero.
+func requestedOffset(c echo.Context) (int64, error) {
 	text := c.QueryParam("offset")
 	if text == "" {
 		text = c.Request().Header.Get("Last-Event-ID")
@@ -79,19 +85,20 @@
 	return n, nil
 }
 
-func noAnswer(key string) *fault.Error {
+// answerNotFound returns the error for a key without a known answer.
+func answerNotFound(key string) *fault.Error {
 	e := fault.New(fault.NotFound, "check the key, or send the request again under it", "no answer is known under the key")
 	e.Key = key
 	return e.WithRan(fault.MayHaveRun)
 }
 
-// find looks for an answer here, at the entry that an issued key names, and in
-// the log.
-func (s *Service) find(ctx context.Context, w config.Workspace, key, form string) (*answer.Answer, error) {
+// findAnswer looks up an answer in the local store, then at the entry that issued
+// the key or, for a caller's own key, by its claim in the log.
+func (s *Service) findAnswer(ctx context.Context, w config.Workspace, key, form string) (*answer.Answer, error) {
 	if a, ok := s.answers.Get(w.Name, key); ok {
 		return a, nil
 	}
-	if strings.HasPrefix(key, issuedPrefix) {
+	if strings.HasPrefix(key, issuedKeyPrefix) {
 		return s.findIssued(ctx, w, key)
 	}
 	c, found, err := s.logs.Lookup(ctx, s.group(w.Name), w.Name, key)
@@ -99,29 +106,29 @@
 		return nil, fault.New(fault.Unavailable, "ask again", "the key's claim could not be read").WithRan(fault.MayHaveRun).After(logRetryAfter)
 	}
 	if !found || c.NotRun {
-		return nil, noAnswer(key)
+		return nil, answerNotFound(key)
 	}
 	cfg := s.view.Snapshot().Config
 	_, plain := cfg.Service(c.Pool)
 	r := &request{
-		workspace: w, key: key, callerKey: true, digest: c.Digest, pool: c.Pool, plain: plain, join: true,
+		workspace: w, key: key, hasCallerKey: true, digest: c.Digest, pool: c.Pool, plainService: plain, joinOnly: true,
 		form: form, accepted: time.Now(), deadline: time.Now().Add(time.Duration(cfg.EffectiveTimeouts().RequestMS) * time.Millisecond),
 		tierName: w.Tier,
 	}
 	if plain {
-		r.form = plainForm
+		r.form = serviceForm
 	} else if r.form == "" {
 		r.form = chatForm
 	}
 	return s.submit(r)
 }
 
-// findIssued reads an answer from the entry that issued its key. It is not
-// kept here: that entry keeps it.
+// findIssued returns an answer that is copied from the entry that issued its key.
+// The copy is not stored, because that entry retains the answer.
 func (s *Service) findIssued(ctx context.Context, w config.Workspace, key string) (*answer.Answer, error) {
-	name, ok := entryOfKey(key)
+	name, ok := issuingEntry(key)
 	if !ok || name == s.self.Name {
-		return nil, noAnswer(key)
+		return nil, answerNotFound(key)
 	}
 	m, ok := s.members.Find(name)
 	if !ok {
@@ -133,6 +140,7 @@
 	return a, nil
 }
 
+// copyIssued fetches an answer from another entry into a and ends it.
 func (s *Service) copyIssued(ctx context.Context, address string, a *answer.Answer) {
 	f := fetcher{link: s.link, answer: a, address: address}
 	for range claims.MaxFetchAttempts {
@@ -144,24 +152,24 @@
 			a.Fail(f.failure)
 			return
 		case claims.AnswerNotHeld:
-			a.Fail(noAnswer(a.Meta().Key))
+			a.Fail(answerNotFound(a.Meta().Key))
 			return
 		}
-		wait.For(ctx, retryPause)
+		wait.For(ctx, retryDelay)
 	}
 	e := fault.New(fault.Unavailable, "ask again", "the entry that holds the answer does not answer").WithRan(fault.MayHaveRun)
 	a.Fail(e.After(logRetryAfter))
 }
 
-// explain answers operators and callers what became of a request.
-func (s *Service) explain(c echo.Context) error {
-	w, err := s.identify(c)
+// explainRequest handles GET /v1/answers/:key/why.
+func (s *Service) explainRequest(c echo.Context) error {
+	w, err := s.authenticate(c)
 	if err != nil {
 		return err
 	}
-	e, ok := s.observer.find(w.Name, c.Param("key"))
+	e, ok := s.observer.explanation(w.Name, c.Param("key"))
 	if !ok {
-		return noAnswer(c.Param("key"))
+		return answerNotFound(c.Param("key"))
 	}
 	return c.JSON(http.StatusOK, e)
 }
--- a/internal/entry/request.go
+++ b/internal/entry/request.go
@@ -19,82 +19,89 @@
 )
 
 const (
-	// headerKey carries the caller's own key.
-	headerKey = "Idempotency-Key"
-	// headerRequest carries the request's key back, the caller's or one issued.
-	headerRequest = "Verbenastep-Request"
-	// maxKey is the longest key, in bytes.
-	maxKey = 200
-	// issuedPrefix marks keys that an entry issued.
-	issuedPrefix = "vb-"
-	// bytesPerToken estimates prompt tokens.
+	// idempotencyKeyHeader carries the caller's own key.
+	idempotencyKeyHeader = "Idempotency-Key"
+	// requestKeyHeader carries the key of the request in responses, the caller's
+	// own or an issued one.
+	requestKeyHeader = "Verbenastep-Request"
+	// maxKeyBytes is the maximum length of a caller's key.
+	maxKeyBytes = 200
+	// issuedKeyPrefix is the prefix of keys that an entry issued.
+	issuedKeyPrefix = "vb-"
+	// bytesPerToken is the average used to estimate prompt tokens.
 	bytesPerToken = 4
-	// defaultBlockTokens is the prefix block where the model declares none.
+	// defaultBlockTokens is the size of a prefix block if the model declares none.
 	defaultBlockTokens = 64
-	// maxBlocks bounds how many leading blocks are hashed.
-	maxBlocks = 64
-	// headerTimeoutMS is how long the caller waits for the whole answer, in
+	// maxPrefixBlocks is the maximum number of prefix blocks that are hashed.
+	maxPrefixBlocks = 64
+	// timeoutHeader is how long the caller waits for the complete answer, in
 	// milliseconds.
-	headerTimeoutMS = "Verbenastep-Timeout-Ms"
-	// keySeparator separates an issued key's parts.
-	keySeparator = "."
+	timeoutHeader = "Verbenastep-Timeout-Ms"
+	// issuedKeySeparator separates the daemon's name from the random part of an
+	// issued key.
+	issuedKeySeparator = "."
 )
 
-// request is a caller's request after it was checked.
+// request is a caller's authenticated request.
 type request struct {
 	workspace config.Workspace
 	key       string
-	// callerKey says that the key is the caller's own.
-	callerKey bool
-	digest    string
-	pool      string
-	operation config.Operation
-	plain     bool
-	deadline  time.Time
-	body      []byte
-	header    http.Header
-	method    string
-	path      string
-	prompt    string
-	maxTokens int
-	options   map[string]json.RawMessage
-	// form is the shape in which the answer is written.
+	// hasCallerKey reports that the caller chose the key.
+	hasCallerKey bool
+	digest       string
+	pool         string
+	operation    config.Operation
+	plainService bool
+	deadline     time.Time
+	body         []byte
+	header       http.Header
+	method       string
+	path         string
+	prompt       string
+	maxTokens    int
+	options      map[string]json.RawMessage
+	// form is the response format.
 	form string
-	// join says that a claim is followed and nothing is dispatched.
-	join bool
-	// known is the newest attempt that was known to be marked at acceptance.
-	known uint64
-	// stream names the request's only dispatch.
+	// joinOnly reports that the request follows an existing claim and dispatches
+	// nothing.
+	joinOnly bool
+	// knownNotRunAttempt is the newest attempt under the key that this entry knew,
+	// at acceptance, to be recorded as not run.
+	knownNotRunAttempt uint64
+	// stream is the ID of the stream if the request is dispatched.
 	stream string
-	// tier is the position in the declared order, tierName its name.
+	// tier is the index in the configured tiers, tierName the tier's name.
 	tier     int
 	tierName string
+	// goodput is the time within which a complete answer counts as goodput.
 	goodput  time.Duration
 	accepted time.Time
-	// lent are returns of memory; running says that the execution makes them.
-	lent    []func()
-	running bool
+	// memoryReleases release the memory of the body. submitted reports that the
+	// execution calls them.
+	memoryReleases []func()
+	submitted      bool
 }
 
-// giveBack returns the memory that was lent for the body.
-func (r *request) giveBack() {
-	for _, back := range r.lent {
+// releaseMemory releases the memory reserved for the body. It may be called more
+// than once.
+func (r *request) releaseMemory() {
+	for _, back := range r.memoryReleases {
 		back()
 	}
 }
 
-// giveBackUnlessRunning returns it where no execution will.
-func (r *request) giveBackUnlessRunning() {
-	if !r.running {
-		r.giveBack()
+// releaseMemoryUnlessSubmitted releases the memory if no execution will.
+func (r *request) releaseMemoryUnlessSubmitted() {
+	if !r.submitted {
+		r.releaseMemory()
 	}
 }
 
-// once says that the request must not execute twice.
-func (r *request) once() bool { return r.plain && !r.operation.Idempotent }
+// mustRunOnce reports whether the request must not be executed twice.
+func (r *request) mustRunOnce() bool { return r.plainService && !r.operation.Idempotent }
 
-// identify finds the workspace of the bearer key.
-func (s *Service) identify(c echo.Context) (config.Workspace, error) {
+// authenticate returns the workspace of the bearer key.
+func (s *Service) authenticate(c echo.Context) (config.Workspace, error) {
 	key, ok := strings.CutPrefix(c.Request().Header.Get("Authorization"), "Bearer ")
 	if ok && key != "" {
 		if w, ok := s.view.Snapshot().Config.WorkspaceByKey(config.HashKey(key)); ok {
@@ -104,40 +111,41 @@
 	return config.Workspace{}, fault.New(fault.Unauthenticated, `send "Authorization: Bearer" with a key of the workspace`, "the bearer key is missing or unknown")
 }
 
-// prepare authenticates the caller and reads the body.
+// prepare authenticates the caller, checks or issues the key, sets the deadline
+// and reads the body.
 func (s *Service) prepare(c echo.Context) (*request, error) {
-	w, err := s.identify(c)
+	w, err := s.authenticate(c)
 	if err != nil {
 		return nil, err
 	}
-	r := &request{workspace: w, method: c.Request().Method, header: c.Request().Header, key: c.Request().Header.Get(headerKey), accepted: time.Now()}
-	r.callerKey = r.key != ""
-	if len(r.key) > maxKey || strings.HasPrefix(r.key, issuedPrefix) {
+	r := &request{workspace: w, method: c.Request().Method, header: c.Request().Header, key: c.Request().Header.Get(idempotencyKeyHeader), accepted: time.Now()}
+	r.hasCallerKey = r.key != ""
+	if len(r.key) > maxKeyBytes || strings.HasPrefix(r.key, issuedKeyPrefix) {
 		return nil, fault.New(fault.Malformed, `give a key of at most 200 bytes that does not begin with "vb-"`, "the idempotency key is not acceptable")
 	}
-	if !r.callerKey {
-		r.key = issuedPrefix + s.self.Name + keySeparator + randomID()
+	if !r.hasCallerKey {
+		r.key = issuedKeyPrefix + s.self.Name + issuedKeySeparator + randomID()
 	}
 	r.stream = w.Name + "-" + randomID()
-	r.known = s.marks.attempt(w.Name, r.key)
-	if err := s.setTimes(c, r); err != nil {
+	r.knownNotRunAttempt = s.notRun.newest(w.Name, r.key)
+	if err := s.setDeadlineAndTier(c, r); err != nil {
 		return nil, err
 	}
 	if err := s.readBody(c, r); err != nil {
-		r.giveBack()
+		r.releaseMemory()
 		return nil, err
 	}
 	return r, nil
 }
 
-// setTimes fills in deadline, tier and goodput time.
-func (s *Service) setTimes(c echo.Context, r *request) error {
+// setDeadlineAndTier sets the deadline, the tier and the goodput time.
+func (s *Service) setDeadlineAndTier(c echo.Context, r *request) error {
 	cfg := s.view.Snapshot().Config
 	ms := cfg.EffectiveTimeouts().RequestMS
-	if text := c.Request().Header.Get(headerTimeoutMS); text != "" {
+	if text := c.Request().Header.Get(timeoutHeader); text != "" {
 		n, err := strconv.ParseInt(text, 10, 64)
 		if err != nil || n < 1 {
-			return fault.New(fault.Malformed, "give whole milliseconds above zero", "%s is %q", headerTimeoutMS, text)
+			return fault.New(fault.Malformed, "give whole milliseconds above zero", "%s is %q", timeoutHeader, text)
 		}
 		ms = min(ms, n)
 	}
@@ -150,10 +158,10 @@
 	return nil
 }
 
-// entryOfKey returns the daemon that issued a key.
-func entryOfKey(key string) (string, bool) {
-	rest, ok := strings.CutPrefix(key, issuedPrefix)
-	i := strings.LastIndex(rest, keySeparator)
+// issuingEntry returns the name of the daemon that issued a key.
+func issuingEntry(key string) (string, bool) {
+	rest, ok := strings.CutPrefix(key, issuedKeyPrefix)
+	i := strings.LastIndex(rest, issuedKeySeparator)
 	if !ok || i < 0 {
 		return "", false
 	}
@@ -164,8 +172,9 @@
 	return strings.ToLower(rand.Text())
 }
 
-// digestOf hashes what makes two requests the same.
-func digestOf(parts ...[]byte) string {
+// hashParts returns the SHA-256 hash of the parts and their lengths, in hex. Two
+// requests with the same hash have the same content.
+func hashParts(parts ...[]byte) string {
 	h := sha256.New()
 	for _, p := range parts {
 		n := binary.LittleEndian.AppendUint64(nil, uint64(len(p)))
@@ -175,15 +184,16 @@
 	return hex.EncodeToString(h.Sum(nil))
 }
 
-// blocksOf hashes the prompt's leading blocks, each hash over all before.
-func blocksOf(prompt string, blockTokens int64) []uint64 {
+// prefixBlocks returns the hashes of the prompt's leading blocks, by which the
+// scheduler finds cached prefixes. Each hash covers all blocks up to its own.
+func prefixBlocks(prompt string, blockTokens int64) []uint64 {
 	if blockTokens == 0 {
 		blockTokens = defaultBlockTokens
 	}
 	size := int(blockTokens) * bytesPerToken
 	out := []uint64{}
 	h := sha256.New()
-	for len(prompt) >= size && len(out) < maxBlocks {
+	for len(prompt) >= size && len(out) < maxPrefixBlocks {
 		h.Write([]byte(prompt[:size]))
 		out = append(out, binary.LittleEndian.Uint64(h.Sum(nil)))
 		prompt = prompt[size:]
@@ -191,8 +201,8 @@
 	return out
 }
 
-// schedulable is what the scheduler sees of the request.
-func (r *request) schedulable(c *config.Config) port.Request {
+// schedulerRequest returns the request as the scheduler receives it.
+func (r *request) schedulerRequest(c *config.Config) port.Request {
 	out := port.Request{
 		Pool: r.pool, Workspace: r.workspace.Name, Operation: r.operation.Name,
 		PromptTokens: len(r.prompt)/bytesPerToken + 1, MaxTokens: r.maxTokens, Deadline: r.deadline,
@@ -200,7 +210,7 @@
 	raw, _ := hex.DecodeString(r.digest)
 	out.Fingerprint = binary.LittleEndian.Uint64(raw)
 	if m, ok := c.Model(r.pool); ok {
-		out.Blocks = blocksOf(r.prompt, m.BlockTokens)
+		out.Blocks = prefixBlocks(r.prompt, m.BlockTokens)
 	}
 	return out
 }
--- a/internal/entry/rig_test.go
+++ b/internal/entry/rig_test.go
@@ -28,26 +28,29 @@
 	"github.com/verbenastep/verbenastep/internal/settings"
 )
 
-// cluster is what several entries share: a log, a scheduler and members.
+// cluster implements the services that several entries share: the log, the
+// scheduler, the view, the members and the directory.
 type cluster struct {
 	mu      sync.Mutex
 	machine *state.Machine
-	// lost loses the answers of the next proposals, after they are committed.
-	lost int
-	// down makes the log refuse everything.
-	down     bool
-	pools    map[string]string
-	refuse   *fault.Error
-	members  []port.Member
-	events   []promise.Event
-	released []sched.Outcome
-	config   *config.Config
+	// lostReplies is the number of proposals that are committed but reported as
+	// failed.
+	lostReplies int
+	// logDown makes every call of the log fail.
+	logDown           bool
+	upstreamAddresses map[string]string
+	schedulerError    *fault.Error
+	members           []port.Member
+	events            []promise.Event
+	releaseOutcomes   []sched.Outcome
+	config            *config.Config
 }
 
-// newCluster returns a cluster whose events must keep all promises.
+// newCluster returns a cluster whose recorded events are checked against all
+// promises at the end of the test.
 func newCluster(t *testing.T) *cluster {
 	t.Helper()
-	c := &cluster{machine: state.New(), pools: map[string]string{}, config: &config.Config{
+	c := &cluster{machine: state.New(), upstreamAddresses: map[string]string{}, config: &config.Config{
 		Tiers:      []config.Tier{{Name: "top", GoodputMS: 60_000}},
 		Workspaces: []config.Workspace{{Name: "judging", Tier: "top", Keys: []string{config.HashKey("secret")}}, {Name: "other", Tier: "top", Keys: []string{config.HashKey("foreign")}}},
 		Models:     []config.Model{{Name: "logbook-model"}},
@@ -64,18 +67,18 @@
 	return c
 }
 
-var errDown = fault.New(fault.Unavailable, "retry", "the log did not answer").WithRan(fault.MayHaveRun)
+var errLogDown = fault.New(fault.Unavailable, "retry", "the log did not answer").WithRan(fault.MayHaveRun)
 
 func (c *cluster) Propose(_ context.Context, _ string, cmd state.Command) (state.Result, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.down {
-		return state.Result{}, errDown
+	if c.logDown {
+		return state.Result{}, errLogDown
 	}
 	r := c.machine.Apply(cmd)
-	if c.lost > 0 {
-		c.lost--
-		return state.Result{}, errDown
+	if c.lostReplies > 0 {
+		c.lostReplies--
+		return state.Result{}, errLogDown
 	}
 	return r, nil
 }
@@ -83,8 +86,8 @@
 func (c *cluster) Lookup(_ context.Context, _, workspace, key string) (state.Claim, bool, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.down {
-		return state.Claim{}, false, errDown
+	if c.logDown {
+		return state.Claim{}, false, errLogDown
 	}
 	claim, ok := c.machine.Claim(workspace, key)
 	return claim, ok, nil
@@ -101,16 +104,16 @@
 func (t *ticket) Release(r sched.Release) {
 	t.cluster.mu.Lock()
 	defer t.cluster.mu.Unlock()
-	t.cluster.released = append(t.cluster.released, r.Outcome)
+	t.cluster.releaseOutcomes = append(t.cluster.releaseOutcomes, r.Outcome)
 }
 
 func (c *cluster) Acquire(_ context.Context, r port.Request) (port.Ticket, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.refuse != nil {
-		return nil, c.refuse
+	if c.schedulerError != nil {
+		return nil, c.schedulerError
 	}
-	return &ticket{cluster: c, address: c.pools[r.Pool]}, nil
+	return &ticket{cluster: c, address: c.upstreamAddresses[r.Pool]}, nil
 }
 
 func (c *cluster) Snapshot() port.Snapshot        { return port.Snapshot{Version: 1, Config: c.config} }
@@ -147,7 +150,7 @@
 	c.events = append(c.events, e)
 }
 
-func (c *cluster) count(kind promise.Kind) int {
+func (c *cluster) countEvents(kind promise.Kind) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	n := 0
@@ -162,17 +165,17 @@
 func (c *cluster) outcomes() []sched.Outcome {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return append([]sched.Outcome{}, c.released...)
+	return append([]sched.Outcome{}, c.releaseOutcomes...)
 }
 
-// metricsOf is a fresh registry for each entry.
-type metricsOf struct{ registry *prometheus.Registry }
+// fakeMetrics is the metrics service of one entry.
+type fakeMetrics struct{ registry *prometheus.Registry }
 
-func (m metricsOf) Registerer() prometheus.Registerer { return m.registry }
-func (m metricsOf) Gatherer() prometheus.Gatherer     { return m.registry }
+func (m fakeMetrics) Registerer() prometheus.Registerer { return m.registry }
+func (m fakeMetrics) Gatherer() prometheus.Gatherer     { return m.registry }
 
-// shared registers a fake under a service's name.
-type shared struct {
+// fakeService registers a fake under the name of a service.
+type fakeService struct {
 	name string
 	port.Log
 	port.Scheduler
@@ -183,28 +186,28 @@
 	port.Directory
 }
 
-func (s shared) Name() string                                { return s.name }
-func (s shared) Needs() []string                             { return nil }
-func (s shared) Start(context.Context, *kernel.Kernel) error { return nil }
-func (s shared) Stop(context.Context) error                  { return nil }
-func (s shared) Health() error                               { return nil }
-func (s shared) Dump() any                                   { return nil }
+func (s fakeService) Name() string                                { return s.name }
+func (s fakeService) Needs() []string                             { return nil }
+func (s fakeService) Start(context.Context, *kernel.Kernel) error { return nil }
+func (s fakeService) Stop(context.Context) error                  { return nil }
+func (s fakeService) Health() error                               { return nil }
+func (s fakeService) Dump() any                                   { return nil }
 
-// entryRig is one entry with its own link.
-type entryRig struct {
+// testEntry is an entry with its own link.
+type testEntry struct {
 	*Service
 	cluster *cluster
 	url     string
 }
 
-// Record stamps the entry's events.
-func (e *entryRig) Record(event promise.Event) {
+// Record adds the entry's name to an event and records it.
+func (e *testEntry) Record(event promise.Event) {
 	event.Daemon = e.self.Name
 	e.cluster.Record(event)
 }
 
-// entry starts an entry daemon's part on loopback.
-func (c *cluster) entry(t *testing.T, name string) *entryRig {
+// startEntry starts an entry on loopback and adds it to the members.
+func (c *cluster) startEntry(t *testing.T, name string) *testEntry {
 	t.Helper()
 	set := &settings.Settings{Name: name, Addresses: settings.Addresses{Callers: "127.0.0.1:0", Peers: "127.0.0.1:0"}}
 	set.Limits = settings.Limits{BodyBytes: 4096, HeaderBytes: 4096, Connections: 32}
@@ -213,15 +216,15 @@
 	require.NoError(t, l.Start(t.Context(), k))
 	self := port.Holder{Name: name, Incarnation: 1, Address: l.Address()}
 	s := New(set, zap.NewNop(), self)
-	rig := &entryRig{Service: s, cluster: c}
-	fakes := []shared{
+	rig := &testEntry{Service: s, cluster: c}
+	fakes := []fakeService{
 		{name: port.NameLog, Log: c},
 		{name: port.NameScheduler, Scheduler: c},
 		{name: port.NameView, View: c},
 		{name: port.NameMembers, Members: c},
 		{name: port.NameDirectory, Directory: c},
 		{name: port.NameEvents, Events: rig},
-		{name: port.NameMetrics, Metrics: metricsOf{prometheus.NewRegistry()}},
+		{name: port.NameMetrics, Metrics: fakeMetrics{prometheus.NewRegistry()}},
 	}
 	for _, f := range fakes {
 		require.NoError(t, k.Register(f))
@@ -242,8 +245,9 @@
 	return rig
 }
 
-// crash ends the entry as a kill would: connections close, nothing is recorded.
-func (e *entryRig) crash() {
+// crash stops the entry as a killed process would: connections close, and nothing
+// is recorded in the log.
+func (e *testEntry) crash() {
 	e.cluster.mu.Lock()
 	e.cluster.members = slices.DeleteFunc(e.cluster.members, func(m port.Member) bool { return m.Name == e.self.Name })
 	e.cluster.mu.Unlock()
@@ -253,25 +257,26 @@
 	_ = e.link.(*link.Service).Stop(context.Background())
 }
 
-// reply is what a caller got.
-type reply struct {
+// response is an HTTP response with its body read.
+type response struct {
 	status int
 	header http.Header
 	body   string
 }
 
-// do sends one request; headers are given as name, value pairs.
-func (e *entryRig) do(t *testing.T, method, path, body string, headers ...string) reply {
+// do sends a request and returns the response. Headers are pairs of name and
+// value.
+func (e *testEntry) do(t *testing.T, method, path, body string, headers ...string) response {
 	t.Helper()
 	out, err := e.try(method, path, body, headers...)
 	require.NoError(t, err)
 	return out
 }
 
-func (e *entryRig) try(method, path, body string, headers ...string) (reply, error) {
+func (e *testEntry) try(method, path, body string, headers ...string) (response, error) {
 	req, err := http.NewRequest(method, e.url+path, strings.NewReader(body))
 	if err != nil {
-		return reply{}, err
+		return response{}, err
 	}
 	req.Header.Set("Authorization", "Bearer secret")
 	for i := 0; i+1 < len(headers); i += 2 {
@@ -280,18 +285,18 @@
 	client := http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 	resp, err := client.Do(req)
 	if err != nil {
-		return reply{}, err
+		return response{}, err
 	}
 	defer resp.Body.Close()
 	data, err := io.ReadAll(resp.Body)
-	return reply{status: resp.StatusCode, header: resp.Header, body: string(data)}, err
+	return response{status: resp.StatusCode, header: resp.Header, body: string(data)}, err
 }
 
 func chatBody(prompt string, stream bool) string {
 	return fmt.Sprintf(`{"model":"logbook-model","messages":[{"role":"user","content":%q}],"stream":%v}`, prompt, stream)
 }
 
-// faultOf reads an error body.
+// faultOf decodes an error body.
 func faultOf(t *testing.T, body string) *fault.Error {
 	t.Helper()
 	out := struct {
@@ -302,8 +307,9 @@
 	return out.Error
 }
 
-// text joins the deltas of an event stream and tells whether it has its end.
-func text(body string) (string, bool) {
+// joinDeltas returns the text of an event stream and whether the stream has its
+// end marker.
+func joinDeltas(body string) (string, bool) {
 	b := strings.Builder{}
 	whole := false
 	lines := bufio.NewScanner(strings.NewReader(body))
--- a/internal/entry/services.go
+++ b/internal/entry/services.go
@@ -8,16 +8,16 @@
 	"github.com/verbenastep/verbenastep/api/fault"
 )
 
-// passedHeaders are the caller's headers that a plain service receives.
-var passedHeaders = []string{"Accept", "Accept-Language", "Content-Type", "If-Match", "If-None-Match"}
+// forwardedHeaders are the request headers that a service receives.
+var forwardedHeaders = []string{"Accept", "Accept-Language", "Content-Type", "If-Match", "If-None-Match"}
 
-// call serves one call on a plain service.
-func (s *Service) call(c echo.Context) error {
+// serveServiceCall handles a request to a service.
+func (s *Service) serveServiceCall(c echo.Context) error {
 	r, err := s.prepare(c)
 	if err != nil {
 		return err
 	}
-	defer r.giveBackUnlessRunning()
+	defer r.releaseMemoryUnlessSubmitted()
 	svc, ok := s.view.Snapshot().Config.Service(c.Param("service"))
 	if !ok {
 		return fault.New(fault.NotFound, "check the service's name", "service %q is not declared", c.Param("service"))
@@ -27,29 +27,30 @@
 	if !ok {
 		return fault.New(fault.NotFound, "check method and path against the declared operations", "service %q has no operation %s %s", svc.Name, r.method, path)
 	}
-	if !op.Idempotent && !op.KeyOptional && !r.callerKey {
+	if !op.Idempotent && !op.KeyOptional && !r.hasCallerKey {
 		return fault.New(fault.KeyRequired, "send an Idempotency-Key", "operation %q of service %q may not be repeated", op.Name, svc.Name)
 	}
-	r.plain = true
+	r.plainService = true
 	r.pool = svc.Name
 	r.operation = op
 	r.path = path
 	if q := c.Request().URL.RawQuery; q != "" {
 		r.path += "?" + q
 	}
-	r.header = passed(r.header)
-	r.form = plainForm
-	r.digest = digestOf([]byte(svc.Name), []byte(r.method), []byte(r.path), r.body)
+	r.header = selectHeaders(r.header)
+	r.form = serviceForm
+	r.digest = hashParts([]byte(svc.Name), []byte(r.method), []byte(r.path), r.body)
 	a, err := s.submit(r)
 	if err != nil {
 		return err
 	}
-	return s.answerCaller(c, r, a, false, 0)
+	return s.writeAnswer(c, r, a, false, 0)
 }
 
-func passed(from http.Header) http.Header {
+// selectHeaders returns the headers that are forwarded to a service.
+func selectHeaders(from http.Header) http.Header {
 	out := http.Header{}
-	for _, name := range passedHeaders {
+	for _, name := range forwardedHeaders {
 		if v := from.Get(name); v != "" {
 			out.Set(name, v)
 		}
--- a/internal/entry/stream_test.go
+++ b/internal/entry/stream_test.go
@@ -18,25 +18,25 @@
 	"github.com/verbenastep/verbenastep/internal/standin"
 )
 
-// runner starts a stand-in engine for the cluster's model.
-func (c *cluster) runner(t *testing.T, decode float64) *standin.Runner {
+// startRunner starts a simulated engine for the cluster's model.
+func (c *cluster) startRunner(t *testing.T, decode float64) *standin.Runner {
 	t.Helper()
 	r := standin.NewRunner(upstream.Announcement{Name: "up-1", Pool: "logbook-model", Address: "127.0.0.1:0", Slots: 8}, standin.Speed{PrefillPerSecond: 1e6, DecodePerSecond: decode})
 	require.NoError(t, r.Listen())
 	t.Cleanup(r.Close)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.pools["logbook-model"] = r.Self.Address
+	c.upstreamAddresses["logbook-model"] = r.Self.Address
 	return r
 }
 
-// service starts a stand-in plain service.
-func (c *cluster) service(t *testing.T, pause time.Duration) *standin.Service {
+// startService starts a simulated service that responds after pause.
+func (c *cluster) startService(t *testing.T, pause time.Duration) *standin.Service {
 	t.Helper()
 	s := standin.NewService(upstream.Announcement{Name: "up-1", Pool: "register-api", Address: "127.0.0.1:0"}, pause)
 	require.NoError(t, s.Listen())
 	t.Cleanup(s.Close)
-	c.pools["register-api"] = s.Self.Address
+	c.upstreamAddresses["register-api"] = s.Self.Address
 	return s
 }
 
@@ -48,40 +48,40 @@
 	return n
 }
 
-// answerTo is the stand-in's answer to a chat of one turn.
+// answerTo returns the simulated engine's answer to a chat of one message.
 func answerTo(content string) string {
 	return standin.AnswerTo("user: "+content+"\n", defaultMaxTokens)
 }
 
-// TestSpoiledStreams: whatever one connection does, the caller gets the whole
-// answer and the engine runs the request once.
-func TestSpoiledStreams(t *testing.T) {
+// TestFaultyConnections checks that under every fault of single connections the
+// caller gets the complete answer and the engine runs the request once.
+func TestFaultyConnections(t *testing.T) {
 	faults := []standin.Fault{"", standin.Silent, standin.Cut, standin.Truncated, standin.Crossed, standin.Doubled, standin.Late, standin.Early}
 	for _, f := range faults {
 		t.Run("fault "+string(f), func(t *testing.T) {
 			t.Parallel()
 			c := newCluster(t)
-			r := c.runner(t, 500)
+			r := c.startRunner(t, 500)
 			r.SetPlan(standin.Plan{Fault: f, AfterFrames: 3, Connections: 2})
-			e := c.entry(t, "entry-1")
+			e := c.startEntry(t, "entry-1")
 			got := e.do(t, "POST", "/v1/chat/completions", chatBody("draft #8", true), "Idempotency-Key", "k1")
 			require.Equal(t, http.StatusOK, got.status, got.body)
-			answer, whole := text(got.body)
+			answer, whole := joinDeltas(got.body)
 			require.True(t, whole)
 			require.Equal(t, answerTo("draft #8"), answer)
 			require.Equal(t, 1, total(r.Executions()))
 			require.Equal(t, []sched.Outcome{sched.Completed}, c.outcomes())
-			require.Equal(t, 1, c.count(promise.Dispatch))
+			require.Equal(t, 1, c.countEvents(promise.Dispatch))
 		})
 	}
 }
 
-// TestEngineGone: the caller is told that the outcome is unknown; the stream
-// has no end that looks whole, and the key never runs again.
-func TestEngineGone(t *testing.T) {
+// TestEngineLost checks that after the loss of an engine the outcome is unknown,
+// the stream has no end marker, and the key never runs again.
+func TestEngineLost(t *testing.T) {
 	c := newCluster(t)
-	r := c.runner(t, 50)
-	e := c.entry(t, "entry-1")
+	r := c.startRunner(t, 50)
+	e := c.startEntry(t, "entry-1")
 	go func() {
 		for total(r.Executions()) == 0 {
 			time.Sleep(time.Millisecond)
@@ -90,35 +90,37 @@
 		r.Close()
 	}()
 	got := e.do(t, "POST", "/v1/chat/completions", chatBody("draft #400", true), "Idempotency-Key", "k1")
-	begun, whole := text(got.body)
+	begun, whole := joinDeltas(got.body)
 	require.NotEmpty(t, begun)
 	require.False(t, whole)
 	require.Contains(t, got.body, string(fault.Unknown))
-	back := c.runner(t, 500)
+	back := c.startRunner(t, 500)
 	again := e.do(t, "POST", "/v1/chat/completions", chatBody("draft #400", false), "Idempotency-Key", "k1")
 	require.Equal(t, fault.MayHaveRun, faultOf(t, again.body).Ran)
 	require.Zero(t, total(back.Executions()))
 	require.Equal(t, []sched.Outcome{sched.ConnectionLost}, c.outcomes())
 }
 
-func TestCrashingPromptIsUnknown(t *testing.T) {
+// TestPromptCrashesEngine checks that the outcome of a prompt that crashes its
+// engine is unknown.
+func TestPromptCrashesEngine(t *testing.T) {
 	c := newCluster(t)
-	r := c.runner(t, 500)
+	r := c.startRunner(t, 500)
 	r.SetPlan(standin.Plan{CrashOn: "poison"})
-	e := c.entry(t, "entry-1")
+	e := c.startEntry(t, "entry-1")
 	got := e.do(t, "POST", "/v1/chat/completions", chatBody("poison", false))
 	f := faultOf(t, got.body)
 	require.Equal(t, fault.Unknown, f.Kind)
 	require.Equal(t, fault.MayHaveRun, f.Ran)
 }
 
-// TestEngineRefusal: a runner that refuses has received the request, so that
-// its key is used up and not run is not claimed.
-func TestEngineRefusal(t *testing.T) {
+// TestRunnerRefusal checks that a key is used up once a runner refused its
+// request. The runner has received the request, so it is not reported as not run.
+func TestRunnerRefusal(t *testing.T) {
 	c := newCluster(t)
-	r := c.runner(t, 500)
+	r := c.startRunner(t, 500)
 	r.SetPlan(standin.Plan{Fault: standin.Refuse})
-	e := c.entry(t, "entry-1")
+	e := c.startEntry(t, "entry-1")
 	got := e.do(t, "POST", "/v1/chat/completions", chatBody("draft #8", false), "Idempotency-Key", "k1")
 	require.Equal(t, fault.MayHaveRun, faultOf(t, got.body).Ran)
 	require.Equal(t, "1", got.header.Get("Retry-After"))
@@ -126,16 +128,17 @@
 	again := e.do(t, "POST", "/v1/chat/completions", chatBody("draft #8", false), "Idempotency-Key", "k1")
 	require.Equal(t, fault.Unknown, faultOf(t, again.body).Kind)
 	require.Zero(t, total(r.Executions()))
-	require.Equal(t, 1, c.count(promise.Dispatch))
+	require.Equal(t, 1, c.countEvents(promise.Dispatch))
 	other := e.do(t, "POST", "/v1/chat/completions", chatBody("draft #8", false), "Idempotency-Key", "k2")
 	require.Equal(t, http.StatusOK, other.status, other.body)
 }
 
-// TestCallerGone: an unkeyed request frees its slot and cancels its stream.
-func TestCallerGone(t *testing.T) {
+// TestCallerDisconnects checks that a request without a caller's key releases its
+// slot and cancels its stream when the caller disconnects.
+func TestCallerDisconnects(t *testing.T) {
 	c := newCluster(t)
-	r := c.runner(t, 20)
-	e := c.entry(t, "entry-1")
+	r := c.startRunner(t, 20)
+	e := c.startEntry(t, "entry-1")
 	client := http.Client{Timeout: 200 * time.Millisecond}
 	req, err := http.NewRequest("POST", e.url+"/v1/chat/completions", strings.NewReader(chatBody("draft #4000", true)))
 	require.NoError(t, err)
@@ -153,19 +156,19 @@
 	require.Eventually(t, func() bool { return r.Canceled(stream) }, 5*time.Second, 10*time.Millisecond)
 }
 
-// TestPickUp: an answer is read at another entry, by caller's and issued keys,
-// from any offset, byte for byte; a foreign workspace finds nothing.
-func TestPickUp(t *testing.T) {
+// TestGetAnswer checks that an answer can be read at either entry, by a caller's
+// or an issued key, from an offset and as JSON, and not by another workspace.
+func TestGetAnswer(t *testing.T) {
 	c := newCluster(t)
-	r := c.runner(t, 100)
-	one, two := c.entry(t, "entry-1"), c.entry(t, "entry-2")
+	r := c.startRunner(t, 100)
+	one, two := c.startEntry(t, "entry-1"), c.startEntry(t, "entry-2")
 	for _, key := range []string{"", "mine"} {
 		want := answerTo("draft " + key + " #8")
 		first := one.do(t, "POST", "/v1/chat/completions", chatBody("draft "+key+" #8", true), "Idempotency-Key", key)
 		issued := first.header.Get("Verbenastep-Request")
-		for _, e := range []*entryRig{one, two} {
+		for _, e := range []*testEntry{one, two} {
 			rest := e.do(t, "GET", "/v1/answers/"+issued+"?offset=6", "")
-			answer, whole := text(rest.body)
+			answer, whole := joinDeltas(rest.body)
 			require.True(t, whole, rest.body)
 			require.Equal(t, want[6:], answer)
 			require.Equal(t, http.StatusNotFound, e.do(t, "GET", "/v1/answers/"+issued, "", "Authorization", "Bearer foreign").status)
@@ -177,45 +180,45 @@
 	require.Equal(t, 2, total(r.Executions()))
 }
 
-// TestOwnerGone: after the entry that dispatched is gone, another one resumes
-// the engine's stream.
-func TestOwnerGone(t *testing.T) {
+// TestStreamResumedAfterOwnerCrash checks that another entry resumes the engine's
+// stream after the entry that dispatched it crashed.
+func TestStreamResumedAfterOwnerCrash(t *testing.T) {
 	c := newCluster(t)
-	r := c.runner(t, 100)
-	one, two := c.entry(t, "entry-1"), c.entry(t, "entry-2")
+	r := c.startRunner(t, 100)
+	one, two := c.startEntry(t, "entry-1"), c.startEntry(t, "entry-2")
 	one.do(t, "POST", "/v1/chat/completions", chatBody("draft #8", true), "Idempotency-Key", "k1")
 	one.crash()
 	again := two.do(t, "POST", "/v1/chat/completions", chatBody("draft #8", true), "Idempotency-Key", "k1")
-	answer, whole := text(again.body)
+	answer, whole := joinDeltas(again.body)
 	require.True(t, whole, again.body)
 	require.Equal(t, answerTo("draft #8"), answer)
 	require.Equal(t, 1, total(r.Executions()))
 }
 
-// TestLeavingEngine: a leaving engine's stream moves with its cache to another
-// one, or stays where that one refuses; no byte is missing and nothing is
-// computed again.
+// TestLeavingEngine checks that the stream of a leaving engine moves with its KV
+// cache to another engine, or stays if that one refuses, without missing bytes or
+// a second execution.
 func TestLeavingEngine(t *testing.T) {
 	for _, plan := range []standin.Plan{{}, {Fault: standin.Refuse}} {
 		t.Run("target "+string(plan.Fault), func(t *testing.T) {
 			c := newCluster(t)
-			from := c.runner(t, 40)
-			e := c.entry(t, "entry-1")
-			told := make(chan reply, 1)
+			from := c.startRunner(t, 40)
+			e := c.startEntry(t, "entry-1")
+			told := make(chan response, 1)
 			go func() {
 				got, _ := e.try("POST", "/v1/chat/completions", chatBody("draft #40", true), "Idempotency-Key", "k1")
 				told <- got
 			}()
 			require.Eventually(t, func() bool { return total(from.Executions()) == 1 }, 5*time.Second, time.Millisecond)
-			to := c.runner(t, 500)
+			to := c.startRunner(t, 500)
 			to.SetPlan(plan)
 			from.Leave()
 			got := <-told
-			answer, whole := text(got.body)
+			answer, whole := joinDeltas(got.body)
 			require.True(t, whole, got.body)
 			require.Equal(t, answerTo("draft #40"), answer)
 			moved := plan.Fault == ""
-			require.Equal(t, moved, testutil.ToFloat64(e.observer.movedSum) == 1)
+			require.Equal(t, moved, testutil.ToFloat64(e.observer.streamsMoved) == 1)
 			require.Zero(t, total(to.Executions()))
 			require.Equal(t, 1, total(from.Executions()))
 			require.Len(t, c.outcomes(), 2)
@@ -223,13 +226,13 @@
 	}
 }
 
-// TestForcedStopSaysNothing: a stop that may not wait cuts its callers off; the
-// answer goes on at another entry.
-func TestForcedStopSaysNothing(t *testing.T) {
+// TestForcedStop checks that a stop without time to wait closes the callers'
+// connections without an error, and that another entry continues the answer.
+func TestForcedStop(t *testing.T) {
 	c := newCluster(t)
-	r := c.runner(t, 50)
-	one, two := c.entry(t, "entry-1"), c.entry(t, "entry-2")
-	told := make(chan reply, 1)
+	r := c.startRunner(t, 50)
+	one, two := c.startEntry(t, "entry-1"), c.startEntry(t, "entry-2")
+	told := make(chan response, 1)
 	go func() {
 		got, _ := one.try("POST", "/v1/chat/completions", chatBody("draft #40", true), "Idempotency-Key", "k1")
 		told <- got
@@ -241,28 +244,28 @@
 	one.Record(promise.Event{Kind: promise.Crashed})
 	require.Error(t, one.Stop(now))
 	cut := <-told
-	before, whole := text(cut.body)
+	before, whole := joinDeltas(cut.body)
 	require.False(t, whole)
 	require.NotContains(t, cut.body, `"error"`)
 	rest := two.do(t, "GET", fmt.Sprintf("/v1/answers/k1?offset=%d", len(before)), "")
-	after, whole := text(rest.body)
+	after, whole := joinDeltas(rest.body)
 	require.True(t, whole, rest.body)
 	require.Equal(t, answerTo("draft #40"), before+after)
 	require.Equal(t, 1, total(r.Executions()))
 }
 
-// TestForcedStopUnderAFetch: a caller that reads a running answer through
-// another entry gets the rest of it when the entry that dispatched is stopped
-// by force.
-func TestForcedStopUnderAFetch(t *testing.T) {
+// TestForcedStopDuringFetch checks that a caller which reads a running answer
+// through another entry gets the rest of it after a forced stop of the entry that
+// dispatched it.
+func TestForcedStopDuringFetch(t *testing.T) {
 	c := newCluster(t)
-	r := c.runner(t, 50)
-	one, two := c.entry(t, "entry-1"), c.entry(t, "entry-2")
+	r := c.startRunner(t, 50)
+	one, two := c.startEntry(t, "entry-1"), c.startEntry(t, "entry-2")
 	go func() {
 		_, _ = one.try("POST", "/v1/chat/completions", chatBody("draft #40", true), "Idempotency-Key", "k1")
 	}()
 	require.Eventually(t, func() bool { return total(r.Executions()) == 1 }, 5*time.Second, time.Millisecond)
-	joined := make(chan reply, 1)
+	joined := make(chan response, 1)
 	go func() {
 		got, _ := two.try("POST", "/v1/chat/completions", chatBody("draft #40", true), "Idempotency-Key", "k1")
 		joined <- got
@@ -274,7 +277,7 @@
 	require.Error(t, one.Stop(now))
 	one.crash()
 	got := <-joined
-	answer, whole := text(got.body)
+	answer, whole := joinDeltas(got.body)
 	require.True(t, whole, got.body)
 	require.Equal(t, answerTo("draft #40"), answer)
 	require.Equal(t, 1, total(r.Executions()))
--- a/internal/entry/write.go
+++ b/internal/entry/write.go
@@ -18,25 +18,27 @@
 	"github.com/verbenastep/verbenastep/internal/answer"
 )
 
-// Forms in which an answer is written.
+// Response formats. serviceForm writes a service's reply unchanged.
 const (
-	chatForm  = "chat.completion"
-	textForm  = "text_completion"
-	plainForm = "service"
+	chatForm    = "chat.completion"
+	textForm    = "text_completion"
+	serviceForm = "service"
 )
 
 const (
-	// writeTimeout bounds writing one piece to a caller.
+	// writeTimeout limits one write to a caller.
 	writeTimeout = 10 * time.Second
-	// pieceBytes is the largest piece written at once.
-	pieceBytes = 32 << 10
-	// commentEvery is the longest pause between two lines of an event stream.
-	commentEvery = time.Second
-	// queueGrace is how long a stream's status stays open for a refusal.
-	queueGrace = 5 * time.Second
+	// maxEventTextBytes is the maximum length of the text of one event.
+	maxEventTextBytes = 32 << 10
+	// keepAliveInterval is the maximum interval between two lines of an event
+	// stream; comment lines fill longer pauses.
+	keepAliveInterval = time.Second
+	// maxStatusDelay is how long the status of an event stream is held back, so
+	// that a refusal in this time still gets its own HTTP status.
+	maxStatusDelay = 5 * time.Second
 )
 
-// choice is one element of an answer's choices.
+// choice is an element of the choices of a completion.
 type choice struct {
 	Index        int      `json:"index"`
 	Message      *message `json:"message,omitempty"`
@@ -45,17 +47,21 @@
 	FinishReason *string  `json:"finish_reason"`
 }
 
+// delta is the text that an event adds to a chat message.
 type delta struct {
 	Role    string `json:"role,omitempty"`
 	Content string `json:"content,omitempty"`
 }
 
+// usage holds the token counts of a completion.
 type usage struct {
 	PromptTokens     int `json:"prompt_tokens"`
 	CompletionTokens int `json:"completion_tokens"`
 	TotalTokens      int `json:"total_tokens"`
 }
 
+// completionAnswer is the body of a completion response and of each event of a
+// streamed one.
 type completionAnswer struct {
 	ID      string   `json:"id"`
 	Object  string   `json:"object"`
@@ -65,7 +71,7 @@
 	Usage   *usage   `json:"usage,omitempty"`
 }
 
-// usageMode says whether a stream ends with the token counts.
+// usageMode selects whether a stream ends with the token counts.
 type usageMode int
 
 const withUsage usageMode = 1
@@ -77,49 +83,54 @@
 	return 0
 }
 
-// writer gives one caller an answer.
+// writer writes an answer to one caller. written hashes the text written so far,
+// and offset is the position in the answer after it.
 type writer struct {
-	c      echo.Context
-	answer *answer.Answer
-	reader *answer.Reader
-	form   string
-	usage  usageMode
-	offset int64
-	got    hash.Hash
+	c       echo.Context
+	answer  *answer.Answer
+	reader  *answer.Reader
+	form    string
+	usage   usageMode
+	offset  int64
+	written hash.Hash
 }
 
 func newWriter(c echo.Context, a *answer.Answer, offset int64) *writer {
-	return &writer{c: c, answer: a, reader: a.Attach(offset), form: a.Meta().Form, offset: offset, got: sha256.New()}
+	return &writer{c: c, answer: a, reader: a.Attach(offset), form: a.Meta().Form, offset: offset, written: sha256.New()}
 }
 
-// errCut says that the caller's connection must not look as if all was well.
-var errCut = errors.New("the answer is cut")
+// errTruncated reports that the event stream to the caller broke. No error is
+// written after it.
+var errTruncated = errors.New("writing the event stream to the caller failed")
 
-// answerCaller writes an answer to the caller who sent the request.
-func (s *Service) answerCaller(c echo.Context, r *request, a *answer.Answer, stream bool, u usageMode) error {
+// writeAnswer writes an answer to the caller that sent the request and records
+// the outcome.
+func (s *Service) writeAnswer(c echo.Context, r *request, a *answer.Answer, stream bool, u usageMode) error {
 	w := newWriter(c, a, 0)
 	defer w.reader.Close()
 	w.form = r.form
 	w.usage = u
-	c.Response().Header().Set(headerRequest, r.key)
+	c.Response().Header().Set(requestKeyHeader, r.key)
 	err := w.write(stream)
-	s.observer.told(r, a, err, hex.EncodeToString(w.got.Sum(nil)))
-	if errors.Is(err, errCut) {
+	s.observer.recordOutcome(r, a, err, hex.EncodeToString(w.written.Sum(nil)))
+	if errors.Is(err, errTruncated) {
 		return nil
 	}
 	return err
 }
 
+// write writes the answer in the writer's format.
 func (w *writer) write(stream bool) error {
 	switch {
-	case w.form == plainForm:
+	case w.form == serviceForm:
 		return w.writeReply()
 	case stream:
 		return w.writeStream()
 	}
-	return w.writeWhole()
+	return w.writeJSONBody()
 }
 
+// envelope returns a response body with the answer's metadata.
 func (w *writer) envelope(object string, choices ...choice) completionAnswer {
 	m := w.answer.Meta()
 	if choices == nil {
@@ -132,13 +143,13 @@
 	return &usage{PromptTokens: r.PromptTokens, CompletionTokens: r.OutputTokens, TotalTokens: r.PromptTokens + r.OutputTokens}
 }
 
-// writeWhole waits for the end and writes one JSON object.
-func (w *writer) writeWhole() error {
+// writeJSONBody waits for the end of the answer and writes it as one JSON object.
+func (w *writer) writeJSONBody() error {
 	text, p, err := w.readAll()
 	if err != nil {
 		return err
 	}
-	ch := choice{FinishReason: &p.Result.Finish}
+	ch := choice{FinishReason: &p.Result.FinishReason}
 	if w.form == chatForm {
 		ch.Message = &message{Role: "assistant", Content: content(text)}
 	} else {
@@ -146,21 +157,22 @@
 	}
 	out := w.envelope(w.form, ch)
 	out.Usage = usageOf(p.Result)
-	w.deadline()
+	w.extendWriteDeadline()
 	return w.c.JSON(http.StatusOK, out)
 }
 
-// writeReply waits for the end and writes a plain service's reply.
+// writeReply waits for the end of the answer and writes it as a service's reply.
 func (w *writer) writeReply() error {
 	text, p, err := w.readAll()
 	if err != nil {
 		return err
 	}
-	w.deadline()
+	w.extendWriteDeadline()
 	return w.c.Blob(p.Result.Status, p.Result.ContentType, []byte(text))
 }
 
-func (w *writer) readAll() (string, answer.Piece, error) {
+// readAll reads the answer to its end and returns its text and last chunk.
+func (w *writer) readAll() (string, answer.Chunk, error) {
 	b := strings.Builder{}
 	for {
 		p, err := w.reader.Read(w.c.Request().Context(), 0)
@@ -168,7 +180,7 @@
 			return "", p, offsetFault(err)
 		}
 		b.Write(p.Data)
-		w.got.Write(p.Data)
+		w.written.Write(p.Data)
 		if p.Failure != nil {
 			return "", p, p.Failure
 		}
@@ -178,33 +190,33 @@
 	}
 }
 
-// offsetFault words an offset beyond the answer's end.
+// offsetFault converts an OffsetError to the error for the caller.
 func offsetFault(err error) error {
 	beyond := (*answer.OffsetError)(nil)
 	if errors.As(err, &beyond) {
-		return fault.New(fault.Malformed, "give the offset that was received last", "the offset %d is beyond the answer's %d bytes", beyond.Got, beyond.Have)
+		return fault.New(fault.Malformed, "give the offset that was received last", "the offset %d is beyond the answer's %d bytes", beyond.Offset, beyond.Length)
 	}
 	return err
 }
 
-// deadline bounds the next write.
-func (w *writer) deadline() {
+// extendWriteDeadline sets the deadline of the next write.
+func (w *writer) extendWriteDeadline() {
 	_ = http.NewResponseController(w.c.Response()).SetWriteDeadline(time.Now().Add(writeTimeout))
 }
 
-// writeStream writes server-sent events. Each event's id is the offset after
-// it, in bytes, so that a caller knows where to resume; comment lines between
-// show that the connection lives.
+// writeStream writes the answer as server-sent events. The id of each event is
+// the offset after it, in bytes, from which the caller can resume. Comment lines
+// keep the connection alive while there is no text.
 func (w *writer) writeStream() error {
 	ctx := w.c.Request().Context()
 	select {
 	case <-w.answer.Begun():
-	case <-time.After(queueGrace):
+	case <-time.After(maxStatusDelay):
 	case <-ctx.Done():
 		return ctx.Err()
 	}
 	for {
-		p, err := w.reader.Read(ctx, commentEvery)
+		p, err := w.reader.Read(ctx, keepAliveInterval)
 		if err != nil {
 			return offsetFault(err)
 		}
@@ -214,12 +226,12 @@
 		if w.offset > 0 && p.Offset == w.offset && len(p.Data) > 0 && !utf8.RuneStart(p.Data[0]) {
 			return fault.New(fault.Malformed, "give an offset that an event's id named", "the offset %d lies inside a character", w.offset)
 		}
-		w.open()
-		if err := w.writePiece(p); err != nil {
+		w.writeHeader()
+		if err := w.writeChunk(p); err != nil {
 			return err
 		}
 		if p.Failure != nil {
-			w.event(errorBody{Error: p.Failure})
+			w.writeEvent(errorBody{Error: p.Failure})
 			w.c.Response().Flush()
 			return p.Failure
 		}
@@ -230,61 +242,65 @@
 	}
 }
 
-// open sends the header, and the role that begins a chat.
-func (w *writer) open() {
+// writeHeader writes the response header and, at the start of a chat, the event
+// with the assistant's role. It does nothing once the header is written.
+func (w *writer) writeHeader() {
 	resp := w.c.Response()
 	if resp.Committed {
 		return
 	}
-	w.deadline()
+	w.extendWriteDeadline()
 	resp.Header().Set(echo.HeaderContentType, "text/event-stream")
 	resp.Header().Set("Cache-Control", "no-store")
 	resp.WriteHeader(http.StatusOK)
 	if w.form == chatForm && w.offset == 0 {
-		w.event(w.envelope(chunkObject(w.form), choice{Delta: &delta{Role: "assistant"}}))
+		w.writeEvent(w.envelope(chunkObject(w.form), choice{Delta: &delta{Role: "assistant"}}))
 	}
 }
 
-// writePiece writes one piece in parts, each ending with a whole character.
-func (w *writer) writePiece(p answer.Piece) error {
+// writeChunk writes a chunk as one or more events, each of which ends with a
+// complete character, or a comment line if the chunk is empty.
+func (w *writer) writeChunk(p answer.Chunk) error {
 	if len(p.Data) == 0 && !p.Ended {
-		w.deadline()
+		w.extendWriteDeadline()
 		_, err := w.c.Response().Write([]byte(": waiting\n\n"))
 		return err
 	}
 	data := p.Data
 	for len(data) > 0 {
-		n := partLength(data)
+		n := eventTextLength(data)
 		w.offset += int64(n)
-		if err := w.event(w.envelope(chunkObject(w.form), pieceChoice(w.form, string(data[:n]), nil))); err != nil {
+		if err := w.writeEvent(w.envelope(chunkObject(w.form), chunkChoice(w.form, string(data[:n]), nil))); err != nil {
 			return err
 		}
-		w.got.Write(data[:n])
+		w.written.Write(data[:n])
 		data = data[n:]
 	}
 	return nil
 }
 
-func partLength(data []byte) int {
-	if len(data) <= pieceBytes {
+// eventTextLength returns how many leading bytes of data go into the next event.
+func eventTextLength(data []byte) int {
+	if len(data) <= maxEventTextBytes {
 		return len(data)
 	}
-	n := pieceBytes
-	for n > pieceBytes-utf8.UTFMax && !utf8.RuneStart(data[n]) {
+	n := maxEventTextBytes
+	for n > maxEventTextBytes-utf8.UTFMax && !utf8.RuneStart(data[n]) {
 		n--
 	}
 	return n
 }
 
-// close writes the explicit end.
+// close writes the finish reason, the token counts if requested, and the end
+// marker.
 func (w *writer) close(r answer.Result) error {
-	if err := w.event(w.envelope(chunkObject(w.form), pieceChoice(w.form, "", &r.Finish))); err != nil {
+	if err := w.writeEvent(w.envelope(chunkObject(w.form), chunkChoice(w.form, "", &r.FinishReason))); err != nil {
 		return err
 	}
 	if w.usage == withUsage {
 		out := w.envelope(chunkObject(w.form))
 		out.Usage = usageOf(r)
-		if err := w.event(out); err != nil {
+		if err := w.writeEvent(out); err != nil {
 			return err
 		}
 	}
@@ -293,6 +309,7 @@
 	return err
 }
 
+// chunkObject returns the object type of a streamed event.
 func chunkObject(form string) string {
 	if form == chatForm {
 		return "chat.completion.chunk"
@@ -300,22 +317,23 @@
 	return textForm
 }
 
-func pieceChoice(form, text string, finish *string) choice {
+// chunkChoice returns the choice of a streamed event.
+func chunkChoice(form, text string, finish *string) choice {
 	if form == chatForm {
 		return choice{Delta: &delta{Content: text}, FinishReason: finish}
 	}
 	return choice{Text: &text, FinishReason: finish}
 }
 
-// event writes one event within the write deadline.
-func (w *writer) event(body any) error {
+// writeEvent writes body as one event and sets the write deadline for it.
+func (w *writer) writeEvent(body any) error {
 	data, err := json.Marshal(body)
 	if err != nil {
 		return err
 	}
-	w.deadline()
+	w.extendWriteDeadline()
 	if _, err := fmt.Fprintf(w.c.Response(), "id: %d\ndata: %s\n\n", w.offset, data); err != nil {
-		return fmt.Errorf("%w: %w", errCut, err)
+		return fmt.Errorf("%w: %w", errTruncated, err)
 	}
 	return nil
 }
