--- a/internal/entry/fuzz_test.go
+++ b/internal/entry/fuzz_test.go
@@ -33,8 +33,8 @@
 		}
 		require.NotEmpty(t, r.prompt)
 		require.True(t, r.maxTokens > 0 && r.maxTokens <= 100)
-		again, err := shape(data)
+		repeated, err := shape(data)
 		require.NoError(t, err)
-		require.Equal(t, r.digest, again.digest)
+		require.Equal(t, r.digest, repeated.digest)
 	})
 }
--- a/internal/entry/marks.go
+++ b/internal/entry/marks.go
@@ -27,9 +27,9 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	id := requestID{workspace, key}
-	old, again := m.attempts[id]
-	m.attempts[id] = max(old, attempt, 1)
-	if again {
+	previous, known := m.attempts[id]
+	m.attempts[id] = max(previous, attempt, 1)
+	if known {
 		return
 	}
 	m.order = append(m.order, id)
--- a/internal/entry/memory_test.go
+++ b/internal/entry/memory_test.go
@@ -18,25 +18,25 @@
 func TestMemoryIsGrantedByTier(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := newMemoryPool(10)
-		back, err := m.acquire(t.Context(), 2, 10)
+		release, err := m.acquire(t.Context(), 2, 10)
 		require.NoError(t, err)
 		order := make(chan int, 4)
 		for _, tier := range []int{2, 0, 1} {
 			go func() {
-				give, err := m.acquire(t.Context(), tier, 10)
+				releaseNext, err := m.acquire(t.Context(), tier, 10)
 				if err == nil {
 					order <- tier
-					give()
+					releaseNext()
 				}
 			}()
 			synctest.Wait()
 		}
-		gone, cancel := context.WithTimeout(t.Context(), time.Second)
+		expiredCtx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
-		_, err = m.acquire(gone, 0, 10)
+		_, err = m.acquire(expiredCtx, 0, 10)
 		require.Error(t, err)
-		back()
-		back()
+		release()
+		release()
 		synctest.Wait()
 		require.Equal(t, []int{0, 1, 2}, []int{<-order, <-order, <-order})
 		require.Zero(t, m.reserved(10))
--- a/internal/entry/observe.go
+++ b/internal/entry/observe.go
@@ -122,7 +122,7 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	id := explanationID{r.workspace.Name, r.key}
-	if _, again := o.explanations[id]; again {
+	if _, known := o.explanations[id]; known {
 		return
 	}
 	o.order = append(o.order, id)
--- a/internal/entry/request.go
+++ b/internal/entry/request.go
@@ -85,8 +85,8 @@
 // releaseMemory releases the memory reserved for the body. It may be called more
 // than once.
 func (r *request) releaseMemory() {
-	for _, back := range r.memoryReleases {
-		back()
+	for _, release := range r.memoryReleases {
+		release()
 	}
 }
 
--- a/internal/entry/rig_test.go
+++ b/internal/entry/rig_test.go
@@ -311,7 +311,7 @@
 // end marker.
 func joinDeltas(body string) (string, bool) {
 	b := strings.Builder{}
-	whole := false
+	complete := false
 	lines := bufio.NewScanner(strings.NewReader(body))
 	for lines.Scan() {
 		data, ok := strings.CutPrefix(lines.Text(), "data: ")
@@ -319,7 +319,7 @@
 			continue
 		}
 		if data == "[DONE]" {
-			whole = true
+			complete = true
 			continue
 		}
 		a := completionAnswer{}
@@ -327,5 +327,5 @@
 			b.WriteString(a.Choices[0].Delta.Content)
 		}
 	}
-	return b.String(), whole
+	return b.String(), complete
 }
--- a/internal/entry/session_test.go
+++ b/internal/entry/session_test.go
@@ -78,8 +78,8 @@
 		}
 		data := strings.TrimPrefix(l, "data: ")
 		a := completionAnswer{}
-		piece := json.Unmarshal([]byte(data), &a) == nil && len(a.Choices) > 0 && a.Choices[0].Delta != nil && a.Choices[0].Delta.Content != ""
-		if piece {
+		isText := json.Unmarshal([]byte(data), &a) == nil && len(a.Choices) > 0 && a.Choices[0].Delta != nil && a.Choices[0].Delta.Content != ""
+		if isText {
 			text += a.Choices[0].Delta.Content
 			continue
 		}
@@ -101,25 +101,25 @@
 	c := newCluster(t)
 	c.startRunner(t, 500)
 	c.startService(t, 0)
-	one, two := c.startEntry(t, "entry-1"), c.startEntry(t, "entry-2")
+	first, second := c.startEntry(t, "entry-1"), c.startEntry(t, "entry-2")
 	s := &transcript{t: t}
 	s.note("The models available to the workspace.")
-	s.call(one, "GET", "/v1/models", "")
+	s.call(first, "GET", "/v1/models", "")
 	s.note("A lookup needs no key.")
-	s.call(one, "GET", "/services/register-api/chassis/1962-E-117", "")
+	s.call(first, "GET", "/services/register-api/chassis/1962-E-117", "")
 	s.note("A streamed draft under an issued key.")
-	draft := s.call(one, "POST", "/v1/chat/completions", chatBody("summarise the panel's notes #4", true))
+	draft := s.call(first, "POST", "/v1/chat/completions", chatBody("summarise the panel's notes #4", true))
 	s.note("The same answer from offset 6, at the other entry.")
-	s.call(two, "GET", "/v1/answers/"+draft.header.Get(requestKeyHeader)+"?offset=6", "")
+	s.call(second, "GET", "/v1/answers/"+draft.header.Get(requestKeyHeader)+"?offset=6", "")
 	s.note("A transfer is refused without a key and runs with one.")
-	s.call(one, "POST", "/services/register-api/transfers", `{"chassis":"117","to":"Naidoo"}`)
-	s.call(one, "POST", "/services/register-api/transfers", `{"chassis":"117","to":"Naidoo"}`, "Idempotency-Key", "transfer-117")
+	s.call(first, "POST", "/services/register-api/transfers", `{"chassis":"117","to":"Naidoo"}`)
+	s.call(first, "POST", "/services/register-api/transfers", `{"chassis":"117","to":"Naidoo"}`, "Idempotency-Key", "transfer-117")
 	s.note("A retry at the other entry gets the recorded answer.")
-	s.call(two, "POST", "/services/register-api/transfers", `{"chassis":"117","to":"Naidoo"}`, "Idempotency-Key", "transfer-117")
+	s.call(second, "POST", "/services/register-api/transfers", `{"chassis":"117","to":"Naidoo"}`, "Idempotency-Key", "transfer-117")
 	s.note("Different content under the same key is a conflict.")
-	s.call(two, "POST", "/services/register-api/transfers", `{"chassis":"117","to":"Botha"}`, "Idempotency-Key", "transfer-117")
+	s.call(second, "POST", "/services/register-api/transfers", `{"chassis":"117","to":"Botha"}`, "Idempotency-Key", "transfer-117")
 	s.note("Another workspace finds no answer under the key.")
-	s.call(two, "GET", "/v1/answers/transfer-117", "", "Authorization", "Bearer foreign")
+	s.call(second, "GET", "/v1/answers/transfer-117", "", "Authorization", "Bearer foreign")
 	s.check("day")
 }
 
@@ -129,31 +129,31 @@
 	c := newCluster(t)
 	r := c.startRunner(t, 500)
 	up := c.startService(t, 0)
-	one, two := c.startEntry(t, "entry-1"), c.startEntry(t, "entry-2")
+	first, second := c.startEntry(t, "entry-1"), c.startEntry(t, "entry-2")
 	s := &transcript{t: t}
 	s.note("The connection stops carrying data during the answer; the stream is resumed over a new one.")
 	r.SetPlan(standin.Plan{Fault: standin.Silent, AfterFrames: 2, Connections: 1})
-	s.call(one, "POST", "/v1/chat/completions", chatBody("draft #4", true), "Idempotency-Key", "draft-1")
+	s.call(first, "POST", "/v1/chat/completions", chatBody("draft #4", true), "Idempotency-Key", "draft-1")
 	s.note("The connection breaks after the transfer was sent.")
 	up.SetFault(standin.Cut)
-	s.call(one, "POST", "/services/register-api/transfers", `{"chassis":"118"}`, "Idempotency-Key", "transfer-118")
+	s.call(first, "POST", "/services/register-api/transfers", `{"chassis":"118"}`, "Idempotency-Key", "transfer-118")
 	up.SetFault("")
 	s.note("A retry does not run the transfer again.")
-	s.call(two, "POST", "/services/register-api/transfers", `{"chassis":"118"}`, "Idempotency-Key", "transfer-118")
+	s.call(second, "POST", "/services/register-api/transfers", `{"chassis":"118"}`, "Idempotency-Key", "transfer-118")
 	s.note("Overload: refused as not run. Another entry refuses the key once more, until it has read that the first attempt did not run, and then serves it.")
 	c.mu.Lock()
 	c.schedulerError = fault.New(fault.Overloaded, "send the request again after the stated time", "capacity is short").After(3 * time.Second)
 	c.mu.Unlock()
-	s.call(one, "POST", "/services/register-api/transfers", `{"chassis":"119"}`, "Idempotency-Key", "transfer-119")
+	s.call(first, "POST", "/services/register-api/transfers", `{"chassis":"119"}`, "Idempotency-Key", "transfer-119")
 	c.mu.Lock()
 	c.schedulerError = nil
 	c.mu.Unlock()
-	s.call(two, "POST", "/services/register-api/transfers", `{"chassis":"119"}`, "Idempotency-Key", "transfer-119")
-	s.call(two, "POST", "/services/register-api/transfers", `{"chassis":"119"}`, "Idempotency-Key", "transfer-119")
+	s.call(second, "POST", "/services/register-api/transfers", `{"chassis":"119"}`, "Idempotency-Key", "transfer-119")
+	s.call(second, "POST", "/services/register-api/transfers", `{"chassis":"119"}`, "Idempotency-Key", "transfer-119")
 	s.note("The log is unavailable: the refusal does not say that nothing ran.")
 	c.mu.Lock()
 	c.logDown = true
 	c.mu.Unlock()
-	s.call(one, "POST", "/services/register-api/transfers", `{"chassis":"120"}`, "Idempotency-Key", "transfer-120")
+	s.call(first, "POST", "/services/register-api/transfers", `{"chassis":"120"}`, "Idempotency-Key", "transfer-120")
 	s.check("faults")
 }
--- a/internal/entry/silence_test.go
+++ b/internal/entry/silence_test.go
@@ -75,18 +75,18 @@
 	c.addDispatchedClaim(state.Claim{Key: "k2", Pool: "logbook-model", Stream: "s2", Entry: owner, Address: r.Self.Address})
 	digest := hashParts([]byte("register-api"), []byte("POST"), []byte("/transfers"), []byte("{}"))
 	c.addDispatchedClaim(state.Claim{Key: "t1", Pool: "register-api", Stream: "s1", Entry: owner, Digest: digest})
-	two := c.startEntry(t, "entry-2")
-	told := make(chan response, 1)
+	second := c.startEntry(t, "entry-2")
+	responses := make(chan response, 1)
 	go func() {
-		got, _ := two.try("POST", "/services/register-api/transfers", "{}", "Idempotency-Key", "t1")
-		told <- got
+		got, _ := second.try("POST", "/services/register-api/transfers", "{}", "Idempotency-Key", "t1")
+		responses <- got
 	}()
-	got := two.do(t, "GET", "/v1/answers/k2", "")
-	answer, whole := joinDeltas(got.body)
-	require.True(t, whole, got.body)
+	got := second.do(t, "GET", "/v1/answers/k2", "")
+	answer, complete := joinDeltas(got.body)
+	require.True(t, complete, got.body)
 	require.Equal(t, standin.AnswerTo("draft #8", 100), answer)
 	require.Equal(t, 1, total(r.Executions()))
-	require.Equal(t, fault.MayHaveRun, faultOf(t, (<-told).body).Ran)
+	require.Equal(t, fault.MayHaveRun, faultOf(t, (<-responses).body).Ran)
 }
 
 // TestDeadOwner covers a call whose entry is not a live member. That entry is
--- a/internal/entry/stream_test.go
+++ b/internal/entry/stream_test.go
@@ -66,8 +66,8 @@
 			e := c.startEntry(t, "entry-1")
 			got := e.do(t, "POST", "/v1/chat/completions", chatBody("draft #8", true), "Idempotency-Key", "k1")
 			require.Equal(t, http.StatusOK, got.status, got.body)
-			answer, whole := joinDeltas(got.body)
-			require.True(t, whole)
+			answer, complete := joinDeltas(got.body)
+			require.True(t, complete)
 			require.Equal(t, answerTo("draft #8"), answer)
 			require.Equal(t, 1, total(r.Executions()))
 			require.Equal(t, []sched.Outcome{sched.Completed}, c.outcomes())
@@ -90,13 +90,13 @@
 		r.Close()
 	}()
 	got := e.do(t, "POST", "/v1/chat/completions", chatBody("draft #400", true), "Idempotency-Key", "k1")
-	begun, whole := joinDeltas(got.body)
-	require.NotEmpty(t, begun)
-	require.False(t, whole)
+	partial, complete := joinDeltas(got.body)
+	require.NotEmpty(t, partial)
+	require.False(t, complete)
 	require.Contains(t, got.body, string(fault.Unknown))
 	back := c.startRunner(t, 500)
-	again := e.do(t, "POST", "/v1/chat/completions", chatBody("draft #400", false), "Idempotency-Key", "k1")
-	require.Equal(t, fault.MayHaveRun, faultOf(t, again.body).Ran)
+	retried := e.do(t, "POST", "/v1/chat/completions", chatBody("draft #400", false), "Idempotency-Key", "k1")
+	require.Equal(t, fault.MayHaveRun, faultOf(t, retried.body).Ran)
 	require.Zero(t, total(back.Executions()))
 	require.Equal(t, []sched.Outcome{sched.ConnectionLost}, c.outcomes())
 }
@@ -125,8 +125,8 @@
 	require.Equal(t, fault.MayHaveRun, faultOf(t, got.body).Ran)
 	require.Equal(t, "1", got.header.Get("Retry-After"))
 	r.SetPlan(standin.Plan{})
-	again := e.do(t, "POST", "/v1/chat/completions", chatBody("draft #8", false), "Idempotency-Key", "k1")
-	require.Equal(t, fault.Unknown, faultOf(t, again.body).Kind)
+	retried := e.do(t, "POST", "/v1/chat/completions", chatBody("draft #8", false), "Idempotency-Key", "k1")
+	require.Equal(t, fault.Unknown, faultOf(t, retried.body).Kind)
 	require.Zero(t, total(r.Executions()))
 	require.Equal(t, 1, c.countEvents(promise.Dispatch))
 	other := e.do(t, "POST", "/v1/chat/completions", chatBody("draft #8", false), "Idempotency-Key", "k2")
@@ -161,21 +161,21 @@
 func TestGetAnswer(t *testing.T) {
 	c := newCluster(t)
 	r := c.startRunner(t, 100)
-	one, two := c.startEntry(t, "entry-1"), c.startEntry(t, "entry-2")
+	first, second := c.startEntry(t, "entry-1"), c.startEntry(t, "entry-2")
 	for _, key := range []string{"", "mine"} {
 		want := answerTo("draft " + key + " #8")
-		first := one.do(t, "POST", "/v1/chat/completions", chatBody("draft "+key+" #8", true), "Idempotency-Key", key)
-		issued := first.header.Get("Verbenastep-Request")
-		for _, e := range []*testEntry{one, two} {
+		original := first.do(t, "POST", "/v1/chat/completions", chatBody("draft "+key+" #8", true), "Idempotency-Key", key)
+		issued := original.header.Get("Verbenastep-Request")
+		for _, e := range []*testEntry{first, second} {
 			rest := e.do(t, "GET", "/v1/answers/"+issued+"?offset=6", "")
-			answer, whole := joinDeltas(rest.body)
-			require.True(t, whole, rest.body)
+			answer, complete := joinDeltas(rest.body)
+			require.True(t, complete, rest.body)
 			require.Equal(t, want[6:], answer)
 			require.Equal(t, http.StatusNotFound, e.do(t, "GET", "/v1/answers/"+issued, "", "Authorization", "Bearer foreign").status)
 		}
-		all := two.do(t, "GET", "/v1/answers/"+issued, "", "Accept", "application/json")
+		all := second.do(t, "GET", "/v1/answers/"+issued, "", "Accept", "application/json")
 		require.Contains(t, all.body, want)
-		require.Equal(t, http.StatusBadRequest, two.do(t, "GET", "/v1/answers/"+issued+"?offset=999", "").status)
+		require.Equal(t, http.StatusBadRequest, second.do(t, "GET", "/v1/answers/"+issued+"?offset=999", "").status)
 	}
 	require.Equal(t, 2, total(r.Executions()))
 }
@@ -185,12 +185,12 @@
 func TestStreamResumedAfterOwnerCrash(t *testing.T) {
 	c := newCluster(t)
 	r := c.startRunner(t, 100)
-	one, two := c.startEntry(t, "entry-1"), c.startEntry(t, "entry-2")
-	one.do(t, "POST", "/v1/chat/completions", chatBody("draft #8", true), "Idempotency-Key", "k1")
-	one.crash()
-	again := two.do(t, "POST", "/v1/chat/completions", chatBody("draft #8", true), "Idempotency-Key", "k1")
-	answer, whole := joinDeltas(again.body)
-	require.True(t, whole, again.body)
+	first, second := c.startEntry(t, "entry-1"), c.startEntry(t, "entry-2")
+	first.do(t, "POST", "/v1/chat/completions", chatBody("draft #8", true), "Idempotency-Key", "k1")
+	first.crash()
+	retried := second.do(t, "POST", "/v1/chat/completions", chatBody("draft #8", true), "Idempotency-Key", "k1")
+	answer, complete := joinDeltas(retried.body)
+	require.True(t, complete, retried.body)
 	require.Equal(t, answerTo("draft #8"), answer)
 	require.Equal(t, 1, total(r.Executions()))
 }
@@ -204,18 +204,18 @@
 			c := newCluster(t)
 			from := c.startRunner(t, 40)
 			e := c.startEntry(t, "entry-1")
-			told := make(chan response, 1)
+			responses := make(chan response, 1)
 			go func() {
 				got, _ := e.try("POST", "/v1/chat/completions", chatBody("draft #40", true), "Idempotency-Key", "k1")
-				told <- got
+				responses <- got
 			}()
 			require.Eventually(t, func() bool { return total(from.Executions()) == 1 }, 5*time.Second, time.Millisecond)
 			to := c.startRunner(t, 500)
 			to.SetPlan(plan)
 			from.Leave()
-			got := <-told
-			answer, whole := joinDeltas(got.body)
-			require.True(t, whole, got.body)
+			got := <-responses
+			answer, complete := joinDeltas(got.body)
+			require.True(t, complete, got.body)
 			require.Equal(t, answerTo("draft #40"), answer)
 			moved := plan.Fault == ""
 			require.Equal(t, moved, testutil.ToFloat64(e.observer.streamsMoved) == 1)
@@ -231,25 +231,25 @@
 func TestForcedStop(t *testing.T) {
 	c := newCluster(t)
 	r := c.startRunner(t, 50)
-	one, two := c.startEntry(t, "entry-1"), c.startEntry(t, "entry-2")
-	told := make(chan response, 1)
+	first, second := c.startEntry(t, "entry-1"), c.startEntry(t, "entry-2")
+	responses := make(chan response, 1)
 	go func() {
-		got, _ := one.try("POST", "/v1/chat/completions", chatBody("draft #40", true), "Idempotency-Key", "k1")
-		told <- got
+		got, _ := first.try("POST", "/v1/chat/completions", chatBody("draft #40", true), "Idempotency-Key", "k1")
+		responses <- got
 	}()
 	require.Eventually(t, func() bool { return total(r.Executions()) == 1 }, 5*time.Second, time.Millisecond)
 	time.Sleep(100 * time.Millisecond)
 	now, cancel := context.WithCancel(t.Context())
 	cancel()
-	one.Record(promise.Event{Kind: promise.Crashed})
-	require.Error(t, one.Stop(now))
-	cut := <-told
-	before, whole := joinDeltas(cut.body)
-	require.False(t, whole)
-	require.NotContains(t, cut.body, `"error"`)
-	rest := two.do(t, "GET", fmt.Sprintf("/v1/answers/k1?offset=%d", len(before)), "")
-	after, whole := joinDeltas(rest.body)
-	require.True(t, whole, rest.body)
+	first.Record(promise.Event{Kind: promise.Crashed})
+	require.Error(t, first.Stop(now))
+	interrupted := <-responses
+	before, complete := joinDeltas(interrupted.body)
+	require.False(t, complete)
+	require.NotContains(t, interrupted.body, `"error"`)
+	rest := second.do(t, "GET", fmt.Sprintf("/v1/answers/k1?offset=%d", len(before)), "")
+	after, complete := joinDeltas(rest.body)
+	require.True(t, complete, rest.body)
 	require.Equal(t, answerTo("draft #40"), before+after)
 	require.Equal(t, 1, total(r.Executions()))
 }
@@ -260,25 +260,25 @@
 func TestForcedStopDuringFetch(t *testing.T) {
 	c := newCluster(t)
 	r := c.startRunner(t, 50)
-	one, two := c.startEntry(t, "entry-1"), c.startEntry(t, "entry-2")
+	first, second := c.startEntry(t, "entry-1"), c.startEntry(t, "entry-2")
 	go func() {
-		_, _ = one.try("POST", "/v1/chat/completions", chatBody("draft #40", true), "Idempotency-Key", "k1")
+		_, _ = first.try("POST", "/v1/chat/completions", chatBody("draft #40", true), "Idempotency-Key", "k1")
 	}()
 	require.Eventually(t, func() bool { return total(r.Executions()) == 1 }, 5*time.Second, time.Millisecond)
 	joined := make(chan response, 1)
 	go func() {
-		got, _ := two.try("POST", "/v1/chat/completions", chatBody("draft #40", true), "Idempotency-Key", "k1")
+		got, _ := second.try("POST", "/v1/chat/completions", chatBody("draft #40", true), "Idempotency-Key", "k1")
 		joined <- got
 	}()
 	time.Sleep(200 * time.Millisecond)
 	now, cancel := context.WithCancel(t.Context())
 	cancel()
-	one.Record(promise.Event{Kind: promise.Crashed})
-	require.Error(t, one.Stop(now))
-	one.crash()
+	first.Record(promise.Event{Kind: promise.Crashed})
+	require.Error(t, first.Stop(now))
+	first.crash()
 	got := <-joined
-	answer, whole := joinDeltas(got.body)
-	require.True(t, whole, got.body)
+	answer, complete := joinDeltas(got.body)
+	require.True(t, complete, got.body)
 	require.Equal(t, answerTo("draft #40"), answer)
 	require.Equal(t, 1, total(r.Executions()))
 }
