--- a/internal/entry/observe.go
+++ b/internal/entry/observe.go
@@ -148,7 +148,7 @@
 	o.updateExplanation(r, func(e *Explanation) {
 		e.WaitedMS = time.Since(r.accepted).Milliseconds()
 		e.Upstream = t.Upstream()
-		e.Reason = t.Why()
+		e.Reason = t.Explanation()
 	})
 }
 
