--- a/core/broker/broker.go
+++ b/core/broker/broker.go
@@ -51,13 +51,13 @@
 	// SessionTokens is its length.
 	Session       uint64
 	SessionTokens int
-	// Aim is the time by which the first event counts as on time; Deadline is when
-	// the caller stops waiting.
-	Aim      time.Duration
-	Deadline time.Duration
-	// Latest is the time after which a late first event is of no use; zero means
-	// Aim.
-	Latest time.Duration
+	// LatencyTarget is the time by which the first event counts as on time; Deadline
+	// is when the caller stops waiting.
+	LatencyTarget time.Duration
+	Deadline      time.Duration
+	// LatestUseful is the time after which a late first event is of no use; zero
+	// means LatencyTarget.
+	LatestUseful time.Duration
 	// Fingerprint is a hash of the content by which requests that crash upstreams
 	// are recognised; zero if there is none.
 	Fingerprint uint64
@@ -103,10 +103,10 @@
 
 // Refusal codes.
 const (
-	// Overload means that the request would be served too late.
-	Overload Code = "overloaded"
-	// Limited means that the workspace's quota is used up.
-	Limited Code = "limit_exceeded"
+	// Overloaded means that the request would be served too late.
+	Overloaded Code = "overloaded"
+	// LimitExceeded means that the workspace's quota is used up.
+	LimitExceeded Code = "limit_exceeded"
 	// NoUpstream means that no upstream serves the pool.
 	NoUpstream Code = "no_upstream"
 	// Quarantined means that several upstreams lost the connection while they ran
@@ -127,26 +127,27 @@
 
 // Outcomes.
 const (
-	// Done means that the whole answer arrived.
-	Done Outcome = iota + 1
+	// Completed means that the whole answer arrived.
+	Completed Outcome = iota + 1
 	// NotSent means that nothing was sent to the upstream.
 	NotSent
 	// Canceled means that the caller disconnected.
 	Canceled
-	// Broken means that the connection was lost while the upstream ran the request.
-	Broken
-	// Full means that the upstream rejected the request without running it.
-	Full
+	// ConnectionLost means that the connection was lost while the upstream ran the
+	// request.
+	ConnectionLost
+	// Rejected means that the upstream rejected the request without running it.
+	Rejected
 	// Misdirected means that another process listens on the upstream's address.
 	Misdirected
 	// Unreachable means that no connection could be established.
 	Unreachable
-	// Failed means that the upstream answered with an error.
-	Failed
-	// Silent means that the upstream sent no answer in time.
-	Silent
-	// Spoiled means that the answer was malformed.
-	Spoiled
+	// UpstreamError means that the upstream answered with an error.
+	UpstreamError
+	// TimedOut means that the upstream sent no answer in time.
+	TimedOut
+	// InvalidResponse means that the answer was malformed.
+	InvalidResponse
 )
 
 // String returns the outcome's name in logs and metrics, "unknown" for other values.
@@ -162,10 +163,10 @@
 type End struct {
 	ID      ID
 	Outcome Outcome
-	// First is the time from sending to the first event, or to the answer of a
-	// service call; Decode is the time from the first event to the last.
-	First  time.Duration
-	Decode time.Duration
+	// TimeToFirstEvent is the time from sending to the first event, or to the answer
+	// of a service call; DecodeTime is the time from the first event to the last.
+	TimeToFirstEvent time.Duration
+	DecodeTime       time.Duration
 	// OutputTokens is the token count of the whole answer.
 	OutputTokens int
 }
@@ -264,7 +265,7 @@
 		return
 	}
 	if wait, ok := b.charge(now, req); !ok {
-		b.refuse(req, Limited, wait, "the workspace has used up its quota")
+		b.refuse(req, LimitExceeded, wait, "the workspace has used up its quota")
 		return
 	}
 	b.requests[o.ID] = req
@@ -408,7 +409,7 @@
 		return
 	}
 	delete(b.requests, e.ID)
-	if e.Outcome == NotSent || e.Outcome == Full || e.Outcome == Misdirected || e.Outcome == Unreachable {
+	if e.Outcome == NotSent || e.Outcome == Rejected || e.Outcome == Misdirected || e.Outcome == Unreachable {
 		b.refund(req)
 	}
 	b.recordCrash(now, req, e.Outcome)
--- a/core/broker/broker_test.go
+++ b/core/broker/broker_test.go
@@ -18,7 +18,7 @@
 
 // newOffer returns an offer of entry "e" that is never late.
 func newOffer(n uint64) Offer {
-	return Offer{ID: ID{Entry: "e", Number: n}, Pool: "p", Aim: time.Minute, Latest: time.Minute, Deadline: time.Hour}
+	return Offer{ID: ID{Entry: "e", Number: n}, Pool: "p", LatencyTarget: time.Minute, LatestUseful: time.Minute, Deadline: time.Hour}
 }
 
 // grantNumbers returns the request numbers of the grants, in order.
@@ -37,8 +37,8 @@
 	}
 	require.Equal(t, []uint64{0, 1}, grantNumbers(b.Decide(0)))
 	require.Empty(t, grantNumbers(b.Decide(time.Second)))
-	b.End(time.Second, End{ID: ID{Entry: "e", Number: 1}, Outcome: Done, First: time.Second})
-	b.End(time.Second, End{ID: ID{Entry: "e", Number: 1}, Outcome: Done, First: time.Second})
+	b.End(time.Second, End{ID: ID{Entry: "e", Number: 1}, Outcome: Completed, TimeToFirstEvent: time.Second})
+	b.End(time.Second, End{ID: ID{Entry: "e", Number: 1}, Outcome: Completed, TimeToFirstEvent: time.Second})
 	require.Equal(t, []uint64{2}, grantNumbers(b.Decide(time.Second)), "a repeated end frees no second slot")
 }
 
@@ -54,7 +54,7 @@
 		g := grantNumbers(b.Decide(now))
 		require.Len(t, g, 1)
 		order = append(order, g[0])
-		b.End(now, End{ID: ID{Entry: "e", Number: g[0]}, Outcome: Done, First: time.Millisecond})
+		b.End(now, End{ID: ID{Entry: "e", Number: g[0]}, Outcome: Completed, TimeToFirstEvent: time.Millisecond})
 	}
 	require.Equal(t, []uint64{2, 1, 3, 0}, order)
 }
@@ -95,7 +95,7 @@
 		o.Fingerprint = 7
 		b.Offer(0, o)
 		require.Len(t, b.Decide(time.Duration(n)*maxBackOffDelay).Grants, 1)
-		b.End(time.Duration(n)*maxBackOffDelay, End{ID: o.ID, Outcome: Broken})
+		b.End(time.Duration(n)*maxBackOffDelay, End{ID: o.ID, Outcome: ConnectionLost})
 	}
 	o := newOffer(50)
 	o.Fingerprint = 7
@@ -117,11 +117,11 @@
 		now := time.Duration(n) * maxBackOffDelay
 		b.Offer(now, o)
 		require.Len(t, b.Decide(now).Grants, 1)
-		outcome := Broken
+		outcome := ConnectionLost
 		if n%2 == 1 {
-			outcome = Done
+			outcome = Completed
 		}
-		b.End(now, End{ID: o.ID, Outcome: outcome, First: time.Millisecond})
+		b.End(now, End{ID: o.ID, Outcome: outcome, TimeToFirstEvent: time.Millisecond})
 	}
 }
 
@@ -137,7 +137,7 @@
 	running.Running = "u"
 	b.Resync(0, "e", []Offer{running, newOffer(2), newOffer(3)})
 	require.Equal(t, []uint64{2}, grantNumbers(b.Decide(0)), "the lost grant is repeated on the slot that it released")
-	b.End(0, End{ID: ID{Entry: "e", Number: 1}, Outcome: Done, First: time.Millisecond})
+	b.End(0, End{ID: ID{Entry: "e", Number: 1}, Outcome: Completed, TimeToFirstEvent: time.Millisecond})
 	require.Equal(t, []uint64{3}, grantNumbers(b.Decide(0)))
 }
 
@@ -176,8 +176,8 @@
 	b.Offer(now, charged(2))
 	refused := b.Decide(now).Refusals
 	require.Len(t, refused, 1, "two requests exceed the burst")
-	require.Equal(t, Limited, refused[0].Code)
-	b.End(now, End{ID: ID{Entry: "e", Number: 1}, Outcome: Full})
+	require.Equal(t, LimitExceeded, refused[0].Code)
+	b.End(now, End{ID: ID{Entry: "e", Number: 1}, Outcome: Rejected})
 	b.Offer(now, charged(3))
 	require.Empty(t, b.Decide(now).Refusals)
 }
--- a/core/broker/decide.go
+++ b/core/broker/decide.go
@@ -218,7 +218,7 @@
 	default:
 		cost += otherRegionPenalty
 	}
-	if now+first > req.Aim {
+	if now+first > req.LatencyTarget {
 		cost += missedTargetPenalty
 	}
 	if u.Silent {
@@ -242,15 +242,15 @@
 		wait := p.queueWait(r.now, req, ahead, float64(r.slots))
 		first := r.now + wait + p.minFirstEventTime(r, req)
 		switch {
-		case first <= req.Aim, req.late && first <= req.Latest:
+		case first <= req.LatencyTarget, req.late && first <= req.LatestUseful:
 			ahead += p.slotTime(req)
 			i++
 			continue
-		case !req.late && first <= req.Latest:
+		case !req.late && first <= req.LatestUseful:
 			late = append(late, req)
 		default:
 			reason := fmt.Sprintf("%d ms of waiting behind %.1f s of work on %d slots would be too late", wait.Milliseconds(), ahead, r.slots)
-			b.refuse(req, Overload, p.retryDelay(req, wait), reason)
+			b.refuse(req, Overloaded, p.retryDelay(req, wait), reason)
 		}
 		p.queue = slices.Delete(p.queue, i, i+1)
 	}
@@ -265,7 +265,7 @@
 func (b *Broker) refuseUnserved(now time.Duration, p *pool) {
 	for i := 0; i < len(p.queue); {
 		req := p.queue[i]
-		if now-p.lastServed < noUpstreamTimeout && now < req.Aim {
+		if now-p.lastServed < noUpstreamTimeout && now < req.LatencyTarget {
 			i++
 			continue
 		}
--- a/core/broker/decide_bench_test.go
+++ b/core/broker/decide_bench_test.go
@@ -21,9 +21,9 @@
 				number++
 				now := time.Duration(number) * time.Millisecond
 				id := ID{Entry: "entry", Number: number}
-				s.broker.Offer(now, Offer{ID: id, Pool: simPool, PromptTokens: 3000, OutputTokens: 100, Aim: now + time.Second, Latest: now + 2*time.Second, Deadline: now + 10*time.Second})
+				s.broker.Offer(now, Offer{ID: id, Pool: simPool, PromptTokens: 3000, OutputTokens: 100, LatencyTarget: now + time.Second, LatestUseful: now + 2*time.Second, Deadline: now + 10*time.Second})
 				s.broker.Decide(now)
-				s.broker.End(now, End{ID: id, Outcome: Done, First: 100 * time.Millisecond, Decode: 700 * time.Millisecond, OutputTokens: 100})
+				s.broker.End(now, End{ID: id, Outcome: Completed, TimeToFirstEvent: 100 * time.Millisecond, DecodeTime: 700 * time.Millisecond, OutputTokens: 100})
 			}
 		})
 	}
@@ -39,7 +39,7 @@
 	s := newSim(slowness...)
 	for number := range uint64(60*simSlots + 300) {
 		id := ID{Entry: "entry", Number: number}
-		s.broker.Offer(0, Offer{ID: id, Pool: simPool, PromptTokens: 3000, OutputTokens: 100, Aim: time.Hour, Latest: time.Hour, Deadline: time.Hour})
+		s.broker.Offer(0, Offer{ID: id, Pool: simPool, PromptTokens: 3000, OutputTokens: 100, LatencyTarget: time.Hour, LatestUseful: time.Hour, Deadline: time.Hour})
 	}
 	for b.Loop() {
 		s.broker.Decide(0)
--- a/core/broker/health.go
+++ b/core/broker/health.go
@@ -37,11 +37,11 @@
 // record updates the health by the outcome of a request.
 func (h *health) record(now time.Duration, o Outcome) {
 	switch o {
-	case Done:
+	case Completed:
 		h.failureRate -= failureWeight * h.failureRate
 		h.consecutiveFailures = 0
 		h.backOffDelay = 0
-	case Full:
+	case Rejected:
 		h.unavailableUntil = max(h.unavailableUntil, now+rejectedDelay)
 	case Misdirected:
 		h.unavailableUntil = max(h.unavailableUntil, now+misdirectedDelay)
@@ -49,13 +49,13 @@
 		h.recordFailure()
 		h.backOffDelay = min(maxBackOffDelay, max(minBackOffDelay, 2*h.backOffDelay))
 		h.unavailableUntil = now + h.backOffDelay
-	case Broken, Silent, Spoiled:
+	case ConnectionLost, TimedOut, InvalidResponse:
 		h.recordFailure()
 		if h.consecutiveFailures >= probationFailures {
 			h.backOffDelay = min(maxBackOffDelay, max(minBackOffDelay, 2*h.backOffDelay))
 			h.unavailableUntil = now + h.backOffDelay
 		}
-	case Failed:
+	case UpstreamError:
 		// An error answer proves that the upstream is alive.
 		h.recordFailure()
 		h.consecutiveFailures = 0
--- a/core/broker/pattern_test.go
+++ b/core/broker/pattern_test.go
@@ -149,7 +149,7 @@
 	size := func(mean int) int { return max(1, int(float64(mean)*math.Exp(s.rng.NormFloat64()*0.8-0.32))) }
 	s.broker.Offer(s.now, Offer{
 		ID: id, Pool: simPool, DataCentre: "dc", Region: "r", Rank: k.rank, PromptTokens: size(k.prompt), OutputTokens: size(k.output),
-		Aim: s.now + k.target, Latest: s.now + 2*k.target, Deadline: s.now + 10*time.Second,
+		LatencyTarget: s.now + k.target, LatestUseful: s.now + 2*k.target, Deadline: s.now + 10*time.Second,
 	})
 	s.decide()
 }
@@ -191,7 +191,7 @@
 			c.late++
 			c.value += k.lateValue
 		}
-		s.broker.End(s.now, End{ID: g.ID, Outcome: Done, First: first - granted, Decode: last - first, OutputTokens: output})
+		s.broker.End(s.now, End{ID: g.ID, Outcome: Completed, TimeToFirstEvent: first - granted, DecodeTime: last - first, OutputTokens: output})
 		delete(s.open, g.ID)
 		s.decide()
 	})
@@ -287,7 +287,7 @@
 			b.SetName(fmt.Sprintf("entry-%d", entry))
 			b.SetUpstreams(list)
 			for n := range 40 {
-				b.Offer(0, Offer{ID: ID{Entry: "x", Number: uint64(n)}, Pool: simPool, Aim: time.Second, Latest: time.Second, Deadline: time.Second})
+				b.Offer(0, Offer{ID: ID{Entry: "x", Number: uint64(n)}, Pool: simPool, LatencyTarget: time.Second, LatestUseful: time.Second, Deadline: time.Second})
 			}
 			grants := b.Decide(0).Grants
 			require.NotEmpty(t, grants, "every entry can use at least one upstream")
@@ -321,7 +321,7 @@
 		target := s.offered[id] + k.target
 		s.broker.Offer(s.now, Offer{
 			ID: id, Pool: simPool, DataCentre: "dc", Region: "r", Rank: k.rank, PromptTokens: k.prompt, OutputTokens: k.output,
-			Aim: target, Latest: target + k.target, Deadline: target + 10*time.Second,
+			LatencyTarget: target, LatestUseful: target + k.target, Deadline: target + 10*time.Second,
 		})
 	}
 	s.decide()
@@ -345,7 +345,7 @@
 		s.next++
 		id := ID{Entry: "entry", Number: s.next}
 		s.open[id] = long
-		s.broker.Offer(0, Offer{ID: id, Pool: simPool, PromptTokens: 1000, OutputTokens: long.output, Aim: time.Second, Latest: 2 * time.Second, Deadline: 15 * time.Second})
+		s.broker.Offer(0, Offer{ID: id, Pool: simPool, PromptTokens: 1000, OutputTokens: long.output, LatencyTarget: time.Second, LatestUseful: 2 * time.Second, Deadline: 15 * time.Second})
 	}
 	for _, g := range s.broker.Decide(0).Grants {
 		if s.engines[g.Upstream].slowness > 1 {
--- a/core/broker/speed.go
+++ b/core/broker/speed.go
@@ -123,23 +123,23 @@
 func (p *pool) learn(now time.Duration, req *request, e End) {
 	u := req.assigned
 	u.health.record(now, e.Outcome)
-	if e.Outcome != Done {
+	if e.Outcome != Completed {
 		return
 	}
 	if p.engine == nil {
-		u.speed.callTime = average(u.speed.callTime, e.First.Seconds(), upstreamWeight)
-		p.costs.callTime = average(p.costs.callTime, e.First.Seconds(), poolWeight)
+		u.speed.callTime = average(u.speed.callTime, e.TimeToFirstEvent.Seconds(), upstreamWeight)
+		p.costs.callTime = average(p.costs.callTime, e.TimeToFirstEvent.Seconds(), poolWeight)
 		return
 	}
-	if e.OutputTokens >= minOutputTokens && e.Decode > 0 {
-		tokenTime := e.Decode.Seconds() / float64(e.OutputTokens)
+	if e.OutputTokens >= minOutputTokens && e.DecodeTime > 0 {
+		tokenTime := e.DecodeTime.Seconds() / float64(e.OutputTokens)
 		u.speed.tokenTime = average(u.speed.tokenTime, tokenTime, upstreamWeight)
 		p.costs.tokenTime = average(p.costs.tokenTime, tokenTime, poolWeight)
 	}
-	if !req.prefilledAlone || u.speed.tokenTime == 0 || e.First <= 0 {
+	if !req.prefilledAlone || u.speed.tokenTime == 0 || e.TimeToFirstEvent <= 0 {
 		return
 	}
-	p.learnFirstEvent(req, e.First.Seconds()/u.speed.tokenTime, u.sessions.wasCached(req.Session))
+	p.learnFirstEvent(req, e.TimeToFirstEvent.Seconds()/u.speed.tokenTime, u.sessions.wasCached(req.Session))
 }
 
 // learnFirstEvent updates overhead or prefill ratio from the time to the first
--- a/core/broker/suspect.go
+++ b/core/broker/suspect.go
@@ -28,9 +28,9 @@
 		return
 	}
 	switch o {
-	case Done:
+	case Completed:
 		delete(b.suspects, req.Fingerprint)
-	case Broken:
+	case ConnectionLost:
 		s := b.suspects[req.Fingerprint]
 		if s.until < now {
 			s.crashes = 0
--- a/core/limits/bucket_test.go
+++ b/core/limits/bucket_test.go
@@ -66,16 +66,16 @@
 
 func TestRetriesStayWithinBudgetInEveryWindow(t *testing.T) {
 	const window, ratio, slack = 10 * time.Second, 0.2, 5.0
-	r := NewRepeats(window)
+	r := NewRetryBudget(window)
 	allowed, requests := []int{}, 0
 	for ms := 0; ms < 40_000; ms += 10 {
 		now := time.Duration(ms) * time.Millisecond
 		if ms < 20_000 && ms%50 == 0 {
-			r.Request(now)
+			r.RecordRequest(now)
 			requests++
 		}
 		n := 0
-		if r.Allow(now, ratio, slack) {
+		if r.AllowRetry(now, ratio, slack) {
 			n = 1
 		}
 		allowed = append(allowed, n)
--- a/core/limits/limits.go
+++ b/core/limits/limits.go
@@ -3,8 +3,8 @@
 // Usage checks the requests of a workspace against its declared limits: a request
 // rate, a number of concurrent requests, and tokens per hour. Each dispatcher keeps
 // one Usage per workspace for the requests of all entries, so the count is exact
-// within a pool and region. Bucket is a token bucket for quotas, Repeats a retry
-// budget.
+// within a pool and region. Bucket is a token bucket for quotas, RetryBudget
+// limits retries.
 //
 // The package does no I/O: the caller passes the time as a duration on its monotonic
 // clock. No type is safe for concurrent use.
@@ -36,10 +36,10 @@
 	remoteDivisor = 4
 )
 
-// Away returns the limits that a region other than the workspace's home region
+// Remote returns the limits that a region other than the workspace's home region
 // enforces: a quarter of each, but at least one. With the home region's full limits,
 // n regions together exceed the declared limit by at most (n-1)/4 of it.
-func (l Limits) Away() Limits {
+func (l Limits) Remote() Limits {
 	return Limits{
 		RequestsPerMinute: divide(l.RequestsPerMinute),
 		Concurrency:       divide(l.Concurrency),
@@ -55,8 +55,8 @@
 	return max(1, n/remoteDivisor)
 }
 
-// Check returns an *Error if a limit is negative.
-func (l Limits) Check() error {
+// Validate returns an *Error if a limit is negative.
+func (l Limits) Validate() error {
 	if l.RequestsPerMinute < 0 || l.Concurrency < 0 || l.TokensPerHour < 0 {
 		return &Error{Message: "a limit is negative", Remedy: "declare zero for no limit, or a positive number"}
 	}
@@ -95,7 +95,7 @@
 	slot  int64
 }
 
-// Admit admits a request, or returns the limit that forbids it and false. Call Leave
+// Admit admits a request, or returns the limit that forbids it and false. Call Release
 // once for each admitted request when it ends.
 func (u *Usage) Admit(now time.Duration, l Limits) (Denial, bool) {
 	u.refill(now, l)
@@ -117,14 +117,14 @@
 	return Denial{}, true
 }
 
-// Resume counts a request that another dispatcher admitted. Call Leave when it ends.
-func (u *Usage) Resume() { u.inFlight++ }
+// Readmit counts a request that another dispatcher admitted. Call Release when it ends.
+func (u *Usage) Readmit() { u.inFlight++ }
 
-// Leave counts the end of an admitted request.
-func (u *Usage) Leave() { u.inFlight-- }
+// Release counts the end of an admitted request.
+func (u *Usage) Release() { u.inFlight-- }
 
-// Present returns the number of admitted requests that have not ended.
-func (u *Usage) Present() int64 { return u.inFlight }
+// InFlight returns the number of admitted requests that have not ended.
+func (u *Usage) InFlight() int64 { return u.inFlight }
 
 // Spend counts tokens; a negative number corrects an earlier estimate that was too
 // high.
--- a/core/limits/limits_test.go
+++ b/core/limits/limits_test.go
@@ -50,6 +50,6 @@
 }
 
 func TestRemoteLimitsAreAQuarterAndAtLeastOne(t *testing.T) {
-	require.Equal(t, Limits{RequestsPerMinute: 25, Concurrency: 1}, Limits{RequestsPerMinute: 100, Concurrency: 2}.Away())
-	require.Error(t, Limits{Concurrency: -1}.Check())
+	require.Equal(t, Limits{RequestsPerMinute: 25, Concurrency: 1}, Limits{RequestsPerMinute: 100, Concurrency: 2}.Remote())
+	require.Error(t, Limits{Concurrency: -1}.Validate())
 }
--- a/core/sched/dispatcher.go
+++ b/core/sched/dispatcher.go
@@ -129,7 +129,7 @@
 	}
 	usage := &d.tier(o.Tier).workspace(o.Workspace, o.Weight).usage
 	if o.RunningOn != "" || o.Admitted || o.SpilledFrom != "" || o.Final {
-		usage.Resume()
+		usage.Readmit()
 		return nil
 	}
 	denial, ok := usage.Admit(now, o.Limits)
@@ -208,7 +208,7 @@
 	r.workspace.tier.dequeue(r)
 	heap.Remove(&d.byLatestStart, r.latestStartIndex)
 	d.queued--
-	r.workspace.usage.Leave()
+	r.workspace.usage.Release()
 	delete(d.requests, r.offer.ID)
 	d.ended = append(d.ended, Ended{ID: r.offer.ID, Workspace: r.offer.Workspace, Tier: r.offer.Tier})
 }
@@ -261,7 +261,7 @@
 	d.ended = append(d.ended, ended)
 	delete(d.requests, r.offer.ID)
 	r.workspace.tier.running--
-	r.workspace.usage.Leave()
+	r.workspace.usage.Release()
 	u := d.unassign(now, r)
 	d.correctCharge(now, r, rel)
 	if u != nil && rel.Outcome == ConnectionLost {
--- a/core/sched/dump.go
+++ b/core/sched/dump.go
@@ -75,7 +75,7 @@
 func (t *tier) dump() TierDump {
 	out := TierDump{Tier: t.rank, Queued: t.queued, Running: t.running}
 	for _, w := range t.workspaces {
-		out.Workspaces = append(out.Workspaces, WorkspaceDump{Name: w.name, Counter: w.counter, Queued: w.queued, Present: w.usage.Present()})
+		out.Workspaces = append(out.Workspaces, WorkspaceDump{Name: w.name, Counter: w.counter, Queued: w.queued, Present: w.usage.InFlight()})
 	}
 	sort.Slice(out.Workspaces, func(i, j int) bool { return out.Workspaces[i].Name < out.Workspaces[j].Name })
 	return out
--- a/core/sched/errors.go
+++ b/core/sched/errors.go
@@ -29,7 +29,7 @@
 	if o.Tier < 0 || o.Tier >= maxTiers {
 		return &OfferError{ID: o.ID, Message: "the tier is unknown", Remedy: "take it from the configuration in force"}
 	}
-	if err := o.Limits.Check(); err != nil {
+	if err := o.Limits.Validate(); err != nil {
 		return &OfferError{ID: o.ID, Message: err.Error(), Remedy: "apply a corrected configuration"}
 	}
 	return nil
--- a/internal/broker/session.go
+++ b/internal/broker/session.go
@@ -52,8 +52,8 @@
 	s.join(first, x)
 	defer s.leave(first.Entry, x)
 	return duplex.Server[*rpc.BrokerAsk, *rpc.BrokerReply]{
-		Recv: stream.Recv, Send: stream.Send, Out: x.out, Heartbeat: heartbeatInterval, Silence: sessionTimeout, Beat: s.heartbeat,
-		Take: func(ask *rpc.BrokerAsk) { s.handle(first.Entry, x, ask) },
+		Recv: stream.Recv, Send: stream.Send, Outgoing: x.out, HeartbeatInterval: heartbeatInterval, IdleTimeout: sessionTimeout, NewHeartbeat: s.heartbeat,
+		Handle: func(ask *rpc.BrokerAsk) { s.handle(first.Entry, x, ask) },
 	}.Run(ctx)
 }
 
@@ -93,7 +93,7 @@
 		offers = append(offers, work.DecodeOffer(now, first.Entry, o))
 	}
 	s.core.Resync(now, first.Entry, offers)
-	wait.Signal(s.wake)
+	wait.Notify(s.wake)
 }
 
 // leave removes a session, unless a newer one of the entry replaced it.
@@ -133,6 +133,6 @@
 		s.core.Offer(now, work.DecodeOffer(now, entry, o))
 	}
 	if len(ask.Ends)+len(ask.Cancels)+len(ask.Offers) > 0 {
-		wait.Signal(s.wake)
+		wait.Notify(s.wake)
 	}
 }
--- a/internal/brokerclient/client.go
+++ b/internal/brokerclient/client.go
@@ -170,17 +170,17 @@
 	s.lastNumber++
 	a := &acquisition{offer: o.Offer, settled: make(chan struct{})}
 	a.offer.ID = broker.ID{Entry: s.self, Number: s.lastNumber}
-	a.offer.Aim = o.LatencyTargetAt.Sub(s.started)
-	a.offer.Latest = a.offer.Aim + o.LatencyGrace
+	a.offer.LatencyTarget = o.LatencyTargetAt.Sub(s.started)
+	a.offer.LatestUseful = a.offer.LatencyTarget + o.LatencyGrace
 	a.offer.Deadline = o.DeadlineAt.Sub(s.started)
 	s.waiting[s.lastNumber] = a
 	if s.attached {
 		s.pending.Offers = append(s.pending.Offers, work.EncodeOffer(s.now(), a.offer))
-		wait.Signal(s.wakeSession)
+		wait.Notify(s.wakeSession)
 		return a
 	}
 	s.local.Offer(s.now(), a.offer)
-	wait.Signal(s.wakeLocal)
+	wait.Notify(s.wakeLocal)
 	return a
 }
 
@@ -196,7 +196,7 @@
 	delete(s.waiting, id.Number)
 	s.local.Cancel(id)
 	s.pending.Cancels = append(s.pending.Cancels, id.Number)
-	wait.Signal(s.wakeSession)
+	wait.Notify(s.wakeSession)
 	return true
 }
 
@@ -209,8 +209,8 @@
 	delete(s.running, e.ID.Number)
 	s.local.End(s.now(), e)
 	s.pending.Ends = append(s.pending.Ends, work.EncodeEnd(e))
-	wait.Signal(s.wakeSession)
-	wait.Signal(s.wakeLocal)
+	wait.Notify(s.wakeSession)
+	wait.Notify(s.wakeLocal)
 }
 
 // Entries returns the number of entries that share the system's limits, at least 1.
--- a/internal/brokerclient/session.go
+++ b/internal/brokerclient/session.go
@@ -53,7 +53,7 @@
 		if wasAttached && s.ctx.Err() == nil {
 			s.log.Warn("broker lost", zap.String("address", address), zap.Error(err))
 		}
-		wait.For(s.ctx, reconnectDelay)
+		wait.Sleep(s.ctx, reconnectDelay)
 	}
 }
 
@@ -119,7 +119,7 @@
 	for _, a := range s.waiting {
 		s.local.Offer(now, a.offer)
 	}
-	wait.Signal(s.wakeLocal)
+	wait.Notify(s.wakeLocal)
 	return wasAttached
 }
 
@@ -302,7 +302,7 @@
 		s.local.Cancel(a.offer.ID)
 		s.pending.Offers = append(s.pending.Offers, work.EncodeOffer(now, a.offer))
 	}
-	wait.Signal(s.wakeSession)
+	wait.Notify(s.wakeSession)
 	s.log.Info("broker found", zap.String("address", address), zap.Int("waiting", len(s.waiting)), zap.Int("running", len(s.running)), zap.Int("entries", s.entries))
 }
 
@@ -311,7 +311,7 @@
 	a := s.waiting[g.ID.Number]
 	if a == nil {
 		s.pending.Ends = append(s.pending.Ends, work.EncodeEnd(broker.End{ID: g.ID, Outcome: broker.NotSent}))
-		wait.Signal(s.wakeSession)
+		wait.Notify(s.wakeSession)
 		return
 	}
 	s.settleGrant(g, byBroker)
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -230,7 +230,7 @@
 }
 
 func (r *run) kill(ctx context.Context, began time.Time, report *Report) {
-	wait.For(ctx, time.Duration(killAt*float64(loadTime)))
+	wait.Sleep(ctx, time.Duration(killAt*float64(loadTime)))
 	r.back.kill(victim)
 	r.rec.lose(victim)
 	r.rec.record(promise.Event{Kind: promise.Leave, Upstream: victim, Pool: modelName})
@@ -239,7 +239,7 @@
 }
 
 func (r *run) drain(ctx context.Context, began time.Time, report *Report) error {
-	wait.For(ctx, time.Duration(drainAt*float64(loadTime)))
+	wait.Sleep(ctx, time.Duration(drainAt*float64(loadTime)))
 	report.Drained = Step{Name: localsite.Name(drained), At: time.Since(began).Seconds()}
 	r.say("%s drains", localsite.Name(drained))
 	err := r.site.Stop(drained)
--- a/internal/dispatch/codec.go
+++ b/internal/dispatch/codec.go
@@ -47,7 +47,7 @@
 	tier, _ = c.TierIndex(w.Tier)
 	l = limits.Limits(c.EffectiveLimits(w))
 	if w.HomeRegion != region {
-		l = l.Away()
+		l = l.Remote()
 	}
 	return tier, max(1, int(w.Weight)), l
 }
--- a/internal/dispatch/session.go
+++ b/internal/dispatch/session.go
@@ -58,9 +58,9 @@
 	p.resyncEntry(first, s)
 	defer p.removeSession(first.Entry, s)
 	return duplex.Server[*rpc.EntryBatch, *rpc.GrantBatch]{
-		Recv: stream.Recv, Send: func(b *rpc.GrantBatch) error { return p.sendUnderLease(stream, b) }, Out: s.outbox,
-		Heartbeat: heartbeatInterval, Silence: sessionTimeout, Beat: func() *rpc.GrantBatch { return &rpc.GrantBatch{Epoch: p.epoch} },
-		Take: func(b *rpc.EntryBatch) { p.applyBatch(first.Entry, s, b) },
+		Recv: stream.Recv, Send: func(b *rpc.GrantBatch) error { return p.sendUnderLease(stream, b) }, Outgoing: s.outbox,
+		HeartbeatInterval: heartbeatInterval, IdleTimeout: sessionTimeout, NewHeartbeat: func() *rpc.GrantBatch { return &rpc.GrantBatch{Epoch: p.epoch} },
+		Handle: func(b *rpc.EntryBatch) { p.applyBatch(first.Entry, s, b) },
 	}.Run(ctx)
 }
 
@@ -100,7 +100,7 @@
 	p.recordEnded(p.dispatcher.TakeEnded())
 	p.recordQueued(offers, refusals)
 	p.sendRefusals(refusals)
-	wait.Signal(p.wake)
+	wait.Notify(p.wake)
 }
 
 // recordQueued records an event for each offer of a first batch that is now
@@ -158,7 +158,7 @@
 	for _, id := range b.Cancels {
 		p.dispatcher.Cancel(sched.ID{Entry: entry, Number: id})
 	}
-	wait.Signal(p.wake)
+	wait.Notify(p.wake)
 }
 
 func (p *pool) applyUpstream(now time.Duration, u *rpc.UpstreamState) {
--- a/internal/duplex/duplex.go
+++ b/internal/duplex/duplex.go
@@ -27,19 +27,19 @@
 type Server[In, Out any] struct {
 	Recv func() (In, error)
 	Send func(Out) error
-	// Take handles a received message, Beat returns a heartbeat message, and Out
-	// delivers other messages to send.
-	Take func(In)
-	Beat func() Out
-	Out  <-chan Out
-	// Heartbeat is the interval of heartbeats to the entry. Silence is how long the
-	// entry may send nothing before the stream is ended.
-	Heartbeat time.Duration
-	Silence   time.Duration
+	// Handle handles a received message, NewHeartbeat returns a heartbeat message, and
+	// Outgoing delivers other messages to send.
+	Handle       func(In)
+	NewHeartbeat func() Out
+	Outgoing     <-chan Out
+	// HeartbeatInterval is the interval of heartbeats to the entry. IdleTimeout is how
+	// long the entry may send nothing before the stream is ended.
+	HeartbeatInterval time.Duration
+	IdleTimeout       time.Duration
 }
 
 // Run serves the entry until its stream or the context ends or the entry sends nothing
-// for Silence. It returns an error only if a message could not be sent.
+// for IdleTimeout. It returns an error only if a message could not be sent.
 func (s Server[In, Out]) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -49,20 +49,20 @@
 		// The error is of no use here: the entry knows why its stream ended.
 		_ = Receive(ctx, s.Recv, in)
 	}()
-	idle := time.NewTimer(s.Silence)
+	idle := time.NewTimer(s.IdleTimeout)
 	defer idle.Stop()
-	heartbeat := time.NewTicker(s.Heartbeat)
+	heartbeat := time.NewTicker(s.HeartbeatInterval)
 	defer heartbeat.Stop()
 	for {
 		err := error(nil)
 		select {
 		case m := <-in:
-			idle.Reset(s.Silence)
-			s.Take(m)
-		case m := <-s.Out:
+			idle.Reset(s.IdleTimeout)
+			s.Handle(m)
+		case m := <-s.Outgoing:
 			err = s.Send(m)
 		case <-heartbeat.C:
-			err = s.Send(s.Beat())
+			err = s.Send(s.NewHeartbeat())
 		case <-idle.C:
 			return nil
 		case <-ctx.Done():
--- a/internal/duplex/duplex_test.go
+++ b/internal/duplex/duplex_test.go
@@ -21,7 +21,7 @@
 
 // startServer runs a server that answers each message with "handled" and the message
 // and whose sends return the given error.
-func startServer(ctx context.Context, heartbeat, silence time.Duration, send error) *testStream {
+func startServer(ctx context.Context, heartbeatInterval, idleTimeout time.Duration, send error) *testStream {
 	r := &testStream{requests: make(chan string), sent: make(chan string, 64), out: make(chan string, 4), ended: make(chan error, 1)}
 	s := Server[string, string]{
 		Recv: func() (string, error) {
@@ -35,9 +35,9 @@
 			r.sent <- m
 			return send
 		},
-		Take: func(m string) { r.out <- "handled " + m },
-		Beat: func() string { return "heartbeat" },
-		Out:  r.out, Heartbeat: heartbeat, Silence: silence,
+		Handle:       func(m string) { r.out <- "handled " + m },
+		NewHeartbeat: func() string { return "heartbeat" },
+		Outgoing:     r.out, HeartbeatInterval: heartbeatInterval, IdleTimeout: idleTimeout,
 	}
 	go func() { r.ended <- s.Run(ctx) }()
 	return r
--- a/internal/entry/effects.go
+++ b/internal/entry/effects.go
@@ -97,7 +97,7 @@
 			return
 		}
 		s.log.Warn("end of a request is not recorded yet", zap.String("key", f.Key), zap.Error(err))
-		wait.For(ctx, retryPause)
+		wait.Sleep(ctx, retryPause)
 	}
 }
 
@@ -110,7 +110,7 @@
 	for ctx.Err() == nil {
 		result, err := s.logs.Propose(ctx, s.group(c.Workspace), state.Command{Claim: &c})
 		if err != nil {
-			wait.For(ctx, retryPause)
+			wait.Sleep(ctx, retryPause)
 			continue
 		}
 		if result.Status == state.OK {
--- a/internal/entry/execution.go
+++ b/internal/entry/execution.go
@@ -115,7 +115,7 @@
 			return
 		}
 		if awaited.Delayed {
-			wait.For(x.ctx, retryPause)
+			wait.Sleep(x.ctx, retryPause)
 		}
 		e = x.await(*awaited)
 	}
--- a/internal/entry/pickup.go
+++ b/internal/entry/pickup.go
@@ -147,7 +147,7 @@
 			a.Fail(noAnswer(a.Meta().Key))
 			return
 		}
-		wait.For(ctx, retryPause)
+		wait.Sleep(ctx, retryPause)
 	}
 	e := fault.New(fault.Unavailable, "ask again", "the entry that holds the answer does not answer").WithRan(fault.MayHaveRun)
 	a.Fail(e.After(logRetryAfter))
--- a/internal/forward/budget.go
+++ b/internal/forward/budget.go
@@ -20,18 +20,18 @@
 	began time.Time
 
 	mu     sync.Mutex
-	byPool map[string]*limits.Repeats
+	byPool map[string]*limits.RetryBudget
 }
 
 func newRetryBudgets(retry settings.Retry) *retryBudgets {
-	return &retryBudgets{retry: retry, began: time.Now(), byPool: map[string]*limits.Repeats{}}
+	return &retryBudgets{retry: retry, began: time.Now(), byPool: map[string]*limits.RetryBudget{}}
 }
 
 // forPool returns a pool's budget. The caller holds b.mu.
-func (b *retryBudgets) forPool(pool string) *limits.Repeats {
+func (b *retryBudgets) forPool(pool string) *limits.RetryBudget {
 	r := b.byPool[pool]
 	if r == nil {
-		r = limits.NewRepeats(time.Duration(b.retry.WindowMS) * time.Millisecond)
+		r = limits.NewRetryBudget(time.Duration(b.retry.WindowMS) * time.Millisecond)
 		b.byPool[pool] = r
 	}
 	return r
@@ -41,7 +41,7 @@
 func (b *retryBudgets) recordRequest(pool string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.forPool(pool).Request(time.Since(b.began))
+	b.forPool(pool).RecordRequest(time.Since(b.began))
 }
 
 // allow reports whether the budget, shared by a number of entries, allows a retry,
@@ -50,5 +50,5 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	slack := usedBudgetShare * float64(b.retry.Slack) / float64(entries)
-	return b.forPool(pool).Allow(time.Since(b.began), usedBudgetShare*b.retry.Ratio, slack)
+	return b.forPool(pool).AllowRetry(time.Since(b.began), usedBudgetShare*b.retry.Ratio, slack)
 }
--- a/internal/forward/drain.go
+++ b/internal/forward/drain.go
@@ -33,8 +33,8 @@
 	ttl := time.Duration(s.set.Routing.AnswerTTLMS) * time.Millisecond
 	began := time.Now()
 	acceptTime := min(directoryTTLs*ttl+announceDelay, grace*acceptTenths/tenths)
-	s.log.Info("left the directory; serving callers with an older directory answer", zap.Duration("for", acceptTime), zap.Duration("grace", grace))
-	wait.For(ctx, acceptTime)
+	s.log.Info("left the directory; serving callers that hold an older answer", zap.Duration("for", acceptTime), zap.Duration("grace", grace))
+	wait.Sleep(ctx, acceptTime)
 	s.server.SetKeepAlivesEnabled(false)
 	_ = s.listener.Close()
 	done := make(chan struct{})
--- a/internal/forward/exchange.go
+++ b/internal/forward/exchange.go
@@ -127,7 +127,7 @@
 	switch {
 	case errors.As(err, &f) && x.possibleRuns == 0:
 		status := http.StatusServiceUnavailable
-		if string(f.Kind) == string(broker.Limited) {
+		if string(f.Kind) == string(broker.LimitExceeded) {
 			status = http.StatusTooManyRequests
 		}
 		x.respondRefusal(&refusal{status: status, code: string(f.Kind), reason: f.Message, retryAfter: time.Duration(f.RetryAfterMS) * time.Millisecond})
--- a/internal/forward/forward_test.go
+++ b/internal/forward/forward_test.go
@@ -34,7 +34,7 @@
 	left, err := time.ParseDuration(seen.Header.Get("Wait") + "ms")
 	require.NoError(t, err)
 	require.LessOrEqual(t, left, 900*time.Millisecond)
-	require.Equal(t, []broker.Outcome{broker.Done}, r.work.outcomes())
+	require.Equal(t, []broker.Outcome{broker.Completed}, r.work.outcomes())
 }
 
 func TestNonRepeatableRequestIsSentOnce(t *testing.T) {
@@ -79,7 +79,7 @@
 	require.Equal(t, http.StatusServiceUnavailable, out.status)
 	require.NotEmpty(t, out.header.Get("Retry-After"))
 	r = newTestEntry(t)
-	r.work.refusal = fault.New(fault.Kind(broker.Limited), "retry later", "quota").After(250 * time.Millisecond)
+	r.work.refusal = fault.New(fault.Kind(broker.LimitExceeded), "retry later", "quota").After(250 * time.Millisecond)
 	out = r.call("once", "b")
 	require.Equal(t, http.StatusTooManyRequests, out.status)
 	require.Equal(t, "0.250", out.header.Get("Retry-After"))
@@ -109,7 +109,7 @@
 func TestResponseTimeoutRetriesRepeatableRequestsOnly(t *testing.T) {
 	r := newTestEntry(t, newUpstream(t, sendNothing), newUpstream(t, respondWith(200, "", "second")))
 	require.Equal(t, "second", r.call("idempotent", "b").body)
-	require.Equal(t, []broker.Outcome{broker.Silent, broker.Done}, r.work.outcomes())
+	require.Equal(t, []broker.Outcome{broker.TimedOut, broker.Completed}, r.work.outcomes())
 	second := newUpstream(t, respondWith(200, "", "second"))
 	r = newTestEntry(t, newUpstream(t, sendNothing), second)
 	began := time.Now()
--- a/internal/forward/rig_test.go
+++ b/internal/forward/rig_test.go
@@ -161,7 +161,7 @@
 		if w.refusal != nil {
 			return port.BrokerTicket{}, w.refusal
 		}
-		return port.BrokerTicket{}, fault.New(fault.Kind(broker.Overload), "retry later", "no upstream is left").After(time.Second)
+		return port.BrokerTicket{}, fault.New(fault.Kind(broker.Overloaded), "retry later", "no upstream is left").After(time.Second)
 	}
 	address := w.addresses[w.granted]
 	w.granted++
--- a/internal/forward/stream.go
+++ b/internal/forward/stream.go
@@ -189,10 +189,10 @@
 		return a.recordLost(ctx, io.ErrUnexpectedEOF)
 	}
 	a.possibleRuns++
-	a.end.Outcome = broker.Done
+	a.end.Outcome = broker.Completed
 	if !first.IsZero() {
-		a.end.First = first.Sub(a.sentAt)
-		a.end.Decode = a.stream.lastEventAt.Sub(first)
+		a.end.TimeToFirstEvent = first.Sub(a.sentAt)
+		a.end.DecodeTime = a.stream.lastEventAt.Sub(first)
 	}
 	if a.engine != nil {
 		a.end.OutputTokens = max(0, count-1) * max(1, a.engine.EventTokens)
--- a/internal/forward/try.go
+++ b/internal/forward/try.go
@@ -191,15 +191,15 @@
 // request.
 func (a *upstreamAttempt) recordLost(ctx context.Context, err error) nextStep {
 	a.possibleRuns++
-	a.end.Outcome = broker.Broken
+	a.end.Outcome = broker.ConnectionLost
 	switch cause := context.Cause(ctx); {
 	case a.callerDisconnected():
 		a.end.Outcome = broker.Canceled
 	case errors.Is(cause, errUpstreamTimeout), errors.Is(cause, context.DeadlineExceeded):
-		a.end.Outcome = broker.Silent
+		a.end.Outcome = broker.TimedOut
 		err = cause
 	case errors.Is(err, errStrayResponse):
-		a.end.Outcome = broker.Spoiled
+		a.end.Outcome = broker.InvalidResponse
 	}
 	a.logFailure(err)
 	return tryNext
@@ -210,7 +210,7 @@
 func (a *upstreamAttempt) recordInvalid(err error) nextStep {
 	_ = a.conn.Close()
 	a.possibleRuns++
-	a.end.Outcome = broker.Spoiled
+	a.end.Outcome = broker.InvalidResponse
 	a.logFailure(err)
 	return tryNext
 }
@@ -219,7 +219,7 @@
 func (a *upstreamAttempt) recordRejected(resp *http.Response, meta ResponseMeta) nextStep {
 	a.discardBody(resp)
 	a.rejections++
-	a.end.Outcome = broker.Full
+	a.end.Outcome = broker.Rejected
 	if meta.Misdirected {
 		a.end.Outcome = broker.Misdirected
 	}
@@ -274,18 +274,18 @@
 		_ = a.conn.Close()
 		return a.recordLost(ctx, err)
 	}
-	a.end.First = time.Since(a.sentAt)
-	a.firstEventTime = a.end.First
+	a.end.TimeToFirstEvent = time.Since(a.sentAt)
+	a.firstEventTime = a.end.TimeToFirstEvent
 	a.possibleRuns++
 	out := &response{status: resp.StatusCode, header: withoutHopByHop(resp.Header), body: body}
 	if resp.StatusCode >= http.StatusInternalServerError {
-		a.end.Outcome = broker.Failed
+		a.end.Outcome = broker.UpstreamError
 		a.releaseConn(resp, nil)
 		a.errorResponse = out
 		a.logFailure(errors.New(resp.Status))
 		return tryNext
 	}
-	a.end.Outcome = broker.Done
+	a.end.Outcome = broker.Completed
 	a.releaseConn(resp, nil)
 	a.writeResponse(out)
 	return stop
--- a/internal/roster/spread.go
+++ b/internal/roster/spread.go
@@ -58,7 +58,7 @@
 		delete(p.renewals, e.ID)
 	}
 	queued[e.ID] = e
-	wait.Signal(ready)
+	wait.Notify(ready)
 }
 
 // drain removes and returns all queued entries.
@@ -111,7 +111,7 @@
 		select {
 		case <-s.ctx.Done():
 		case <-p.changed:
-			wait.For(s.ctx, changeDelay)
+			wait.Sleep(s.ctx, changeDelay)
 		case <-p.renewed:
 			s.waitForChange(p, renewalDelay)
 		}
@@ -120,7 +120,7 @@
 				s.removePeer(address)
 				return
 			}
-			wait.For(s.ctx, forwardRetryDelay)
+			wait.Sleep(s.ctx, forwardRetryDelay)
 		}
 	}
 }
--- a/internal/roster/store.go
+++ b/internal/roster/store.go
@@ -88,6 +88,6 @@
 			failing = failed
 			s.log.Info("roster storage state changed", zap.Bool("failing", failing), zap.Error(err))
 		}
-		wait.For(s.ctx, storeInterval)
+		wait.Sleep(s.ctx, storeInterval)
 	}
 }
--- a/internal/schedclient/session.go
+++ b/internal/schedclient/session.go
@@ -69,7 +69,7 @@
 	defer s.mu.Unlock()
 	s.waiting[a.id] = a
 	s.pending.Offers = append(s.pending.Offers, encodeOffer(a))
-	wait.Signal(s.wake)
+	wait.Notify(s.wake)
 }
 
 func encodeOffer(a *acquisition) *rpc.Offer {
@@ -98,7 +98,7 @@
 	}
 	delete(s.waiting, a.id)
 	s.pending.Cancels = append(s.pending.Cancels, a.id)
-	wait.Signal(s.wake)
+	wait.Notify(s.wake)
 	return true
 }
 
@@ -110,7 +110,7 @@
 		Id: a.id, Outcome: uint32(r.Outcome), PrefillMs: uint32(r.Prefill.Milliseconds()), DecodeMs: uint32(r.Decode.Milliseconds()),
 		OutputTokens: uint32(r.OutputTokens), CachedTokens: uint32(r.CachedTokens),
 	})
-	wait.Signal(s.wake)
+	wait.Notify(s.wake)
 }
 
 // maxPendingEvents bounds the unsent cache events per upstream. If there are
@@ -123,7 +123,7 @@
 func (s *session) announce(u *rpc.UpstreamState) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	defer wait.Signal(s.wake)
+	defer wait.Notify(s.wake)
 	for i, old := range s.pending.Upstreams {
 		if old.Name != u.Name || old.Incarnation != u.Incarnation || len(old.CacheEvents) == 0 {
 			continue
@@ -192,7 +192,7 @@
 		a, ok := s.waiting[g.Id]
 		if !ok {
 			s.pending.Releases = append(s.pending.Releases, &rpc.Release{Id: g.Id, Outcome: uint32(sched.NotSent)})
-			wait.Signal(s.wake)
+			wait.Notify(s.wake)
 			continue
 		}
 		delete(s.waiting, g.Id)
--- a/internal/view/watch.go
+++ b/internal/view/watch.go
@@ -49,7 +49,7 @@
 func (s *Service) watchOnce(ctx context.Context, p settings.Peer) {
 	err := s.watch(ctx, p)
 	s.log.Debug("watch ended", zap.String("replica", p.Name), zap.Error(err))
-	wait.For(ctx, retryDelay)
+	wait.Sleep(ctx, retryDelay)
 }
 
 // awaitFirstTable watches all replicas at once until one of them has sent the
--- a/internal/wait/wait.go
+++ b/internal/wait/wait.go
@@ -7,17 +7,17 @@
 	"time"
 )
 
-// For returns after d or when the context is done.
-func For(ctx context.Context, d time.Duration) {
+// Sleep returns after d or when the context is done.
+func Sleep(ctx context.Context, d time.Duration) {
 	select {
 	case <-time.After(d):
 	case <-ctx.Done():
 	}
 }
 
-// Signal notifies the receiver of a channel with a buffer of one. It does not block; a
+// Notify notifies the receiver of a channel with a buffer of one. It does not block; a
 // notification that is still pending is not repeated.
-func Signal(c chan<- struct{}) {
+func Notify(c chan<- struct{}) {
 	select {
 	case c <- struct{}{}:
 	default:
--- a/internal/work/codec.go
+++ b/internal/work/codec.go
@@ -40,8 +40,8 @@
 	return &rpc.WorkOffer{
 		Id: o.ID.Number, Pool: o.Pool, Workspace: o.Workspace, DataCentre: o.DataCentre, Region: o.Region, Rank: uint32(o.Rank),
 		PromptTokens: uint32(o.PromptTokens), OutputTokens: uint32(o.OutputTokens), Charge: uint32(o.Charge),
-		AimMs: int32((o.Aim - now).Milliseconds()), WaitMs: milliseconds(o.Deadline - now), Session: o.Session, SessionTokens: uint32(o.SessionTokens),
-		Fingerprint: o.Fingerprint, Avoid: o.Avoid, Running: o.Running, Reserve: uint32(o.Reserve * permille), LateMs: milliseconds(o.Latest - o.Aim),
+		AimMs: int32((o.LatencyTarget - now).Milliseconds()), WaitMs: milliseconds(o.Deadline - now), Session: o.Session, SessionTokens: uint32(o.SessionTokens),
+		Fingerprint: o.Fingerprint, Avoid: o.Avoid, Running: o.Running, Reserve: uint32(o.Reserve * permille), LateMs: milliseconds(o.LatestUseful - o.LatencyTarget),
 	}
 }
 
@@ -51,7 +51,7 @@
 	return broker.Offer{
 		ID: broker.ID{Entry: entry, Number: o.Id}, Pool: o.Pool, Workspace: o.Workspace, DataCentre: o.DataCentre, Region: o.Region,
 		Rank: int(o.Rank), PromptTokens: int(o.PromptTokens), OutputTokens: int(o.OutputTokens), Charge: int(o.Charge),
-		Aim: target, Latest: target + duration(o.LateMs), Deadline: now + duration(o.WaitMs), Session: o.Session, SessionTokens: int(o.SessionTokens),
+		LatencyTarget: target, LatestUseful: target + duration(o.LateMs), Deadline: now + duration(o.WaitMs), Session: o.Session, SessionTokens: int(o.SessionTokens),
 		Fingerprint: o.Fingerprint, Avoid: o.Avoid, Running: o.Running, Reserve: float64(o.Reserve) / permille,
 	}
 }
@@ -81,13 +81,13 @@
 
 // EncodeEnd encodes the end of a request.
 func EncodeEnd(e broker.End) *rpc.WorkEnd {
-	return &rpc.WorkEnd{Id: e.ID.Number, Outcome: uint32(e.Outcome), FirstMs: milliseconds(e.First), DecodeMs: milliseconds(e.Decode), OutputTokens: uint32(e.OutputTokens)}
+	return &rpc.WorkEnd{Id: e.ID.Number, Outcome: uint32(e.Outcome), FirstMs: milliseconds(e.TimeToFirstEvent), DecodeMs: milliseconds(e.DecodeTime), OutputTokens: uint32(e.OutputTokens)}
 }
 
 // DecodeEnd decodes the end of a request of the given entry.
 func DecodeEnd(entry string, e *rpc.WorkEnd) broker.End {
 	return broker.End{
-		ID: broker.ID{Entry: entry, Number: e.Id}, Outcome: broker.Outcome(e.Outcome), First: duration(e.FirstMs), Decode: duration(e.DecodeMs),
+		ID: broker.ID{Entry: entry, Number: e.Id}, Outcome: broker.Outcome(e.Outcome), TimeToFirstEvent: duration(e.FirstMs), DecodeTime: duration(e.DecodeMs),
 		OutputTokens: int(e.OutputTokens),
 	}
 }
