--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -238,7 +238,7 @@
 
 // killRunner kills killedRunner at killFraction of the load.
 func (r *demoRun) killRunner(ctx context.Context, start time.Time, report *Report) {
-	wait.For(ctx, time.Duration(killFraction*float64(loadDuration)))
+	wait.Sleep(ctx, time.Duration(killFraction*float64(loadDuration)))
 	r.standIns.kill(killedRunner)
 	r.rec.forgetUpstream(killedRunner)
 	r.rec.record(promise.Event{Kind: promise.Leave, Upstream: killedRunner, Pool: modelName})
@@ -248,7 +248,7 @@
 
 // drainDaemon stops drainedDaemon gracefully at drainFraction of the load.
 func (r *demoRun) drainDaemon(ctx context.Context, start time.Time, report *Report) error {
-	wait.For(ctx, time.Duration(drainFraction*float64(loadDuration)))
+	wait.Sleep(ctx, time.Duration(drainFraction*float64(loadDuration)))
 	report.DrainedDaemon = Step{Name: localsite.Name(drainedDaemon), At: time.Since(start).Seconds()}
 	r.printProgress("%s is draining", localsite.Name(drainedDaemon))
 	err := r.site.Stop(drainedDaemon)
--- a/internal/entry/effects.go
+++ b/internal/entry/effects.go
@@ -101,7 +101,7 @@
 			return
 		}
 		s.log.Warn("could not record the end of a request; retrying", zap.String("key", f.Key), zap.Error(err))
-		wait.For(ctx, retryDelay)
+		wait.Sleep(ctx, retryDelay)
 	}
 }
 
@@ -115,7 +115,7 @@
 	for ctx.Err() == nil {
 		result, err := s.logs.Propose(ctx, s.group(c.Workspace), state.Command{Claim: &c})
 		if err != nil {
-			wait.For(ctx, retryDelay)
+			wait.Sleep(ctx, retryDelay)
 			continue
 		}
 		if result.Status == state.OK {
--- a/internal/entry/execution.go
+++ b/internal/entry/execution.go
@@ -120,7 +120,7 @@
 			return
 		}
 		if awaited.Delayed {
-			wait.For(x.ctx, retryDelay)
+			wait.Sleep(x.ctx, retryDelay)
 		}
 		e = x.await(*awaited)
 	}
--- a/internal/entry/pickup.go
+++ b/internal/entry/pickup.go
@@ -155,7 +155,7 @@
 			a.Fail(answerNotFound(a.Meta().Key))
 			return
 		}
-		wait.For(ctx, retryDelay)
+		wait.Sleep(ctx, retryDelay)
 	}
 	e := fault.New(fault.Unavailable, "ask again", "the entry that holds the answer does not answer").WithRan(fault.MayHaveRun)
 	a.Fail(e.After(logRetryAfter))
