--- a/core/sched/dump.go
+++ b/core/sched/dump.go
@@ -35,10 +35,10 @@
 
 // WorkspaceDump is the fair-share state of one workspace in a tier.
 type WorkspaceDump struct {
-	Name    string  `json:"name"`
-	Counter float64 `json:"counter"`
-	Queued  int     `json:"queued"`
-	Present int64   `json:"present"`
+	Name     string  `json:"name"`
+	Counter  float64 `json:"counter"`
+	Queued   int     `json:"queued"`
+	InFlight int64   `json:"present"`
 }
 
 // Dump is the state of a dispatcher, for operators.
@@ -75,7 +75,7 @@
 func (t *tier) dump() TierDump {
 	out := TierDump{Tier: t.rank, Queued: t.queued, Running: t.running}
 	for _, w := range t.workspaces {
-		out.Workspaces = append(out.Workspaces, WorkspaceDump{Name: w.name, Counter: w.counter, Queued: w.queued, Present: w.usage.InFlight()})
+		out.Workspaces = append(out.Workspaces, WorkspaceDump{Name: w.name, Counter: w.counter, Queued: w.queued, InFlight: w.usage.InFlight()})
 	}
 	sort.Slice(out.Workspaces, func(i, j int) bool { return out.Workspaces[i].Name < out.Workspaces[j].Name })
 	return out
