--- a/core/broker/broker.go
+++ b/core/broker/broker.go
@@ -41,12 +41,12 @@
 	// calls.
 	PromptTokens int
 	OutputTokens int
-	// Charge is the number of tokens to take from the workspace's quota; zero if
+	// QuotaCharge is the number of tokens to take from the workspace's quota; zero if
 	// they were taken before.
-	Charge int
-	// Reserve is the fraction of the quota's burst that must remain, so that the
+	QuotaCharge int
+	// QuotaReserve is the fraction of the quota's burst that must remain, so that the
 	// workspace's less urgent requests are refused before its urgent ones.
-	Reserve float64
+	QuotaReserve float64
 	// Session identifies the prefix that the prompt shares with earlier prompts;
 	// SessionTokens is its length.
 	Session       uint64
@@ -79,8 +79,8 @@
 	// overdue, are used last.
 	Leaving bool
 	Silent  bool
-	// Cold is how long the upstream still needs to warm up.
-	Cold time.Duration
+	// WarmUpTime is how long the upstream still needs to warm up.
+	WarmUpTime time.Duration
 }
 
 // Grant assigns a request to an upstream.
@@ -88,14 +88,14 @@
 	ID       ID
 	Upstream string
 	Address  string
-	// Expected is the estimated time to the first event, or to the answer of a
-	// service call.
-	Expected time.Duration
-	Waited   time.Duration
-	// Free is the number of slots left on the upstream and Queued the number of
+	// ExpectedTimeToFirstEvent is the estimated time to the first event, or to the
+	// answer of a service call; Waited is the time from the offer to the grant.
+	ExpectedTimeToFirstEvent time.Duration
+	Waited                   time.Duration
+	// FreeSlots is the number of slots left on the upstream and Queued the number of
 	// requests left in the queue after the grant.
-	Free   int
-	Queued int
+	FreeSlots int
+	Queued    int
 }
 
 // Code is the reason why a request is refused. A refused request did not run.
@@ -298,13 +298,13 @@
 // holds too few, it returns how long it takes to refill and false.
 func (b *Broker) charge(now time.Duration, req *request) (time.Duration, bool) {
 	workspace := b.workspace(req.Workspace)
-	if req.Charge == 0 || workspace == nil {
+	if req.QuotaCharge == 0 || workspace == nil {
 		return 0, true
 	}
 	rate, burst := b.quota(workspace)
-	wait, ok := b.bucket(req.Workspace).Take(now, rate, burst, req.Reserve*burst, float64(req.Charge))
+	wait, ok := b.bucket(req.Workspace).Take(now, rate, burst, req.QuotaReserve*burst, float64(req.QuotaCharge))
 	if ok {
-		req.chargedTokens = req.Charge
+		req.chargedTokens = req.QuotaCharge
 	}
 	return wait, ok
 }
@@ -515,7 +515,7 @@
 	out := map[string]Estimates{}
 	for _, p := range b.pools {
 		for _, u := range p.order {
-			out[u.ID] = Estimates{ID: u.ID, TokenTime: u.speed.tokenTime, CallTime: u.speed.callTime, FailureRate: u.health.failureRate}
+			out[u.ID] = Estimates{ID: u.ID, TokenTime: u.times.tokenTime, CallTime: u.times.callTime, FailureRate: u.health.failureRate}
 		}
 	}
 	return out
@@ -527,7 +527,7 @@
 	for _, l := range list {
 		for _, p := range b.pools {
 			if u := p.upstreams[l.ID]; u != nil {
-				u.speed = speed{tokenTime: l.TokenTime, callTime: l.CallTime}
+				u.times = upstreamTimes{tokenTime: l.TokenTime, callTime: l.CallTime}
 				u.health.failureRate = l.FailureRate
 			}
 		}
@@ -539,11 +539,11 @@
 	Pool      string         `json:"pool"`
 	Queued    int            `json:"queued"`
 	Upstreams []UpstreamDump `json:"upstreams"`
-	// TokenMS and ReadMS are the learned times per output and prompt token,
+	// TokenMS and PrefillMS are the learned times per output and prompt token,
 	// OverheadMS the time to the first event of an empty prompt, CallMS the time
 	// of a service call.
 	TokenMS    float64 `json:"token_ms"`
-	ReadMS     float64 `json:"read_ms"`
+	PrefillMS  float64 `json:"read_ms"`
 	OverheadMS float64 `json:"overhead_ms"`
 	CallMS     float64 `json:"call_ms"`
 }
@@ -565,12 +565,12 @@
 	out := []PoolDump{}
 	for _, p := range b.pools {
 		d := PoolDump{
-			Pool: p.name, Queued: len(p.queue), TokenMS: 1000 * p.costs.tokenTime, ReadMS: 1000 * p.costs.tokenTime * p.costs.prefillRatio,
-			OverheadMS: 1000 * p.costs.tokenTime * p.costs.overhead, CallMS: 1000 * p.costs.callTime,
+			Pool: p.name, Queued: len(p.queue), TokenMS: 1000 * p.times.tokenTime, PrefillMS: 1000 * p.times.tokenTime * p.times.prefillRatio,
+			OverheadMS: 1000 * p.times.tokenTime * p.times.overhead, CallMS: 1000 * p.times.callTime,
 		}
 		for _, u := range p.order {
 			d.Upstreams = append(d.Upstreams, UpstreamDump{
-				ID: u.ID, InFlight: len(u.inFlight), Slots: u.Slots, TokenMS: 1000 * u.speed.tokenTime, CallMS: 1000 * u.speed.callTime,
+				ID: u.ID, InFlight: len(u.inFlight), Slots: u.Slots, TokenMS: 1000 * u.times.tokenTime, CallMS: 1000 * u.times.callTime,
 				FailureRate: u.health.failureRate, Leaving: u.Leaving, Silent: u.Silent,
 			})
 		}
--- a/core/broker/broker_test.go
+++ b/core/broker/broker_test.go
@@ -168,7 +168,7 @@
 	now := 20 * time.Second
 	charged := func(n uint64) Offer {
 		o := newOffer(n)
-		o.Workspace, o.Charge = "w", 600
+		o.Workspace, o.QuotaCharge = "w", 600
 		return o
 	}
 	b.Offer(now, charged(1))
@@ -195,7 +195,7 @@
 		for {
 			number++
 			o := newOffer(number)
-			o.Workspace, o.Charge = "w", 50
+			o.Workspace, o.QuotaCharge = "w", 50
 			b.Offer(now, o)
 			d := b.Decide(now)
 			if len(d.Grants) == 0 {
--- a/core/broker/decide.go
+++ b/core/broker/decide.go
@@ -97,7 +97,7 @@
 	r := &round{now: now, share: share, open: p.open[:0]}
 	lowest := (*upstream)(nil)
 	for _, u := range p.order {
-		if u.Leaving || u.health.unavailable(now) {
+		if u.Leaving || u.health.isUnavailable(now) {
 			continue
 		}
 		capacity := u.capacity(now, share)
@@ -107,7 +107,7 @@
 		}
 		r.minTokenTime = shortest(r.minTokenTime, p.tokenTime(u))
 		r.minCallTime = shortest(r.minCallTime, p.callTime(u))
-		if lowest == nil || u.point < lowest.point {
+		if lowest == nil || u.roundingPoint < lowest.roundingPoint {
 			lowest = u
 		}
 	}
@@ -153,8 +153,8 @@
 		p.assign(r.now, req, u)
 		r.closeIfFull(u)
 		b.pending.Grants = append(b.pending.Grants, Grant{
-			ID: req.ID, Upstream: u.ID, Address: u.Address, Expected: first, Waited: r.now - req.arrived,
-			Free: u.capacity(r.now, b.share) - len(u.inFlight), Queued: len(p.queue),
+			ID: req.ID, Upstream: u.ID, Address: u.Address, ExpectedTimeToFirstEvent: first, Waited: r.now - req.arrived,
+			FreeSlots: u.capacity(r.now, b.share) - len(u.inFlight), Queued: len(p.queue),
 		})
 	}
 	p.open = r.open
@@ -169,7 +169,7 @@
 		if !p.fits(u, req) || (limit > 0 && p.tokenTime(u) >= limit) {
 			continue
 		}
-		first := p.firstEventTime(r.now, req, u)
+		first := p.timeToFirstEvent(r.now, req, u)
 		cost := p.placementCost(r.now, req, u, first)
 		if best == nil || cost < bestCost {
 			best, bestCost, bestFirst = u, cost, first
@@ -188,7 +188,7 @@
 // allows every upstream, if none is fast enough or the request has no deadline or
 // no engine.
 func (p *pool) maxTokenTime(r *round, req *request) float64 {
-	units := p.costs.overhead + p.costs.prefillRatio*float64(req.PromptTokens) + outputLengthMargin*float64(req.OutputTokens)
+	units := p.times.overhead + p.times.prefillRatio*float64(req.PromptTokens) + outputLengthMargin*float64(req.OutputTokens)
 	if p.engine == nil || req.Deadline <= r.now || units <= 0 {
 		return 0
 	}
@@ -199,13 +199,16 @@
 	return limit
 }
 
-// firstEventTime estimates the time to a request's first event on an upstream.
-func (p *pool) firstEventTime(now time.Duration, req *request, u *upstream) time.Duration {
-	return max(0, u.prefillUntil-now) + p.prefillTime(req, u) + p.overheadTime(u) + u.Cold/2
+// timeToFirstEvent estimates the time to a request's first event on an upstream: the
+// prefill of the prompts ahead and of its own, the overhead, and half of the warm-up
+// time that remains.
+func (p *pool) timeToFirstEvent(now time.Duration, req *request, u *upstream) time.Duration {
+	return max(0, u.prefillUntil-now) + p.prefillTime(req, u) + p.overheadTime(u) + u.WarmUpTime/2
 }
 
 // placementCost returns the estimated time of a request on an upstream with all
-// penalties; first is the time to its first event.
+// penalties; first is the time to its first event. On an engine, half of the decode
+// time counts; on a plain service, the time grows with the number of occupied slots.
 func (p *pool) placementCost(now time.Duration, req *request, u *upstream, first time.Duration) time.Duration {
 	cost := first + p.decodeTime(req, u)/2
 	if p.engine == nil {
@@ -240,7 +243,7 @@
 	for i := 0; i < len(p.queue); {
 		req := p.queue[i]
 		wait := p.queueWait(r.now, req, ahead, float64(r.slots))
-		first := r.now + wait + p.minFirstEventTime(r, req)
+		first := r.now + wait + p.minTimeToFirstEvent(r, req)
 		switch {
 		case first <= req.LatencyTarget, req.late && first <= req.LatestUseful:
 			ahead += p.slotTime(req)
@@ -276,7 +279,7 @@
 
 // queueWait estimates how long a request waits behind the requests ahead of it,
 // which hold slots for a total of ahead seconds, and behind requests of higher rank
-// that keep arriving.
+// that keep arriving. At least a twentieth of the slots is assumed to be left for it.
 func (p *pool) queueWait(now time.Duration, req *request, ahead, slots float64) time.Duration {
 	spare := slots - p.load.higherRanks(now, req.Rank)
 	if spare < slots/20 {
@@ -285,17 +288,18 @@
 	return seconds(ahead / spare)
 }
 
-// minFirstEventTime estimates the time to a request's first event on the fastest
+// minTimeToFirstEvent estimates the time to a request's first event on the fastest
 // upstream.
-func (p *pool) minFirstEventTime(r *round, req *request) time.Duration {
+func (p *pool) minTimeToFirstEvent(r *round, req *request) time.Duration {
 	if p.engine == nil {
 		return seconds(r.minCallTime)
 	}
-	return seconds(r.minTokenTime * (p.costs.overhead + p.costs.prefillRatio*float64(req.PromptTokens)))
+	return seconds(r.minTokenTime * (p.times.overhead + p.times.prefillRatio*float64(req.PromptTokens)))
 }
 
 // retryDelay returns when a refused caller should retry: after the estimated wait,
-// plus up to as long again, so that refused callers do not retry all at once.
+// plus up to as long again, so that refused callers do not retry all at once. The part
+// is a multiplicative hash of the request number, so it is deterministic.
 func (p *pool) retryDelay(req *request, wait time.Duration) time.Duration {
 	spread := float64((req.ID.Number*2654435761)%1000) / 1000
 	after := wait + time.Duration(spread*float64(max(wait, minRetryDelay)))
--- a/core/broker/health.go
+++ b/core/broker/health.go
@@ -30,9 +30,9 @@
 	backOffDelay time.Duration
 }
 
-func (h *health) unavailable(now time.Duration) bool { return now < h.unavailableUntil }
+func (h *health) isUnavailable(now time.Duration) bool { return now < h.unavailableUntil }
 
-func (h *health) onProbation() bool { return h.consecutiveFailures >= probationFailures }
+func (h *health) isOnProbation() bool { return h.consecutiveFailures >= probationFailures }
 
 // record updates the health by the outcome of a request.
 func (h *health) record(now time.Duration, o Outcome) {
--- a/core/broker/pool.go
+++ b/core/broker/pool.go
@@ -21,7 +21,7 @@
 	open []*upstream
 	// queue is sorted by compare.
 	queue []*request
-	costs costs
+	times poolTimes
 	load  load
 	// lastServed is the time of the last round that had slots, or of the first round.
 	lastServed time.Duration
@@ -30,7 +30,7 @@
 }
 
 func newPool(name string) *pool {
-	return &pool{name: name, upstreams: map[string]*upstream{}, costs: newCosts()}
+	return &pool{name: name, upstreams: map[string]*upstream{}, times: newPoolTimes()}
 }
 
 // upstream is an upstream with its running requests and learned estimates.
@@ -41,12 +41,12 @@
 	tokens int64
 	// prefillUntil is when all granted prompts should be prefilled.
 	prefillUntil time.Duration
-	speed        speed
+	times        upstreamTimes
 	health       health
-	// point is a hash in [0, 1) of upstream and broker that rounds fractional
-	// slots; see capacity.
-	point    float64
-	sessions sessionCache
+	// roundingPoint is a hash of upstream and broker in [0, 1): a fractional slot above
+	// it is rounded up; see capacity.
+	roundingPoint float64
+	sessions      sessionCache
 }
 
 // setUpstreams replaces the pool's upstreams and keeps what was learned about those
@@ -58,7 +58,7 @@
 	for _, x := range list {
 		u := p.upstreams[x.ID]
 		if u == nil {
-			u = &upstream{inFlight: map[ID]*request{}, sessions: newSessionCache(), point: rendezvous.Point(x.ID, broker)}
+			u = &upstream{inFlight: map[ID]*request{}, sessions: newSessionCache(), roundingPoint: rendezvous.Point(x.ID, broker)}
 			p.upstreams[x.ID] = u
 		}
 		u.Upstream = x
@@ -157,10 +157,10 @@
 func (u *upstream) capacity(now time.Duration, share float64) int {
 	slots := float64(u.Slots) * share
 	whole := int(slots)
-	if u.point < slots-float64(whole) {
+	if u.roundingPoint < slots-float64(whole) {
 		whole++
 	}
-	if u.health.onProbation() {
+	if u.health.isOnProbation() {
 		return min(1, whole)
 	}
 	return whole
--- a/core/broker/speed.go
+++ b/core/broker/speed.go
@@ -29,8 +29,8 @@
 	minOutputTokens = 8
 )
 
-// costs are moving averages over all upstreams of a pool.
-type costs struct {
+// poolTimes are moving averages over all upstreams of a pool.
+type poolTimes struct {
 	// tokenTime is the time per output token and callTime the time of a service
 	// call, in seconds.
 	tokenTime float64
@@ -41,20 +41,20 @@
 	overhead     float64
 }
 
-func newCosts() costs {
-	return costs{tokenTime: initialTokenTime, callTime: initialCallTime, prefillRatio: initialPrefillRatio, overhead: initialOverhead}
+func newPoolTimes() poolTimes {
+	return poolTimes{tokenTime: initialTokenTime, callTime: initialCallTime, prefillRatio: initialPrefillRatio, overhead: initialOverhead}
 }
 
-// speed holds the moving averages of one upstream, in seconds; zero before the
+// upstreamTimes holds the moving averages of one upstream, in seconds; zero before the
 // first observation.
-type speed struct {
+type upstreamTimes struct {
 	tokenTime float64
 	callTime  float64
 }
 
-// average returns the moving average after an observation with the given weight;
+// movingAverage returns the moving average after an observation with the given weight;
 // zero means that there was none before.
-func average(old, observed, weight float64) float64 {
+func movingAverage(old, observed, weight float64) float64 {
 	if old == 0 {
 		return observed
 	}
@@ -63,18 +63,18 @@
 
 // tokenTime returns an upstream's time per output token, in seconds.
 func (p *pool) tokenTime(u *upstream) float64 {
-	if u.speed.tokenTime == 0 {
-		return p.costs.tokenTime
+	if u.times.tokenTime == 0 {
+		return p.times.tokenTime
 	}
-	return u.speed.tokenTime
+	return u.times.tokenTime
 }
 
 // callTime returns the time of a service call on an upstream, in seconds.
 func (p *pool) callTime(u *upstream) float64 {
-	if u.speed.callTime == 0 {
-		return p.costs.callTime
+	if u.times.callTime == 0 {
+		return p.times.callTime
 	}
-	return u.speed.callTime
+	return u.times.callTime
 }
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
@@ -89,7 +89,7 @@
 	if u.sessions.contains(req.Session) {
 		uncached -= req.SessionTokens
 	}
-	return seconds(p.tokenTime(u) * p.costs.prefillRatio * float64(max(0, uncached)))
+	return seconds(p.tokenTime(u) * p.times.prefillRatio * float64(max(0, uncached)))
 }
 
 // overheadTime estimates the time from the end of the prefill to the first event,
@@ -98,7 +98,7 @@
 	if p.engine == nil {
 		return seconds(p.callTime(u))
 	}
-	return seconds(p.tokenTime(u) * p.costs.overhead)
+	return seconds(p.tokenTime(u) * p.times.overhead)
 }
 
 // decodeTime estimates the time from the end of the prefill to the end of the
@@ -107,16 +107,16 @@
 	if p.engine == nil {
 		return p.overheadTime(u)
 	}
-	return seconds(p.tokenTime(u) * (p.costs.overhead + float64(req.OutputTokens)))
+	return seconds(p.tokenTime(u) * (p.times.overhead + float64(req.OutputTokens)))
 }
 
 // slotTime estimates how long a request holds a slot of an average upstream, in
 // seconds.
 func (p *pool) slotTime(req *request) float64 {
 	if p.engine == nil {
-		return p.costs.callTime
+		return p.times.callTime
 	}
-	return p.costs.tokenTime * (p.costs.overhead + p.costs.prefillRatio*float64(req.PromptTokens) + float64(req.OutputTokens))
+	return p.times.tokenTime * (p.times.overhead + p.times.prefillRatio*float64(req.PromptTokens) + float64(req.OutputTokens))
 }
 
 // learn updates the health and the moving averages from an ended request.
@@ -127,34 +127,34 @@
 		return
 	}
 	if p.engine == nil {
-		u.speed.callTime = average(u.speed.callTime, e.TimeToFirstEvent.Seconds(), upstreamWeight)
-		p.costs.callTime = average(p.costs.callTime, e.TimeToFirstEvent.Seconds(), poolWeight)
+		u.times.callTime = movingAverage(u.times.callTime, e.TimeToFirstEvent.Seconds(), upstreamWeight)
+		p.times.callTime = movingAverage(p.times.callTime, e.TimeToFirstEvent.Seconds(), poolWeight)
 		return
 	}
 	if e.OutputTokens >= minOutputTokens && e.DecodeTime > 0 {
 		tokenTime := e.DecodeTime.Seconds() / float64(e.OutputTokens)
-		u.speed.tokenTime = average(u.speed.tokenTime, tokenTime, upstreamWeight)
-		p.costs.tokenTime = average(p.costs.tokenTime, tokenTime, poolWeight)
+		u.times.tokenTime = movingAverage(u.times.tokenTime, tokenTime, upstreamWeight)
+		p.times.tokenTime = movingAverage(p.times.tokenTime, tokenTime, poolWeight)
 	}
-	if !req.prefilledAlone || u.speed.tokenTime == 0 || e.TimeToFirstEvent <= 0 {
+	if !req.prefilledAlone || u.times.tokenTime == 0 || e.TimeToFirstEvent <= 0 {
 		return
 	}
-	p.learnFirstEvent(req, e.TimeToFirstEvent.Seconds()/u.speed.tokenTime, u.sessions.wasCached(req.Session))
+	p.learnTimeToFirstEvent(req, e.TimeToFirstEvent.Seconds()/u.times.tokenTime, u.sessions.wasCached(req.Session))
 }
 
-// learnFirstEvent updates overhead or prefill ratio from the time to the first
+// learnTimeToFirstEvent updates overhead or prefill ratio from the time to the first
 // event, in output tokens, of a prompt that was prefilled alone.
-func (p *pool) learnFirstEvent(req *request, first float64, cached bool) {
+func (p *pool) learnTimeToFirstEvent(req *request, first float64, cached bool) {
 	if cached {
 		return
 	}
 	if req.PromptTokens < minPrefillTokens {
-		overhead := first - p.costs.prefillRatio*float64(req.PromptTokens)
-		p.costs.overhead = average(p.costs.overhead, math.Max(1, overhead), poolWeight)
+		overhead := first - p.times.prefillRatio*float64(req.PromptTokens)
+		p.times.overhead = movingAverage(p.times.overhead, math.Max(1, overhead), poolWeight)
 		return
 	}
-	ratio := (first - p.costs.overhead) / float64(req.PromptTokens)
+	ratio := (first - p.times.overhead) / float64(req.PromptTokens)
 	if ratio > 0 {
-		p.costs.prefillRatio = average(p.costs.prefillRatio, ratio, poolWeight)
+		p.times.prefillRatio = movingAverage(p.times.prefillRatio, ratio, poolWeight)
 	}
 }
--- a/internal/brokerclient/alone.go
+++ b/internal/brokerclient/alone.go
@@ -30,17 +30,17 @@
 	table := s.view.Routes()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if table != nil && table.Table.Version != s.version {
-		if s.version == 0 {
-			s.localFrom = s.now() + firstBrokerTimeout
+	if table != nil && table.Table.Version != s.tableVersion {
+		if s.tableVersion == 0 {
+			s.localAllowedFrom = s.now() + firstBrokerTimeout
 		}
-		s.version = table.Table.Version
+		s.tableVersion = table.Table.Version
 		s.local.SetTable(table)
 	}
 	if s.attached || table == nil {
 		return localDecideInterval
 	}
-	if left := s.localFrom - s.now(); left > 0 {
+	if left := s.localAllowedFrom - s.now(); left > 0 {
 		return left
 	}
 	decisions := s.local.Decide(s.now())
--- a/internal/brokerclient/client.go
+++ b/internal/brokerclient/client.go
@@ -26,13 +26,13 @@
 // acquisition is a request that waits for a grant or runs.
 type acquisition struct {
 	offer broker.Offer
-	// settled is closed when the request is granted or refused; grant, failure and by
-	// are set before.
+	// settled is closed when the request is granted or refused; grant, refusal and
+	// decidedBy are set before.
 	settled chan struct{}
 	grant   broker.Grant
-	failure *fault.Error
-	// by is byBroker or byEntry.
-	by string
+	refusal *fault.Error
+	// decidedBy is byBroker or byEntry.
+	decidedBy string
 }
 
 // Values of the label "by": the leading broker or the entry's local broker.
@@ -69,23 +69,24 @@
 	running map[uint64]*acquisition
 	// pending collects what the next message to the broker carries.
 	pending rpc.BrokerAsk
-	// local is the local broker and version that of its route table.
-	local   *broker.Broker
-	version uint64
-	// localFrom is when the local broker may first grant.
-	localFrom time.Duration
-	// levels are the quota levels that the last broker sent.
-	levels map[string]float64
+	// local is the local broker and tableVersion the version of its route table.
+	local        *broker.Broker
+	tableVersion uint64
+	// localAllowedFrom is when the local broker may first grant.
+	localAllowedFrom time.Duration
+	// quotaLevels holds, by workspace, the fraction of the quota that is left, as the
+	// last broker sent it. It omits full quotas.
+	quotaLevels map[string]float64
 	// roster holds the upstreams as the control daemon sent them. localStale is true if
 	// the local broker lacks changes of it; localUpdated is when it last had all.
 	roster       map[string]*rpc.RosterEntry
 	localStale   bool
 	localUpdated time.Duration
-	// rosterAt is when a leader last confirmed that the entry's roster is complete; zero
-	// for never. rosterCurrent is true if the daemon of the session sent the full
-	// roster, or sends the changes of an earlier one.
-	rosterAt      time.Duration
-	rosterCurrent bool
+	// rosterConfirmedAt is when a leader last confirmed that the entry's roster is
+	// complete; zero for never. rosterCurrent is true if the daemon of the session sent
+	// the full roster, or sends the changes of an earlier one.
+	rosterConfirmedAt time.Duration
+	rosterCurrent     bool
 	// leaderlessSessions counts the sessions since the last grant that were ended
 	// because the daemon knew no leader.
 	leaderlessSessions int
@@ -95,10 +96,10 @@
 	leader        port.Leader
 	failedAddress string
 	// backOffUntil is when the daemon at failedAddress may be asked again, unless it
-	// leads in a later term than failedTerm. term is the newest known term.
+	// leads in a later term than failedTerm. newestTerm is the newest known term.
 	backOffUntil time.Duration
 	failedTerm   uint64
-	term         uint64
+	newestTerm   uint64
 }
 
 // New returns the service of the entry self; Start starts it.
@@ -109,7 +110,7 @@
 	return &Service{
 		set: set, log: log.Named("work"), metrics: newMetrics(), self: self.String(), started: time.Now(), wakeSession: make(chan struct{}, 1), wakeLocal: make(chan struct{}, 1),
 		waiting: map[uint64]*acquisition{}, running: map[uint64]*acquisition{}, local: local, entries: 1, roster: map[string]*rpc.RosterEntry{},
-		levels: map[string]float64{},
+		quotaLevels: map[string]float64{},
 	}
 }
 
@@ -156,11 +157,11 @@
 		}
 		<-a.settled
 	}
-	if a.failure != nil {
-		return port.BrokerTicket{}, a.failure
+	if a.refusal != nil {
+		return port.BrokerTicket{}, a.refusal
 	}
 	end := sync.Once{}
-	return port.BrokerTicket{Grant: a.grant, GrantedBy: a.by, End: func(e broker.End) { end.Do(func() { s.end(a, e) }) }}, nil
+	return port.BrokerTicket{Grant: a.grant, GrantedBy: a.decidedBy, End: func(e broker.End) { end.Do(func() { s.end(a, e) }) }}, nil
 }
 
 // offer offers a request to the broker of the session, or to the local broker without one.
@@ -228,9 +229,9 @@
 	}
 	delete(s.waiting, g.ID.Number)
 	s.metrics.grants.WithLabelValues(by).Inc()
-	a.grant, a.by = g, by
+	a.grant, a.decidedBy = g, by
 	a.offer.Running = g.Upstream
-	a.offer.Charge = 0
+	a.offer.QuotaCharge = 0
 	s.running[g.ID.Number] = a
 	close(a.settled)
 }
@@ -244,8 +245,8 @@
 	}
 	delete(s.waiting, r.ID.Number)
 	s.metrics.refusals.WithLabelValues(by, string(r.Code)).Inc()
-	a.by = by
-	a.failure = fault.New(fault.Kind(r.Code), "send the request again after the stated time", "%s", r.Reason).After(r.RetryAfter)
+	a.decidedBy = by
+	a.refusal = fault.New(fault.Kind(r.Code), "send the request again after the stated time", "%s", r.Reason).After(r.RetryAfter)
 	close(a.settled)
 }
 
--- a/internal/brokerclient/session.go
+++ b/internal/brokerclient/session.go
@@ -64,7 +64,7 @@
 	viewed := s.view.Leader()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.term = max(s.term, viewed.Term)
+	s.newestTerm = max(s.newestTerm, viewed.Term)
 	candidates := []port.Leader{s.leader, viewed}
 	if viewed.Term > s.leader.Term {
 		candidates = []port.Leader{viewed, s.leader}
@@ -98,7 +98,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !errors.Is(err, errNotLeader) {
-		s.failedAddress, s.failedTerm = address, s.term
+		s.failedAddress, s.failedTerm = address, s.newestTerm
 		s.backOffUntil = s.now() + backOffDelay
 	}
 	wasAttached := s.attached
@@ -110,11 +110,11 @@
 	s.pending.Offers = nil
 	now := s.now()
 	if s.localStale {
-		s.updateLocal()
+		s.updateLocalBroker()
 	}
 	if wasAttached {
 		s.local.ResetQuotas()
-		s.local.LowerQuotas(now, s.levels)
+		s.local.LowerQuotas(now, s.quotaLevels)
 	}
 	for _, a := range s.waiting {
 		s.local.Offer(now, a.offer)
@@ -176,7 +176,7 @@
 		changed := s.view.Changed()
 		viewed := s.view.Leader()
 		s.mu.Lock()
-		s.term = max(s.term, viewed.Term)
+		s.newestTerm = max(s.newestTerm, viewed.Term)
 		newLeader := !s.attached && viewed.Address != "" && viewed.Term > known.Term && viewed.Address != address && !s.backedOff(viewed)
 		s.mu.Unlock()
 		if newLeader {
@@ -216,10 +216,10 @@
 // rosterAge returns the time since a leader last confirmed the roster, in milliseconds but
 // at least 1; zero if none has. The caller holds the lock.
 func (s *Service) rosterAge() uint32 {
-	if s.rosterAt == 0 {
+	if s.rosterConfirmedAt == 0 {
 		return 0
 	}
-	return uint32(max(1, (s.now() - s.rosterAt).Milliseconds()))
+	return uint32(max(1, (s.now() - s.rosterConfirmedAt).Milliseconds()))
 }
 
 // send sends what is pending; an empty message is a heartbeat.
@@ -240,9 +240,9 @@
 	s.entries = max(1, int(r.Entries))
 	s.local.SetShare(1 / float64(s.entries))
 	s.updateRoster(r)
-	s.updateLevels(r)
+	s.updateQuotaLevels(r)
 	leader := port.Leader{Address: r.Leader, Term: r.LeaderTerm}
-	s.term = max(s.term, leader.Term)
+	s.newestTerm = max(s.newestTerm, leader.Term)
 	if !r.Leads {
 		s.leader = leader
 		moved := r.Leader != "" && r.Leader != address && !s.backedOff(leader)
@@ -260,7 +260,7 @@
 	}
 	if s.rosterCurrent && len(r.Roster) == 0 {
 		// All pending parts of the roster have arrived.
-		s.rosterAt = s.now()
+		s.rosterConfirmedAt = s.now()
 	}
 	for _, g := range r.Grants {
 		s.handleGrant(work.DecodeGrant(s.self, g))
@@ -271,17 +271,17 @@
 	return nil
 }
 
-// updateLevels replaces the quota levels or applies changes. A level of 1 is a full quota,
+// updateQuotaLevels replaces the quota levels or applies changes. A level of 1 is a full quota,
 // which is not stored.
-func (s *Service) updateLevels(r *rpc.BrokerReply) {
+func (s *Service) updateQuotaLevels(r *rpc.BrokerReply) {
 	if r.QuotasSet {
-		clear(s.levels)
+		clear(s.quotaLevels)
 	}
 	for name, left := range work.DecodeQuotaLevels(r.Quotas) {
 		if left < 1 {
-			s.levels[name] = left
+			s.quotaLevels[name] = left
 		} else {
-			delete(s.levels, name)
+			delete(s.quotaLevels, name)
 		}
 	}
 }
@@ -294,7 +294,7 @@
 	s.leaderlessSessions = 0
 	s.backOffUntil = 0
 	now := s.now()
-	s.pending.Quotas = work.EncodeQuotaLevels(s.levels)
+	s.pending.Quotas = work.EncodeQuotaLevels(s.quotaLevels)
 	for _, a := range s.running {
 		s.pending.Offers = append(s.pending.Offers, work.EncodeOffer(now, a.offer))
 	}
@@ -334,7 +334,7 @@
 	}
 	s.localStale = s.localStale || r.RosterSet || len(r.Roster) > 0
 	if s.localStale && (!s.attached || s.now()-s.localUpdated > localUpdateInterval) {
-		s.updateLocal()
+		s.updateLocalBroker()
 	}
 }
 
@@ -342,8 +342,8 @@
 // another broker grants.
 const localUpdateInterval = time.Second
 
-// updateLocal applies the roster to the local broker. The caller holds the lock.
-func (s *Service) updateLocal() {
+// updateLocalBroker applies the roster to the local broker. The caller holds the lock.
+func (s *Service) updateLocalBroker() {
 	list := make([]port.RosterEntry, 0, len(s.roster))
 	learned := make([]broker.Estimates, 0, len(s.roster))
 	for _, e := range s.roster {
--- a/internal/brokerclient/session_test.go
+++ b/internal/brokerclient/session_test.go
@@ -252,8 +252,8 @@
 func TestQuotaLevelsAreReplacedOrUpdated(t *testing.T) {
 	s := New(&settings.Settings{Routing: &settings.Routing{}}, zap.NewNop(), port.Holder{Name: "e"})
 	update := func(set bool, levels map[string]float64) map[string]float64 {
-		s.updateLevels(&rpc.BrokerReply{QuotasSet: set, Quotas: work.EncodeQuotaLevels(levels)})
-		return s.levels
+		s.updateQuotaLevels(&rpc.BrokerReply{QuotasSet: set, Quotas: work.EncodeQuotaLevels(levels)})
+		return s.quotaLevels
 	}
 	require.Equal(t, map[string]float64{"a": 0.5, "b": 0.25}, update(true, map[string]float64{"a": 0.5, "b": 0.25}))
 	require.Equal(t, map[string]float64{"a": 0.125, "b": 0.25}, update(false, map[string]float64{"a": 0.125}))
--- a/internal/forward/conn.go
+++ b/internal/forward/conn.go
@@ -17,10 +17,10 @@
 	// round trips between regions, the handshake and a long accept queue.
 	dialTimeout = 400 * time.Millisecond
 	// maxIdleTime is the longest idle time after which a connection is reused for
-	// a repeatable request. maxIdleTimeOnce is the same for other requests, which
+	// a repeatable request. maxIdleTimeAtMostOnce is the same for other requests, which
 	// are lost if the upstream closes the connection at the same moment.
-	maxIdleTime     = 4 * time.Second
-	maxIdleTimeOnce = 1500 * time.Millisecond
+	maxIdleTime           = 4 * time.Second
+	maxIdleTimeAtMostOnce = 1500 * time.Millisecond
 	// keepAliveMargin is subtracted from the keep-alive timeout that the upstream
 	// states.
 	keepAliveMargin = time.Second
@@ -93,12 +93,12 @@
 	return err == nil && empty
 }
 
-// isReusable reports whether an idle connection may carry another request; once is
-// set for a request that may not be repeated.
-func (c *conn) isReusable(now time.Time, once bool) bool {
+// isReusable reports whether an idle connection may carry another request;
+// atMostOnce is set for a request that may not be repeated.
+func (c *conn) isReusable(now time.Time, atMostOnce bool) bool {
 	limit := maxIdleTime
-	if once {
-		limit = maxIdleTimeOnce
+	if atMostOnce {
+		limit = maxIdleTimeAtMostOnce
 	}
 	if c.keepAliveTimeout > 0 {
 		limit = min(limit, c.keepAliveTimeout-keepAliveMargin)
@@ -106,8 +106,8 @@
 	return now.Sub(c.idleSince) < limit
 }
 
-// pool holds idle connections by address. It is safe for concurrent use.
-type pool struct {
+// connPool holds idle connections by address. It is safe for concurrent use.
+type connPool struct {
 	dialer net.Dialer
 	mu     sync.Mutex
 	idle   map[string][]*conn
@@ -115,21 +115,22 @@
 	onDial func()
 }
 
-func newPool(onDial func()) *pool {
-	return &pool{
+func newConnPool(onDial func()) *connPool {
+	return &connPool{
 		dialer: net.Dialer{Timeout: dialTimeout, KeepAliveConfig: keepAlive(), Control: setUserTimeout},
 		idle:   map[string][]*conn{}, onDial: onDial,
 	}
 }
 
-// get returns an idle connection that can be reused, or a new one.
-func (p *pool) get(ctx context.Context, address string, once bool) (*conn, error) {
+// get returns an idle connection that can be reused, or a new one. atMostOnce is as in
+// isReusable.
+func (p *connPool) get(ctx context.Context, address string, atMostOnce bool) (*conn, error) {
 	for {
 		c := p.takeIdle(address)
 		if c == nil {
 			break
 		}
-		if c.isReusable(time.Now(), once) && c.isClean() {
+		if c.isReusable(time.Now(), atMostOnce) && c.isClean() {
 			c.reused = true
 			return c, nil
 		}
@@ -144,7 +145,7 @@
 }
 
 // takeIdle removes and returns the connection with the shortest idle time, or nil.
-func (p *pool) takeIdle(address string) *conn {
+func (p *connPool) takeIdle(address string) *conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	list := p.idle[address]
@@ -158,7 +159,7 @@
 
 // put adds a connection whose response has ended, or closes it if the pool holds
 // enough for the address. h is the response header.
-func (p *pool) put(address string, c *conn, h http.Header) {
+func (p *connPool) put(address string, c *conn, h http.Header) {
 	c.idleSince = time.Now()
 	c.keepAliveTimeout = parseKeepAliveTimeout(h)
 	_ = c.SetDeadline(time.Time{})
@@ -184,7 +185,7 @@
 }
 
 // sweep closes expired idle connections, or all of them.
-func (p *pool) sweep(all bool) {
+func (p *connPool) sweep(all bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := time.Now()
--- a/internal/forward/dialect.go
+++ b/internal/forward/dialect.go
@@ -7,8 +7,8 @@
 
 // RequestMeta is the metadata in the header of a caller's request.
 type RequestMeta struct {
-	// Attempt identifies this attempt of the caller.
-	Attempt string
+	// RequestID identifies the request; a retry by the caller has an ID of its own.
+	RequestID string
 	// Timeout is the time for which the caller waits; zero if it is not stated.
 	Timeout time.Duration
 	// Key is the caller's API key; empty if there is none.
@@ -34,8 +34,8 @@
 	Tokens int
 }
 
-// UpstreamRequest is the metadata that the entry adds to a request.
-type UpstreamRequest struct {
+// UpstreamRequestMeta is the metadata that the entry adds to a request.
+type UpstreamRequestMeta struct {
 	// Upstream is the id of the process that must handle the request.
 	Upstream string
 	// Workspace is the sender's workspace; empty if it is unknown.
@@ -49,8 +49,8 @@
 
 // ResponseMeta is the metadata in the header of an upstream's response.
 type ResponseMeta struct {
-	// Attempt identifies the request that it answers; empty if it is not stated.
-	Attempt string
+	// RequestID identifies the request that it answers; empty if it is not stated.
+	RequestID string
 	// Sealed is set if the response bears the upstream's seal.
 	Sealed bool
 	// NotExecuted is set if the upstream did not run the request, Misdirected if
@@ -62,11 +62,11 @@
 // Dialect translates between metadata and the header fields of callers and
 // upstreams. Implementations are safe for concurrent use.
 type Dialect interface {
-	// Read returns the metadata of a caller's header.
+	// Read returns the metadata of a caller's request.
 	Read(h http.Header) RequestMeta
 	// SetUpstreamHeaders changes a caller's header into one for an upstream: fields
 	// that only the system may set are replaced or removed.
-	SetUpstreamHeaders(h http.Header, o UpstreamRequest)
+	SetUpstreamHeaders(h http.Header, o UpstreamRequestMeta)
 	// ParseResponse returns the metadata of an upstream's response.
 	ParseResponse(status int, h http.Header) ResponseMeta
 }
--- a/internal/forward/exchange.go
+++ b/internal/forward/exchange.go
@@ -36,23 +36,24 @@
 	rejections     int
 	triedUpstreams []string
 	stream         stream
-	// errorResponse is the newest sealed server error of an upstream, relayed if
+	// upstreamError is the newest sealed server error of an upstream, relayed if
 	// no other attempt succeeds.
-	errorResponse *response
+	upstreamError *response
 	// The following are for logs and metrics.
-	status         int
-	outcome        string
-	reason         string
-	queueTime      time.Duration
-	firstEventTime time.Duration
+	status           int
+	outcome          string
+	reason           string
+	queueTime        time.Duration
+	timeToFirstEvent time.Duration
 }
 
-// Outcomes of requests, in addition to the codes of refusals.
+// Outcomes of requests as callers see them, in addition to the codes of gatewayError.
+// Outcomes of upstream attempts are of type broker.Outcome.
 const (
-	outcomeAnswered       = "answered"
-	outcomeUpstreamFailed = "upstream_failed"
-	outcomeCallerGone     = "caller_gone"
-	outcomeAborted        = "cut"
+	outcomeAnswered      = "answered"
+	outcomeUpstreamError = "upstream_failed"
+	outcomeCallerGone    = "caller_gone"
+	outcomeAborted       = "cut"
 )
 
 // nextStep is what follows an upstream attempt.
@@ -77,7 +78,7 @@
 			return
 		}
 		if !x.canRetry() {
-			x.respondNoAnswer()
+			x.respondNoResponse()
 			return
 		}
 	}
@@ -89,10 +90,10 @@
 	offer := x.offer(x.s)
 	offer.Avoid = x.triedUpstreams
 	if x.possibleRuns+x.rejections > 0 {
-		offer.Charge = 0
-		retryTarget := time.Now().Add(x.route.LatencyTarget() / retryTargetDivisor)
-		if retryTarget.After(offer.LatencyTargetAt) {
-			offer.LatencyTargetAt = retryTarget
+		offer.QuotaCharge = 0
+		retryLatencyTarget := time.Now().Add(x.route.LatencyTarget() / retryTargetDivisor)
+		if retryLatencyTarget.After(offer.LatencyTargetAt) {
+			offer.LatencyTargetAt = retryLatencyTarget
 		}
 	}
 	offeredAt := time.Now()
@@ -100,7 +101,7 @@
 	x.queueTime += time.Since(offeredAt)
 	if err == nil {
 		x.s.log.Info("granted", x.logFields(zap.String("upstream", ticket.Upstream), zap.String("by", ticket.GrantedBy), zap.Duration("waited", time.Since(offeredAt)),
-			zap.Duration("expected", ticket.Expected), zap.Int("free", ticket.Free), zap.Int("queued", ticket.Queued), zap.Int("rank", x.rank))...)
+			zap.Duration("expected", ticket.ExpectedTimeToFirstEvent), zap.Int("free", ticket.FreeSlots), zap.Int("queued", ticket.Queued), zap.Int("rank", x.rank))...)
 	}
 	return ticket, err
 }
@@ -130,12 +131,12 @@
 		if string(f.Kind) == string(broker.LimitExceeded) {
 			status = http.StatusTooManyRequests
 		}
-		x.respondRefusal(&refusal{status: status, code: string(f.Kind), reason: f.Message, retryAfter: time.Duration(f.RetryAfterMS) * time.Millisecond})
+		x.respondError(&gatewayError{status: status, code: string(f.Kind), reason: f.Message, retryAfter: time.Duration(f.RetryAfterMS) * time.Millisecond})
 	case x.callerDisconnected():
 		x.outcome = outcomeCallerGone
 	default:
 		x.reason = err.Error()
-		x.respondNoAnswer()
+		x.respondNoResponse()
 	}
 }
 
@@ -144,28 +145,28 @@
 	return x.ctx.Err() != nil && !errors.Is(context.Cause(x.ctx), context.DeadlineExceeded)
 }
 
-// respondNoAnswer responds to a request after its last attempt failed.
-func (x *exchange) respondNoAnswer() {
+// respondNoResponse responds to a request after its last attempt failed.
+func (x *exchange) respondNoResponse() {
 	switch {
 	case x.callerDisconnected():
 		x.outcome = outcomeCallerGone
 	case x.stream.headerSent:
 		x.abortStream()
-	case x.errorResponse != nil:
-		x.writeResponse(x.errorResponse)
+	case x.upstreamError != nil:
+		x.writeResponse(x.upstreamError)
 	case x.possibleRuns == 0:
-		x.respondRefusal(&refusal{status: http.StatusServiceUnavailable, code: "not_run", reason: "no upstream took the request: " + x.reason, retryAfter: notRunRetryDelay})
+		x.respondError(&gatewayError{status: http.StatusServiceUnavailable, code: "not_run", reason: "no upstream took the request: " + x.reason, retryAfter: notRunRetryDelay})
 	case time.Until(x.deadline) <= 0:
-		x.respondRefusal(&refusal{status: http.StatusGatewayTimeout, code: "timeout", reason: "no answer came in time; the request may have run"})
+		x.respondError(&gatewayError{status: http.StatusGatewayTimeout, code: "timeout", reason: "no answer came in time; the request may have run"})
 	default:
-		x.respondRefusal(&refusal{status: http.StatusBadGateway, code: "outcome_unknown", reason: "the upstream did not answer; the request may have run: " + x.reason})
+		x.respondError(&gatewayError{status: http.StatusBadGateway, code: "outcome_unknown", reason: "the upstream did not answer; the request may have run: " + x.reason})
 	}
 }
 
-// respondRefusal responds with a refusal.
-func (x *exchange) respondRefusal(r *refusal) {
+// respondError responds with an error of the entry.
+func (x *exchange) respondError(r *gatewayError) {
 	x.status, x.outcome, x.reason = r.status, r.code, r.reason
-	x.s.writeRefusal(x.w, r)
+	x.s.writeError(x.w, r)
 }
 
 // abortStream closes the caller's connection within a stream, so that the stream
@@ -178,7 +179,7 @@
 // logFields returns the fields that begin each log line about the request.
 func (x *exchange) logFields(more ...zap.Field) []zap.Field {
 	return append([]zap.Field{
-		zap.String("request", x.meta.Attempt), zap.String("route", x.route.Name), zap.String("pool", x.pool),
+		zap.String("request", x.meta.RequestID), zap.String("route", x.route.Name), zap.String("pool", x.pool),
 		zap.String("workspace", x.workspace), zap.Uint64("table", x.tableVersion),
 	}, more...)
 }
--- a/internal/forward/forward.go
+++ b/internal/forward/forward.go
@@ -58,7 +58,7 @@
 	drainAnnouncer port.DrainAnnouncer
 	dialect        Dialect
 	metrics        *metrics
-	conns          *pool
+	conns          *connPool
 	server         *http.Server
 	listener       net.Listener
 	ctx            context.Context
@@ -103,7 +103,7 @@
 	if s.metrics, err = newMetrics(registry.Registerer()); err != nil {
 		return err
 	}
-	s.conns = newPool(s.metrics.connections.Inc)
+	s.conns = newConnPool(s.metrics.connections.Inc)
 	s.ctx, s.cancel = context.WithCancel(context.Background())
 	config := net.ListenConfig{KeepAliveConfig: keepAlive(), Control: setUserTimeout}
 	if s.listener, err = config.Listen(s.ctx, "tcp", s.set.Addresses.Callers); err != nil {
@@ -146,7 +146,7 @@
 	q, refusal := s.prepare(w, r)
 	if refusal != nil {
 		s.recordRefusal(q, refusal)
-		s.writeRefusal(w, refusal)
+		s.writeError(w, refusal)
 		return nil
 	}
 	ctx, cancel := context.WithDeadlineCause(r.Context(), q.deadline, context.DeadlineExceeded)
@@ -163,14 +163,14 @@
 	return s.retryBudgets.allow(pool, s.brokerClient.Entries())
 }
 
-// errorBody is the JSON body of a refusal.
+// errorBody is the content of the JSON body of a gatewayError.
 type errorBody struct {
 	Code    string `json:"code"`
 	Message string `json:"message"`
 }
 
-// writeRefusal writes a refusal as the final response.
-func (s *Service) writeRefusal(w http.ResponseWriter, r *refusal) {
+// writeError writes an error of the entry as the final response.
+func (s *Service) writeError(w http.ResponseWriter, r *gatewayError) {
 	h := w.Header()
 	h.Set("Content-Type", "application/json")
 	if r.retryAfter > 0 {
@@ -190,10 +190,10 @@
 
 // recordRefusal logs and counts a request that was refused before it was offered
 // to the broker; q is nil if no route table is known.
-func (s *Service) recordRefusal(q *request, r *refusal) {
+func (s *Service) recordRefusal(q *request, r *gatewayError) {
 	id, version := "", uint64(0)
 	if q != nil {
-		id, version = q.meta.Attempt, q.tableVersion
+		id, version = q.meta.RequestID, q.tableVersion
 	}
 	s.metrics.requests.WithLabelValues("", "", r.code).Inc()
 	s.log.Info("request refused", zap.String("request", id), zap.Uint64("table", version), zap.Int("status", r.status), zap.String("outcome", r.code), zap.String("why", r.reason))
@@ -208,7 +208,7 @@
 		importance = logging.Important()
 	}
 	s.log.Info("request ended", x.logFields(importance, zap.String("outcome", x.outcome), zap.Int("status", x.status), zap.String("why", x.reason),
-		zap.Int("runs", x.possibleRuns), zap.Int("rejects", x.rejections), zap.Int("charge", x.chargedTokens), zap.Duration("waited", x.queueTime), zap.Duration("first", x.firstEventTime),
+		zap.Int("runs", x.possibleRuns), zap.Int("rejects", x.rejections), zap.Int("charge", x.chargedTokens), zap.Duration("waited", x.queueTime), zap.Duration("first", x.timeToFirstEvent),
 		zap.Int("events", x.stream.events), zap.Duration("longest_pause", x.stream.longestPause), zap.Duration("took", duration))...)
 }
 
--- a/internal/forward/forward_test.go
+++ b/internal/forward/forward_test.go
@@ -34,7 +34,7 @@
 	left, err := time.ParseDuration(seen.Header.Get("Wait") + "ms")
 	require.NoError(t, err)
 	require.LessOrEqual(t, left, 900*time.Millisecond)
-	require.Equal(t, []broker.Outcome{broker.Completed}, r.work.outcomes())
+	require.Equal(t, []broker.Outcome{broker.Completed}, r.brokerClient.outcomes())
 }
 
 func TestNonRepeatableRequestIsSentOnce(t *testing.T) {
@@ -79,7 +79,7 @@
 	require.Equal(t, http.StatusServiceUnavailable, out.status)
 	require.NotEmpty(t, out.header.Get("Retry-After"))
 	r = newTestEntry(t)
-	r.work.refusal = fault.New(fault.Kind(broker.LimitExceeded), "retry later", "quota").After(250 * time.Millisecond)
+	r.brokerClient.refusal = fault.New(fault.Kind(broker.LimitExceeded), "retry later", "quota").After(250 * time.Millisecond)
 	out = r.call("once", "b")
 	require.Equal(t, http.StatusTooManyRequests, out.status)
 	require.Equal(t, "0.250", out.header.Get("Retry-After"))
@@ -109,7 +109,7 @@
 func TestResponseTimeoutRetriesRepeatableRequestsOnly(t *testing.T) {
 	r := newTestEntry(t, newUpstream(t, sendNothing), newUpstream(t, respondWith(200, "", "second")))
 	require.Equal(t, "second", r.call("idempotent", "b").body)
-	require.Equal(t, []broker.Outcome{broker.TimedOut, broker.Completed}, r.work.outcomes())
+	require.Equal(t, []broker.Outcome{broker.TimedOut, broker.Completed}, r.brokerClient.outcomes())
 	second := newUpstream(t, respondWith(200, "", "second"))
 	r = newTestEntry(t, newUpstream(t, sendNothing), second)
 	began := time.Now()
@@ -119,10 +119,10 @@
 	require.Zero(t, second.requests())
 }
 
-// TestAnswerToAnotherRequestIsSkipped guards against a response that reaches the
+// TestResponseToAnotherRequestIsSkipped guards against a response that reaches the
 // wrong caller: the upstream sends a second response to an earlier request when
 // the response to the next one is expected.
-func TestAnswerToAnotherRequestIsSkipped(t *testing.T) {
+func TestResponseToAnotherRequestIsSkipped(t *testing.T) {
 	extra := func(c net.Conn, r *http.Request, _ string) {
 		_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nId: attempt-0\r\nSeal: s\r\nContent-Length: 5\r\n\r\nstale")
 		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nId: %s\r\nSeal: s\r\nContent-Length: 3\r\n\r\nown", r.Header.Get("Id"))
@@ -170,7 +170,7 @@
 		}
 	}()
 	r := newTestEntry(t)
-	r.work.addresses = []string{early.Addr().String(), early.Addr().String()}
+	r.brokerClient.addresses = []string{early.Addr().String(), early.Addr().String()}
 	long := strings.Repeat("x", 3<<20)
 	require.Equal(t, 413, r.call("once", long).status)
 	require.Equal(t, 413, r.call("once", "short").status)
@@ -180,7 +180,7 @@
 func TestStreamIsRelayedCompletely(t *testing.T) {
 	r := newTestEntry(t, newUpstream(t, streamEvents(1, 5, true)))
 	out := r.call("stream", "b")
-	require.False(t, out.broken)
+	require.False(t, out.incomplete)
 	require.Equal(t, 5, strings.Count(out.body, "data:"))
 	require.Equal(t, "s1", out.header.Get("Seal"))
 }
@@ -189,7 +189,7 @@
 	second := newUpstream(t, streamEvents(4, 5, true))
 	r := newTestEntry(t, newUpstream(t, streamEvents(1, 3, false)), second)
 	out := r.call("stream", "b")
-	require.True(t, out.broken)
+	require.True(t, out.incomplete)
 	require.Equal(t, 3, strings.Count(out.body, "data:"), "whole events only")
 	require.NotContains(t, out.body, "99")
 	require.Zero(t, second.requests())
@@ -199,7 +199,7 @@
 	second := newUpstream(t, streamEvents(3, 5, true))
 	r := newTestEntry(t, newUpstream(t, streamEvents(1, 3, false)), second)
 	out := r.call("resumable", "b")
-	require.False(t, out.broken)
+	require.False(t, out.incomplete)
 	require.Equal(t, "3", second.seen[0].Header.Get("Last"))
 	want := ""
 	for i := 1; i <= 5; i++ {
@@ -212,7 +212,7 @@
 func TestResumedStreamWithGapIsAborted(t *testing.T) {
 	r := newTestEntry(t, newUpstream(t, streamEvents(1, 3, false)), newUpstream(t, streamEvents(5, 6, true)))
 	out := r.call("resumable", "b")
-	require.True(t, out.broken)
+	require.True(t, out.incomplete)
 	require.Equal(t, 3, strings.Count(out.body, "data:"))
 }
 
@@ -256,7 +256,7 @@
 	r.service.retryBudgets.retry.Slack = slack
 	failing := newUpstream(t, closeConnection)
 	for range 40 {
-		r.work.addresses = append(r.work.addresses, failing.ln.Addr().String())
+		r.brokerClient.addresses = append(r.brokerClient.addresses, failing.ln.Addr().String())
 	}
 	for range 20 {
 		r.call("idempotent", "b")
--- a/internal/forward/log_bench_test.go
+++ b/internal/forward/log_bench_test.go
@@ -42,17 +42,17 @@
 			m, err := newMetrics(prometheus.NewRegistry())
 			require.NoError(b, err)
 			s := New(&settings.Settings{Routing: &settings.Routing{Retry: settings.Retry{WindowMS: 10_000}}}, log)
-			work := &testBrokerClient{}
-			s.view, s.brokerClient, s.dialect, s.metrics = testView{routes.NewIndex(testTable())}, work, testDialect{}, m
-			s.conns = newPool(m.connections.Inc)
+			client := &testBrokerClient{}
+			s.view, s.brokerClient, s.dialect, s.metrics = testView{routes.NewIndex(testTable())}, client, testDialect{}, m
+			s.conns = newConnPool(m.connections.Inc)
 			s.ctx, s.cancel = context.WithCancel(context.Background())
 			defer s.cancel()
 			entry := httptest.NewServer(s.routes())
 			defer entry.Close()
 			for b.Loop() {
-				work.addresses = append(work.addresses[:0], upstream.Listener.Addr().String())
-				work.granted = 0
-				work.ends = work.ends[:0]
+				client.addresses = append(client.addresses[:0], upstream.Listener.Addr().String())
+				client.granted = 0
+				client.ends = client.ends[:0]
 				req, err := http.NewRequest(http.MethodPost, entry.URL+"/once/x", strings.NewReader("body"))
 				require.NoError(b, err)
 				req.Header.Set("Id", "attempt-1")
--- a/internal/forward/metrics.go
+++ b/internal/forward/metrics.go
@@ -53,8 +53,8 @@
 func (m *metrics) recordEnd(x *exchange) {
 	rank := strconv.Itoa(x.rank)
 	m.requests.WithLabelValues(x.pool, rank, x.outcome).Inc()
-	if x.firstEventTime > 0 {
-		m.firstEvent.WithLabelValues(x.pool, rank).Observe(x.firstEventTime.Seconds())
+	if x.timeToFirstEvent > 0 {
+		m.firstEvent.WithLabelValues(x.pool, rank).Observe(x.timeToFirstEvent.Seconds())
 	}
 	if x.stream.events > 1 {
 		m.longestPause.WithLabelValues(x.pool, rank).Observe(x.stream.longestPause.Seconds())
--- a/internal/forward/request.go
+++ b/internal/forward/request.go
@@ -46,19 +46,20 @@
 	chargedTokens int
 	tableVersion  uint64
 	method        string
-	target        string
+	requestTarget string
 	host          string
 	header        http.Header
 	body          []byte
 	arrived       time.Time
 	deadline      time.Time
 	latencyTarget time.Time
-	// fingerprint is a hash of method, target, workspace and body.
+	// fingerprint is a hash of method, request target, workspace and body.
 	fingerprint uint64
 }
 
-// refusal is a final response that the entry itself gives.
-type refusal struct {
+// gatewayError is a final error response that the entry itself generates: the refusal
+// of a request that did not run, or the report of a timeout or an unknown outcome.
+type gatewayError struct {
 	status     int
 	code       string
 	reason     string
@@ -66,32 +67,32 @@
 }
 
 // Error returns code and reason.
-func (r *refusal) Error() string { return r.code + ": " + r.reason }
+func (r *gatewayError) Error() string { return r.code + ": " + r.reason }
 
-// prepare matches, authenticates and reads a request. With a refusal the request
-// is incomplete, or nil if no route table is known.
-func (s *Service) prepare(w http.ResponseWriter, r *http.Request) (*request, *refusal) {
+// prepare matches, authenticates and reads a request. With an error the request is
+// incomplete, or nil if no route table is known.
+func (s *Service) prepare(w http.ResponseWriter, r *http.Request) (*request, *gatewayError) {
 	arrived := time.Now()
-	x := s.waitForTable(r.Context())
-	if x == nil {
-		return nil, &refusal{status: http.StatusServiceUnavailable, code: "no_table", reason: "no route table is known yet", retryAfter: noTableRetryDelay}
+	index := s.waitForTable(r.Context())
+	if index == nil {
+		return nil, &gatewayError{status: http.StatusServiceUnavailable, code: "no_table", reason: "no route table is known yet", retryAfter: noTableRetryDelay}
 	}
-	q := &request{meta: s.dialect.Read(r.Header), arrived: arrived, tableVersion: x.Table.Version, method: r.Method, host: r.Host, header: r.Header}
-	q.target = r.RequestURI
-	if !strings.HasPrefix(q.target, "/") {
-		q.target = r.URL.RequestURI()
+	q := &request{meta: s.dialect.Read(r.Header), arrived: arrived, tableVersion: index.Table.Version, method: r.Method, host: r.Host, header: r.Header}
+	q.requestTarget = r.RequestURI
+	if !strings.HasPrefix(q.requestTarget, "/") {
+		q.requestTarget = r.URL.RequestURI()
 	}
-	path, _, _ := strings.Cut(q.target, "?")
-	if q.route = x.Match(r.Host, path); q.route == nil {
-		return q, &refusal{status: http.StatusNotFound, code: "no_route", reason: "no route matches host and path"}
+	path, _, _ := strings.Cut(q.requestTarget, "?")
+	if q.route = index.Match(r.Host, path); q.route == nil {
+		return q, &gatewayError{status: http.StatusNotFound, code: "no_route", reason: "no route matches host and path"}
 	}
-	if refusal := q.authenticate(x); refusal != nil {
+	if refusal := q.authenticate(index); refusal != nil {
 		return q, refusal
 	}
-	if refusal := q.readBody(w, r, x.Table.Limits.BodyBytes); refusal != nil {
+	if refusal := q.readBody(w, r, index.Table.Limits.BodyBytes); refusal != nil {
 		return q, refusal
 	}
-	q.plan(x)
+	q.plan(index)
 	return q, nil
 }
 
@@ -102,8 +103,8 @@
 	deadline := time.After(tableWaitTimeout)
 	for {
 		changed := s.view.Changed()
-		if x := s.view.Routes(); x != nil {
-			return x
+		if index := s.view.Routes(); index != nil {
+			return index
 		}
 		select {
 		case <-changed:
@@ -117,17 +118,17 @@
 
 // authenticate sets the workspace of the caller's key, the rank and the tokens to
 // charge.
-func (q *request) authenticate(x *routes.Index) *refusal {
+func (q *request) authenticate(index *routes.Index) *gatewayError {
 	q.rank = q.route.Rank
 	workspace := (*routes.Workspace)(nil)
 	if q.meta.Key != "" {
-		workspace = x.WorkspaceByKey(config.HashKey(q.meta.Key))
+		workspace = index.WorkspaceByKey(config.HashKey(q.meta.Key))
 	}
 	if workspace == nil {
-		if q.route.Public || !x.RequiresKey() {
+		if q.route.Public || !index.RequiresKey() {
 			return nil
 		}
-		return &refusal{status: http.StatusUnauthorized, code: "unauthenticated", reason: "the key is missing or unknown"}
+		return &gatewayError{status: http.StatusUnauthorized, code: "unauthenticated", reason: "the key is missing or unknown"}
 	}
 	q.workspace = workspace.Name
 	if workspace.Rank != nil {
@@ -143,26 +144,26 @@
 }
 
 // readBody reads the whole body, up to maxBytes or the default.
-func (q *request) readBody(w http.ResponseWriter, r *http.Request, maxBytes int64) *refusal {
+func (q *request) readBody(w http.ResponseWriter, r *http.Request, maxBytes int64) *gatewayError {
 	if maxBytes <= 0 {
 		maxBytes = defaultMaxBodyBytes
 	}
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBytes))
 	tooLarge := (*http.MaxBytesError)(nil)
 	if errors.As(err, &tooLarge) {
-		return &refusal{status: http.StatusRequestEntityTooLarge, code: "too_large", reason: "the body is longer than the table allows"}
+		return &gatewayError{status: http.StatusRequestEntityTooLarge, code: "too_large", reason: "the body is longer than the table allows"}
 	}
 	if err != nil {
-		return &refusal{status: http.StatusBadRequest, code: "incomplete", reason: "the body did not arrive whole"}
+		return &gatewayError{status: http.StatusBadRequest, code: "incomplete", reason: "the body did not arrive whole"}
 	}
 	q.body = body
 	return nil
 }
 
 // plan sets pool, deadline, latency target and fingerprint.
-func (q *request) plan(x *routes.Index) {
+func (q *request) plan(index *routes.Index) {
 	q.pool = q.route.Pick(rand.Float64())
-	if p := x.Pool(q.pool); p != nil {
+	if p := index.Pool(q.pool); p != nil {
 		q.engine = p.Engine
 	}
 	timeout := q.route.Timeout()
@@ -172,7 +173,7 @@
 	q.deadline = q.arrived.Add(timeout)
 	q.latencyTarget = q.arrived.Add(q.route.LatencyTarget() - latencyTargetMargin)
 	h := fnv.New64a()
-	for _, part := range []string{q.method, q.target, q.workspace} {
+	for _, part := range []string{q.method, q.requestTarget, q.workspace} {
 		_, _ = io.WriteString(h, part)
 		_, _ = h.Write([]byte{0})
 	}
@@ -187,12 +188,12 @@
 	o := port.BrokerOffer{LatencyTargetAt: q.latencyTarget, DeadlineAt: q.deadline, LatencyGrace: q.route.LatencyTarget()}
 	o.Offer = broker.Offer{
 		Pool: q.pool, Workspace: q.workspace, DataCentre: s.set.DataCentre, Region: s.set.Region, Rank: q.rank,
-		Charge: q.chargedTokens, Fingerprint: q.fingerprint,
+		QuotaCharge: q.chargedTokens, Fingerprint: q.fingerprint,
 	}
 	if q.engine == nil {
 		return o
 	}
-	o.Reserve = quotaReservePerRank * float64(min(q.route.Rank, ranksPerWorkspaceRank-1))
+	o.QuotaReserve = quotaReservePerRank * float64(min(q.route.Rank, ranksPerWorkspaceRank-1))
 	o.PromptTokens = q.meta.PromptTokens
 	o.OutputTokens = q.meta.ExpectedOutputTokens
 	if o.OutputTokens == 0 {
--- a/internal/forward/rig_test.go
+++ b/internal/forward/rig_test.go
@@ -130,10 +130,10 @@
 
 func (testDialect) Read(h http.Header) RequestMeta {
 	ms, _ := strconv.Atoi(h.Get("Wait"))
-	return RequestMeta{Attempt: h.Get("Id"), Timeout: time.Duration(ms) * time.Millisecond, Key: h.Get("Key"), LastEvent: h.Get("Last")}
+	return RequestMeta{RequestID: h.Get("Id"), Timeout: time.Duration(ms) * time.Millisecond, Key: h.Get("Key"), LastEvent: h.Get("Last")}
 }
 
-func (testDialect) SetUpstreamHeaders(h http.Header, o UpstreamRequest) {
+func (testDialect) SetUpstreamHeaders(h http.Header, o UpstreamRequestMeta) {
 	h.Del("Key")
 	h.Set("Upstream", o.Upstream)
 	h.Set("Wait", strconv.FormatInt(o.Timeout.Milliseconds(), 10))
@@ -141,7 +141,7 @@
 }
 
 func (testDialect) ParseResponse(status int, h http.Header) ResponseMeta {
-	return ResponseMeta{Attempt: h.Get("Id"), Sealed: h.Get("Seal") != "", NotExecuted: h.Get("Not-Run") != "", Misdirected: status == http.StatusMisdirectedRequest}
+	return ResponseMeta{RequestID: h.Get("Id"), Sealed: h.Get("Seal") != "", NotExecuted: h.Get("Not-Run") != "", Misdirected: status == http.StatusMisdirectedRequest}
 }
 
 // testBrokerClient grants upstreams in order and records the end of each grant.
@@ -154,34 +154,34 @@
 	expected  time.Duration
 }
 
-func (w *testBrokerClient) Acquire(_ context.Context, o port.BrokerOffer) (port.BrokerTicket, error) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if w.granted >= len(w.addresses) {
-		if w.refusal != nil {
-			return port.BrokerTicket{}, w.refusal
+func (c *testBrokerClient) Acquire(_ context.Context, o port.BrokerOffer) (port.BrokerTicket, error) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.granted >= len(c.addresses) {
+		if c.refusal != nil {
+			return port.BrokerTicket{}, c.refusal
 		}
 		return port.BrokerTicket{}, fault.New(fault.Kind(broker.Overloaded), "retry later", "no upstream is left").After(time.Second)
 	}
-	address := w.addresses[w.granted]
-	w.granted++
+	address := c.addresses[c.granted]
+	c.granted++
 	return port.BrokerTicket{
-		Grant: broker.Grant{ID: o.ID, Upstream: "u-" + address, Address: address, Expected: w.expected},
+		Grant: broker.Grant{ID: o.ID, Upstream: "u-" + address, Address: address, ExpectedTimeToFirstEvent: c.expected},
 		End: func(e broker.End) {
-			w.mu.Lock()
-			defer w.mu.Unlock()
-			w.ends = append(w.ends, e)
+			c.mu.Lock()
+			defer c.mu.Unlock()
+			c.ends = append(c.ends, e)
 		},
 	}, nil
 }
 
-func (w *testBrokerClient) Entries() int { return 1 }
+func (c *testBrokerClient) Entries() int { return 1 }
 
-func (w *testBrokerClient) outcomes() []broker.Outcome {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+func (c *testBrokerClient) outcomes() []broker.Outcome {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	out := []broker.Outcome{}
-	for _, e := range w.ends {
+	for _, e := range c.ends {
 		out = append(out, e.Outcome)
 	}
 	return out
@@ -195,10 +195,10 @@
 
 // testEntry is an entry with scripted upstreams and a server for callers.
 type testEntry struct {
-	t       *testing.T
-	service *Service
-	work    *testBrokerClient
-	server  *httptest.Server
+	t            *testing.T
+	service      *Service
+	brokerClient *testBrokerClient
+	server       *httptest.Server
 }
 
 // testTable returns a table with one route per kind.
@@ -225,17 +225,17 @@
 	t.Helper()
 	set := &settings.Settings{Routing: &settings.Routing{Retry: settings.Retry{Ratio: 0.2, WindowMS: 10_000, Slack: 20}, GraceMS: 1000, AnswerTTLMS: 50}}
 	s := New(set, zap.NewNop())
-	work := &testBrokerClient{}
+	client := &testBrokerClient{}
 	for _, u := range upstreams {
-		work.addresses = append(work.addresses, u.ln.Addr().String())
+		client.addresses = append(client.addresses, u.ln.Addr().String())
 	}
 	m, err := newMetrics(prometheus.NewRegistry())
 	require.NoError(t, err)
-	s.view, s.brokerClient, s.dialect, s.metrics = testView{routes.NewIndex(testTable())}, work, testDialect{}, m
-	s.conns = newPool(m.connections.Inc)
+	s.view, s.brokerClient, s.dialect, s.metrics = testView{routes.NewIndex(testTable())}, client, testDialect{}, m
+	s.conns = newConnPool(m.connections.Inc)
 	s.ctx, s.cancel = context.WithCancel(context.Background())
 	t.Cleanup(s.cancel)
-	r := &testEntry{t: t, service: s, work: work, server: httptest.NewServer(s.routes())}
+	r := &testEntry{t: t, service: s, brokerClient: client, server: httptest.NewServer(s.routes())}
 	t.Cleanup(r.server.Close)
 	return r
 }
@@ -245,8 +245,8 @@
 	status int
 	header http.Header
 	body   string
-	// broken is set if the response did not end as complete.
-	broken bool
+	// incomplete is set if the response did not end as complete.
+	incomplete bool
 }
 
 func (r *testEntry) call(route, body string, headers ...string) callResult {
@@ -259,9 +259,9 @@
 	}
 	resp, err := (&http.Client{Transport: &http.Transport{DisableKeepAlives: true}}).Do(req)
 	if err != nil {
-		return callResult{broken: true}
+		return callResult{incomplete: true}
 	}
 	defer resp.Body.Close()
 	data, err := io.ReadAll(resp.Body)
-	return callResult{status: resp.StatusCode, header: resp.Header, body: string(data), broken: err != nil}
+	return callResult{status: resp.StatusCode, header: resp.Header, body: string(data), incomplete: err != nil}
 }
--- a/internal/forward/stream.go
+++ b/internal/forward/stream.go
@@ -24,7 +24,7 @@
 	maxStreamPause = 1200 * time.Millisecond
 )
 
-// These texts are part of refusals to callers.
+// These texts are part of error responses to callers.
 var (
 	errPartialEvent  = errors.New("the stream ended in the middle of an event")
 	errMissingEvents = errors.New("the resumed stream does not go on where the first one ended")
@@ -163,7 +163,7 @@
 		a.w.WriteHeader(resp.StatusCode)
 		st.headerSent = true
 		a.status = resp.StatusCode
-		a.firstEventTime = now.Sub(a.arrived)
+		a.timeToFirstEvent = now.Sub(a.arrived)
 	} else {
 		st.longestPause = max(st.longestPause, now.Sub(st.lastEventAt))
 	}
--- a/internal/forward/try.go
+++ b/internal/forward/try.go
@@ -35,7 +35,7 @@
 	responseTimeoutFactor     = 3
 )
 
-// These texts are part of refusals to callers.
+// These texts are part of error responses to callers.
 var (
 	errStrayResponse   = errors.New("the answer belongs to another request")
 	errUnsealed        = errors.New("the answer lacks the upstream's seal")
@@ -119,7 +119,7 @@
 	if a.engine != nil {
 		timeout = minEngineResponseTimeout
 	}
-	return time.AfterFunc(max(timeout, responseTimeoutFactor*a.ticket.Expected), func() { cancel(errUpstreamTimeout) })
+	return time.AfterFunc(max(timeout, responseTimeoutFactor*a.ticket.ExpectedTimeToFirstEvent), func() { cancel(errUpstreamTimeout) })
 }
 
 // encodeRequest returns the request as it is sent to the upstream.
@@ -130,8 +130,8 @@
 	if a.stream.lastID != "" {
 		lastEvent = a.stream.lastID
 	}
-	a.s.dialect.SetUpstreamHeaders(h, UpstreamRequest{Upstream: a.ticket.Upstream, Workspace: a.workspace, Timeout: time.Until(a.deadline), LastEvent: lastEvent})
-	fmt.Fprintf(b, "%s %s HTTP/1.1\r\nHost: %s\r\n", a.method, a.target, a.host)
+	a.s.dialect.SetUpstreamHeaders(h, UpstreamRequestMeta{Upstream: a.ticket.Upstream, Workspace: a.workspace, Timeout: time.Until(a.deadline), LastEvent: lastEvent})
+	fmt.Fprintf(b, "%s %s HTTP/1.1\r\nHost: %s\r\n", a.method, a.requestTarget, a.host)
 	_ = h.Write(b)
 	if len(a.body) > 0 || (a.method != http.MethodGet && a.method != http.MethodHead) {
 		fmt.Fprintf(b, "Content-Length: %d\r\n", len(a.body))
@@ -160,10 +160,10 @@
 			continue
 		}
 		meta := a.s.dialect.ParseResponse(resp.StatusCode, resp.Header)
-		if meta.Attempt == "" || meta.Attempt == a.meta.Attempt {
+		if meta.RequestID == "" || meta.RequestID == a.meta.RequestID {
 			return resp, meta, nil
 		}
-		a.s.log.Info("answer to another request skipped", a.logFields(zap.String("upstream", a.ticket.Upstream), zap.String("answers", meta.Attempt))...)
+		a.s.log.Info("answer to another request skipped", a.logFields(zap.String("upstream", a.ticket.Upstream), zap.String("answers", meta.RequestID))...)
 		if _, err := io.Copy(io.Discard, io.LimitReader(resp.Body, maxResponseBytes)); err != nil {
 			return nil, ResponseMeta{}, err
 		}
@@ -275,13 +275,13 @@
 		return a.recordLost(ctx, err)
 	}
 	a.end.TimeToFirstEvent = time.Since(a.sentAt)
-	a.firstEventTime = a.end.TimeToFirstEvent
+	a.timeToFirstEvent = a.end.TimeToFirstEvent
 	a.possibleRuns++
 	out := &response{status: resp.StatusCode, header: withoutHopByHop(resp.Header), body: body}
 	if resp.StatusCode >= http.StatusInternalServerError {
 		a.end.Outcome = broker.UpstreamError
 		a.releaseConn(resp, nil)
-		a.errorResponse = out
+		a.upstreamError = out
 		a.logFailure(errors.New(resp.Status))
 		return tryNext
 	}
@@ -298,7 +298,7 @@
 	}
 	x.status, x.outcome = r.status, outcomeAnswered
 	if r.status >= http.StatusInternalServerError {
-		x.outcome = outcomeUpstreamFailed
+		x.outcome = outcomeUpstreamError
 	}
 	h := x.w.Header()
 	for name, values := range r.header {
--- a/internal/work/codec.go
+++ b/internal/work/codec.go
@@ -29,7 +29,7 @@
 		}
 		out = append(out, broker.Upstream{
 			ID: e.ID, Pool: e.Pool, Address: e.Address, DataCentre: e.DataCentre, Region: regions[e.DataCentre], Slots: e.Slots,
-			Leaving: e.Leaving, Silent: e.Silent, Cold: max(0, e.Cold-e.Age),
+			Leaving: e.Leaving, Silent: e.Silent, WarmUpTime: max(0, e.Cold-e.Age),
 		})
 	}
 	return out
@@ -39,9 +39,9 @@
 func EncodeOffer(now time.Duration, o broker.Offer) *rpc.WorkOffer {
 	return &rpc.WorkOffer{
 		Id: o.ID.Number, Pool: o.Pool, Workspace: o.Workspace, DataCentre: o.DataCentre, Region: o.Region, Rank: uint32(o.Rank),
-		PromptTokens: uint32(o.PromptTokens), OutputTokens: uint32(o.OutputTokens), Charge: uint32(o.Charge),
+		PromptTokens: uint32(o.PromptTokens), OutputTokens: uint32(o.OutputTokens), Charge: uint32(o.QuotaCharge),
 		AimMs: int32((o.LatencyTarget - now).Milliseconds()), WaitMs: milliseconds(o.Deadline - now), Session: o.Session, SessionTokens: uint32(o.SessionTokens),
-		Fingerprint: o.Fingerprint, Avoid: o.Avoid, Running: o.Running, Reserve: uint32(o.Reserve * permille), LateMs: milliseconds(o.LatestUseful - o.LatencyTarget),
+		Fingerprint: o.Fingerprint, Avoid: o.Avoid, Running: o.Running, Reserve: uint32(o.QuotaReserve * permille), LateMs: milliseconds(o.LatestUseful - o.LatencyTarget),
 	}
 }
 
@@ -50,22 +50,22 @@
 	target := now + time.Duration(o.AimMs)*time.Millisecond
 	return broker.Offer{
 		ID: broker.ID{Entry: entry, Number: o.Id}, Pool: o.Pool, Workspace: o.Workspace, DataCentre: o.DataCentre, Region: o.Region,
-		Rank: int(o.Rank), PromptTokens: int(o.PromptTokens), OutputTokens: int(o.OutputTokens), Charge: int(o.Charge),
+		Rank: int(o.Rank), PromptTokens: int(o.PromptTokens), OutputTokens: int(o.OutputTokens), QuotaCharge: int(o.Charge),
 		LatencyTarget: target, LatestUseful: target + duration(o.LateMs), Deadline: now + duration(o.WaitMs), Session: o.Session, SessionTokens: int(o.SessionTokens),
-		Fingerprint: o.Fingerprint, Avoid: o.Avoid, Running: o.Running, Reserve: float64(o.Reserve) / permille,
+		Fingerprint: o.Fingerprint, Avoid: o.Avoid, Running: o.Running, QuotaReserve: float64(o.Reserve) / permille,
 	}
 }
 
 // EncodeGrant encodes a grant.
 func EncodeGrant(g broker.Grant) *rpc.WorkGrant {
-	return &rpc.WorkGrant{Id: g.ID.Number, Upstream: g.Upstream, Address: g.Address, ExpectedMs: milliseconds(g.Expected), Free: uint32(max(0, g.Free)), Queued: uint32(g.Queued)}
+	return &rpc.WorkGrant{Id: g.ID.Number, Upstream: g.Upstream, Address: g.Address, ExpectedMs: milliseconds(g.ExpectedTimeToFirstEvent), Free: uint32(max(0, g.FreeSlots)), Queued: uint32(g.Queued)}
 }
 
 // DecodeGrant decodes a grant for the given entry.
 func DecodeGrant(entry string, g *rpc.WorkGrant) broker.Grant {
 	return broker.Grant{
-		ID: broker.ID{Entry: entry, Number: g.Id}, Upstream: g.Upstream, Address: g.Address, Expected: duration(g.ExpectedMs),
-		Free: int(g.Free), Queued: int(g.Queued),
+		ID: broker.ID{Entry: entry, Number: g.Id}, Upstream: g.Upstream, Address: g.Address, ExpectedTimeToFirstEvent: duration(g.ExpectedMs),
+		FreeSlots: int(g.Free), Queued: int(g.Queued),
 	}
 }
 
