--- a/internal/broker/broker.go
+++ b/internal/broker/broker.go
@@ -77,9 +77,9 @@
 	leads bool
 	// leader is the daemon that leads, as far as this daemon knows.
 	leader port.Leader
-	// version is that of the route table in use.
-	version  uint64
-	sessions map[string]*session
+	// tableVersion is that of the route table in use.
+	tableVersion uint64
+	sessions     map[string]*session
 	// announced is the last state of each upstream that was sent to the entries, and
 	// announcedAt when it was sent. nextFullRoster is when the next full roster may be
 	// sent.
@@ -188,9 +188,9 @@
 		learned = s.core.Estimates()
 		s.setLeads(leads)
 	}
-	newTable := table != nil && table.Table.Version != s.version
+	newTable := table != nil && table.Table.Version != s.tableVersion
 	if newTable {
-		s.version = table.Table.Version
+		s.tableVersion = table.Table.Version
 		s.core.SetTable(table)
 	}
 	if !rosterChanged && !newTable && time.Since(s.rosterReadAt) < rosterInterval {
@@ -223,7 +223,7 @@
 	}
 	s.log.Info("broker changed", zap.Bool("leads", leads), zap.Int("entries", len(s.sessions)))
 	s.core = newCore(s.set)
-	s.version = 0
+	s.tableVersion = 0
 	s.rosterReadAt = time.Time{}
 	// Tell connected entries at once, so that they offer all waiting and running
 	// requests.
--- a/internal/forward/exchange.go
+++ b/internal/forward/exchange.go
@@ -14,9 +14,9 @@
 )
 
 const (
-	// maxRejections bounds the retries after upstreams that rejected the request
+	// maxNotRunAttempts bounds the retries after upstreams that rejected the request
 	// or could not be reached; none of them ran it.
-	maxRejections = 3
+	maxNotRunAttempts = 3
 	// notRunRetryDelay is the Retry-After of a request that no upstream accepted.
 	notRunRetryDelay = 400 * time.Millisecond
 	// minRetryTime is the time to the deadline below which no retry is made.
@@ -30,10 +30,10 @@
 	*request
 	w   http.ResponseWriter
 	ctx context.Context
-	// possibleRuns counts attempts that may have run the request, rejections those
-	// that certainly did not run it.
+	// possibleRuns counts attempts that may have run the request, notRunAttempts those
+	// that certainly did not run it: the upstream rejected it or could not be reached.
 	possibleRuns   int
-	rejections     int
+	notRunAttempts int
 	triedUpstreams []string
 	stream         stream
 	// upstreamError is the newest sealed server error of an upstream, relayed if
@@ -89,7 +89,7 @@
 func (x *exchange) acquire() (port.BrokerTicket, error) {
 	offer := x.offer(x.s)
 	offer.Avoid = x.triedUpstreams
-	if x.possibleRuns+x.rejections > 0 {
+	if x.possibleRuns+x.notRunAttempts > 0 {
 		offer.QuotaCharge = 0
 		retryLatencyTarget := time.Now().Add(x.route.LatencyTarget() / retryTargetDivisor)
 		if retryLatencyTarget.After(offer.LatencyTargetAt) {
@@ -108,7 +108,7 @@
 
 // canRetry reports whether the request may be sent to another upstream.
 func (x *exchange) canRetry() bool {
-	if x.ctx.Err() != nil || time.Until(x.deadline) < minRetryTime || x.rejections > maxRejections {
+	if x.ctx.Err() != nil || time.Until(x.deadline) < minRetryTime || x.notRunAttempts > maxNotRunAttempts {
 		return false
 	}
 	if x.possibleRuns > 0 && (!x.route.Repeatable() || x.possibleRuns >= x.route.MaxAttempts) {
--- a/internal/forward/forward.go
+++ b/internal/forward/forward.go
@@ -208,7 +208,7 @@
 		importance = logging.Important()
 	}
 	s.log.Info("request ended", x.logFields(importance, zap.String("outcome", x.outcome), zap.Int("status", x.status), zap.String("why", x.reason),
-		zap.Int("runs", x.possibleRuns), zap.Int("rejects", x.rejections), zap.Int("charge", x.chargedTokens), zap.Duration("waited", x.queueTime), zap.Duration("first", x.timeToFirstEvent),
+		zap.Int("runs", x.possibleRuns), zap.Int("rejects", x.notRunAttempts), zap.Int("charge", x.chargedTokens), zap.Duration("waited", x.queueTime), zap.Duration("first", x.timeToFirstEvent),
 		zap.Int("events", x.stream.events), zap.Duration("longest_pause", x.stream.longestPause), zap.Duration("took", duration))...)
 }
 
--- a/internal/forward/request.go
+++ b/internal/forward/request.go
@@ -37,22 +37,22 @@
 
 // request is a caller's request that was matched, authenticated and read.
 type request struct {
-	meta          RequestMeta
-	route         *routes.Route
-	engine        *routes.Engine
-	pool          string
-	workspace     string
-	rank          int
-	chargedTokens int
-	tableVersion  uint64
-	method        string
-	requestTarget string
-	host          string
-	header        http.Header
-	body          []byte
-	arrived       time.Time
-	deadline      time.Time
-	latencyTarget time.Time
+	meta            RequestMeta
+	route           *routes.Route
+	engine          *routes.Engine
+	pool            string
+	workspace       string
+	rank            int
+	chargedTokens   int
+	tableVersion    uint64
+	method          string
+	requestTarget   string
+	host            string
+	header          http.Header
+	body            []byte
+	arrived         time.Time
+	deadline        time.Time
+	latencyTargetAt time.Time
 	// fingerprint is a hash of method, request target, workspace and body.
 	fingerprint uint64
 }
@@ -171,7 +171,7 @@
 		timeout = min(timeout, q.meta.Timeout)
 	}
 	q.deadline = q.arrived.Add(timeout)
-	q.latencyTarget = q.arrived.Add(q.route.LatencyTarget() - latencyTargetMargin)
+	q.latencyTargetAt = q.arrived.Add(q.route.LatencyTarget() - latencyTargetMargin)
 	h := fnv.New64a()
 	for _, part := range []string{q.method, q.requestTarget, q.workspace} {
 		_, _ = io.WriteString(h, part)
@@ -185,7 +185,7 @@
 func (q *request) offer(s *Service) port.BrokerOffer {
 	// The request is served until twice its latency target, since a refused
 	// caller would be served later still.
-	o := port.BrokerOffer{LatencyTargetAt: q.latencyTarget, DeadlineAt: q.deadline, LatencyGrace: q.route.LatencyTarget()}
+	o := port.BrokerOffer{LatencyTargetAt: q.latencyTargetAt, DeadlineAt: q.deadline, LatencyGrace: q.route.LatencyTarget()}
 	o.Offer = broker.Offer{
 		Pool: q.pool, Workspace: q.workspace, DataCentre: s.set.DataCentre, Region: s.set.Region, Rank: q.rank,
 		QuotaCharge: q.chargedTokens, Fingerprint: q.fingerprint,
--- a/internal/forward/try.go
+++ b/internal/forward/try.go
@@ -182,7 +182,7 @@
 	if a.callerDisconnected() {
 		a.end.Outcome = broker.NotSent
 	}
-	a.rejections++
+	a.notRunAttempts++
 	a.logFailure(err)
 	return tryNext
 }
@@ -218,7 +218,7 @@
 // recordRejected records a response that states that the request did not run.
 func (a *upstreamAttempt) recordRejected(resp *http.Response, meta ResponseMeta) nextStep {
 	a.discardBody(resp)
-	a.rejections++
+	a.notRunAttempts++
 	a.end.Outcome = broker.Rejected
 	if meta.Misdirected {
 		a.end.Outcome = broker.Misdirected
@@ -233,7 +233,7 @@
 	reused := a.conn != nil && a.conn.reused
 	a.s.metrics.failedAttempts.WithLabelValues(a.pool, a.end.Outcome.String()).Inc()
 	a.s.log.Info("try failed", a.logFields(zap.String("upstream", a.ticket.Upstream), zap.String("address", a.ticket.Address), zap.Stringer("outcome", a.end.Outcome),
-		zap.Int("runs", a.possibleRuns), zap.Int("rejects", a.rejections), zap.Bool("reused", reused), zap.Error(err))...)
+		zap.Int("runs", a.possibleRuns), zap.Int("rejects", a.notRunAttempts), zap.Bool("reused", reused), zap.Error(err))...)
 }
 
 // discardBody reads the rest of a response, so that its connection can be reused.
