--- a/core/consensus/codec.go
+++ b/core/consensus/codec.go
@@ -102,15 +102,15 @@
 	return out
 }
 
-func (w *encoder) meta(m Meta) {
+func (w *encoder) meta(m SnapshotMeta) {
 	w.uvarint(m.Index)
 	w.uvarint(m.Term)
 	w.uvarint(m.Size)
 	w.members(m.Members)
 }
 
-func (r *decoder) meta() Meta {
-	return Meta{Index: r.uvarint(), Term: r.uvarint(), Size: r.uvarint(), Members: r.members()}
+func (r *decoder) meta() SnapshotMeta {
+	return SnapshotMeta{Index: r.uvarint(), Term: r.uvarint(), Size: r.uvarint(), Members: r.members()}
 }
 
 func (r *decoder) checkComplete() error {
@@ -136,7 +136,7 @@
 }
 
 // EncodeHardState returns the on-disk encoding of a hard state.
-func EncodeHardState(h Hard) []byte {
+func EncodeHardState(h HardState) []byte {
 	w := encoder{}
 	w.uvarint(h.Term)
 	w.uvarint(uint64(h.VotedFor))
@@ -144,11 +144,11 @@
 	return w.buf
 }
 
-// DecodeHardState decodes EncodeHardState's output, and that of the version before, which
-// has no leader. It returns ErrMalformed for other input.
-func DecodeHardState(b []byte) (Hard, error) {
+// DecodeHardState decodes EncodeHardState's output, and that of the version
+// before, which has no leader. It returns ErrMalformed for other input.
+func DecodeHardState(b []byte) (HardState, error) {
 	r := decoder{buf: b}
-	h := Hard{Term: r.uvarint(), VotedFor: ID(r.uvarint())}
+	h := HardState{Term: r.uvarint(), VotedFor: ID(r.uvarint())}
 	if len(r.buf) > 0 {
 		// Records of the version before end here, without a leader.
 		h.Leader = ID(r.uvarint())
@@ -157,15 +157,15 @@
 }
 
 // EncodeSnapshotMeta returns the on-disk encoding of a snapshot description.
-func EncodeSnapshotMeta(m Meta) []byte {
+func EncodeSnapshotMeta(m SnapshotMeta) []byte {
 	w := encoder{}
 	w.meta(m)
 	return w.buf
 }
 
-// DecodeSnapshotMeta decodes EncodeSnapshotMeta's output. It returns ErrMalformed for other
-// input.
-func DecodeSnapshotMeta(b []byte) (Meta, error) {
+// DecodeSnapshotMeta decodes EncodeSnapshotMeta's output. It returns
+// ErrMalformed for other input.
+func DecodeSnapshotMeta(b []byte) (SnapshotMeta, error) {
 	r := decoder{buf: b}
 	m := r.meta()
 	return m, r.checkComplete()
--- a/core/consensus/codec_test.go
+++ b/core/consensus/codec_test.go
@@ -11,7 +11,7 @@
 		Kind: InstallChunk, From: 1, To: 2, Term: 3, Index: 4, LogTerm: 5, Commit: 6, Hint: 7, Sequence: 8, Reject: true, Force: true,
 		Entries: []Entry{{Term: 3, Index: 5, Kind: EntryMembers, Data: []byte("x")}},
 		Chunk: &Chunk{
-			Meta:   Meta{Index: 9, Term: 2, Size: 3, Members: []Member{{ID: 1, Name: "a", Address: "b", Learner: true}}},
+			Meta:   SnapshotMeta{Index: 9, Term: 2, Size: 3, Members: []Member{{ID: 1, Name: "a", Address: "b", Learner: true}}},
 			Offset: 1, Length: 2, Data: []byte("yz"),
 		},
 	}
@@ -24,7 +24,7 @@
 
 func FuzzDecodeMessage(f *testing.F) {
 	f.Add(EncodeMessage(Message{Kind: Append, From: 1, To: 2, Entries: []Entry{{Term: 1, Index: 1, Data: []byte("x")}}}))
-	f.Add(EncodeMessage(Message{Kind: InstallChunk, Chunk: &Chunk{Meta: Meta{Members: []Member{{ID: 1}}}}}))
+	f.Add(EncodeMessage(Message{Kind: InstallChunk, Chunk: &Chunk{Meta: SnapshotMeta{Members: []Member{{ID: 1}}}}}))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		m, err := DecodeMessage(b)
 		if err != nil {
@@ -39,7 +39,7 @@
 func FuzzDecodeRecords(f *testing.F) {
 	f.Add(EncodeEntry(Entry{Term: 1, Index: 2, Data: []byte("x")}))
 	f.Add(EncodeMembers([]Member{{ID: 1, Name: "a"}}))
-	f.Add(EncodeSnapshotMeta(Meta{Index: 1}))
+	f.Add(EncodeSnapshotMeta(SnapshotMeta{Index: 1}))
 	f.Fuzz(func(_ *testing.T, b []byte) {
 		_, _ = DecodeEntry(b)
 		_, _ = DecodeHardState(b)
--- a/core/consensus/election.go
+++ b/core/consensus/election.go
@@ -36,7 +36,7 @@
 func (n *Node) startElection(force bool) {
 	n.isPreVote = false
 	n.votes = map[ID]bool{}
-	n.hard = Hard{Term: n.hard.Term + 1, VotedFor: n.options.ID}
+	n.hard = HardState{Term: n.hard.Term + 1, VotedFor: n.options.ID}
 	n.resetElectionDeadline()
 	n.requestVotes(Message{Kind: Vote, Force: force})
 }
--- a/core/consensus/leader.go
+++ b/core/consensus/leader.go
@@ -29,7 +29,7 @@
 	// ackedHeartbeat is the sequence of the newest heartbeat it answered.
 	ackedHeartbeat uint64
 	// installMeta and installOffset are the progress of a snapshot transfer.
-	installMeta   Meta
+	installMeta   SnapshotMeta
 	installOffset uint64
 }
 
@@ -112,14 +112,14 @@
 		}
 		return n.now
 	})
-	if quorumReplyAt+n.options.ElectionTicks <= n.now {
+	if quorumReplyAt+n.options.ElectionTimeoutTicks <= n.now {
 		n.becomeFollower(n.hard.Term, 0)
 		return
 	}
 	if n.leaderState.transferee != 0 && n.now >= n.leaderState.transferDeadline {
 		n.leaderState.transferee = 0
 	}
-	if n.now >= n.leaderState.lastHeartbeatAt+n.options.HeartbeatTicks {
+	if n.now >= n.leaderState.lastHeartbeatAt+n.options.HeartbeatIntervalTicks {
 		n.broadcastHeartbeat()
 	}
 }
@@ -159,17 +159,17 @@
 	n.leaderState.pendingReads = remaining
 }
 
-// Settled reports whether this node is the leader and has committed an entry of
-// its own term, and with it all earlier entries.
-func (n *Node) Settled() bool { return n.role == Leader && n.committedInTerm() }
+// HasCommittedInTerm reports whether this node is the leader and has committed
+// an entry of its own term, and with it all earlier entries.
+func (n *Node) HasCommittedInTerm() bool { return n.role == Leader && n.committedInTerm() }
 
 func (n *Node) committedInTerm() bool { return n.log.commitIndex >= n.leaderState.firstIndex }
 
-// Leased reports whether this node is the leader and, within the bound on clock
-// drift, no other node can be leader at the time last passed to Advance.
-func (n *Node) Leased() bool {
+// HasLease reports whether this node is the leader and, within the bound on
+// clock drift, no other node can be leader at the time last passed to Advance.
+func (n *Node) HasLease() bool {
 	return n.role == Leader && n.leaderState.hasLease && !n.leaderState.leaseDisabled && n.committedInTerm() &&
-		n.now < n.leaderState.leaseStart+n.options.LeaseTicks
+		n.now < n.leaderState.leaseStart+n.options.LeaseDurationTicks
 }
 
 // Read requests an index at which a read is linearizable: it sees everything
@@ -194,7 +194,7 @@
 		return
 	}
 	r.index = n.log.commitIndex
-	if n.Leased() {
+	if n.HasLease() {
 		n.completeRead(r)
 		return
 	}
@@ -215,7 +215,7 @@
 	if n.role != Leader || n.leaderState.transferee != 0 {
 		return &NotLeaderError{Leader: n.leader}
 	}
-	if n.leaderState.uncommittedBytes > n.options.UncommittedBytes {
+	if n.leaderState.uncommittedBytes > n.options.MaxUncommittedBytes {
 		return &BusyError{Bytes: n.leaderState.uncommittedBytes}
 	}
 	return nil
@@ -281,7 +281,7 @@
 		return &ChangeError{Reason: "the successor is not a voter", Remedy: "name another voter"}
 	}
 	n.leaderState.transferee = to
-	n.leaderState.transferDeadline = n.now + n.options.ElectionTicks
+	n.leaderState.transferDeadline = n.now + n.options.ElectionTimeoutTicks
 	n.leaderState.leaseDisabled = true
 	n.tryTransfer(to, p)
 	return nil
--- a/core/consensus/log.go
+++ b/core/consensus/log.go
@@ -3,7 +3,7 @@
 // entryLog holds the part of the log in memory: all entries after prevIndex.
 type entryLog struct {
 	// snapshot describes the newest snapshot on disk.
-	snapshot Meta
+	snapshot SnapshotMeta
 	// prevIndex and prevTerm identify the entry before entries[0].
 	prevIndex uint64
 	prevTerm  uint64
@@ -106,7 +106,7 @@
 }
 
 // restore replaces the whole log by a snapshot.
-func (l *entryLog) restore(m Meta) {
+func (l *entryLog) restore(m SnapshotMeta) {
 	*l = entryLog{
 		snapshot: m, prevIndex: m.Index, prevTerm: m.Term, emitted: m.Index,
 		persisted: m.Index, commitIndex: m.Index, appliedIndex: m.Index,
--- a/core/consensus/member.go
+++ b/core/consensus/member.go
@@ -16,7 +16,7 @@
 	members []Member
 }
 
-func (c *membership) reset(m Meta) {
+func (c *membership) reset(m SnapshotMeta) {
 	c.history = []memberList{{index: m.Index, members: m.Members}}
 }
 
--- a/core/consensus/node.go
+++ b/core/consensus/node.go
@@ -3,24 +3,26 @@
 // Options configures a node. All times are in ticks.
 type Options struct {
 	ID ID
-	// ElectionTicks is how long a follower neither votes nor campaigns after a
-	// message from the leader. Election timeouts are one to two times as long.
-	ElectionTicks uint64
-	// HeartbeatTicks is the interval between heartbeats.
-	HeartbeatTicks uint64
-	// LeaseTicks is how long a leader may answer reads locally after the start
-	// of a heartbeat round that a quorum answered. It must be less than
-	// ElectionTicks by the maximum clock drift and two ticks of rounding.
-	LeaseTicks uint64
-	// ResendTicks is the delay before unanswered entries are sent again.
-	ResendTicks uint64
-	// AppendBytes limits the entries of one message.
-	AppendBytes int
-	// Inflight limits the unanswered Append messages to one replica.
-	Inflight int
-	// UncommittedBytes is the size of uncommitted entries above which a leader
-	// rejects proposals.
-	UncommittedBytes int
+	// ElectionTimeoutTicks is how long a follower neither votes nor campaigns
+	// after a message from the leader. Election timeouts are one to two times
+	// as long.
+	ElectionTimeoutTicks uint64
+	// HeartbeatIntervalTicks is the interval between heartbeats.
+	HeartbeatIntervalTicks uint64
+	// LeaseDurationTicks is how long a leader may answer reads locally after
+	// the start of a heartbeat round that a quorum answered. It must be less
+	// than ElectionTimeoutTicks by the maximum clock drift and two ticks of
+	// rounding.
+	LeaseDurationTicks uint64
+	// ResendDelayTicks is the delay before unanswered entries are sent again.
+	ResendDelayTicks uint64
+	// MaxAppendBytes limits the entries of one message.
+	MaxAppendBytes int
+	// MaxInflightAppends limits the unanswered Append messages to one replica.
+	MaxInflightAppends int
+	// MaxUncommittedBytes is the size of uncommitted entries above which a
+	// leader rejects proposals.
+	MaxUncommittedBytes int
 	// ChunkBytes is the size of a snapshot chunk.
 	ChunkBytes uint64
 	// Random returns a pseudorandom number in [0, n).
@@ -31,9 +33,9 @@
 type Node struct {
 	options Options
 	now     uint64
-	hard    Hard
+	hard    HardState
 	// emittedHard is the hard state last returned for writing.
-	emittedHard Hard
+	emittedHard HardState
 	log         entryLog
 	membership  membership
 
@@ -65,15 +67,15 @@
 // no other lease and campaigns after restartedLeaderRetryTicks: no other node
 // can be elected that early.
 func New(opt Options, saved StoredState, now uint64) *Node {
-	n := &Node{options: opt, now: now, noVoteUntil: now + opt.ElectionTicks, hard: saved.HardState, emittedHard: saved.HardState, log: newEntryLog(saved)}
+	n := &Node{options: opt, now: now, noVoteUntil: now + opt.ElectionTimeoutTicks, hard: saved.HardState, emittedHard: saved.HardState, log: newEntryLog(saved)}
 	n.membership.reset(saved.Meta)
 	n.membership.recordChanges(n.log.entries)
 	// If all nodes start at the same time there is no leader, so the first
 	// election timeout is short. A running leader's heartbeat arrives earlier.
-	n.electionDeadline = now + opt.ElectionTicks + electionMarginTicks + opt.Random(opt.ElectionTicks/firstElectionJitterDivisor)
+	n.electionDeadline = now + opt.ElectionTimeoutTicks + electionMarginTicks + opt.Random(opt.ElectionTimeoutTicks/firstElectionJitterDivisor)
 	if n.wasLastLeader() {
 		n.noVoteUntil = now
-		n.fastRetryUntil = now + fastRetryElectionTimeouts*opt.ElectionTicks
+		n.fastRetryUntil = now + fastRetryElectionTimeouts*opt.ElectionTimeoutTicks
 		n.electionDeadline = now + restartedLeaderRetryTicks
 	}
 	return n
@@ -100,7 +102,7 @@
 const electionMarginTicks = 2
 
 func (n *Node) resetElectionDeadline() {
-	n.electionDeadline = n.now + n.options.ElectionTicks + electionMarginTicks + n.options.Random(n.options.ElectionTicks)
+	n.electionDeadline = n.now + n.options.ElectionTimeoutTicks + electionMarginTicks + n.options.Random(n.options.ElectionTimeoutTicks)
 	if n.now < n.fastRetryUntil && n.wasLastLeader() {
 		n.electionDeadline = n.now + restartedLeaderRetryTicks
 	}
@@ -202,7 +204,7 @@
 
 func (n *Node) becomeFollower(term uint64, leader ID) {
 	if term > n.hard.Term {
-		n.hard = Hard{Term: term}
+		n.hard = HardState{Term: term}
 	}
 	if leader != 0 {
 		n.hard.Leader = leader
@@ -220,7 +222,7 @@
 	if n.role != Follower || n.leader != m.From {
 		n.becomeFollower(m.Term, m.From)
 	}
-	n.noVoteUntil = n.now + n.options.ElectionTicks
+	n.noVoteUntil = n.now + n.options.ElectionTimeoutTicks
 	n.resetElectionDeadline()
 	switch m.Kind {
 	case Append:
@@ -257,8 +259,8 @@
 	}
 }
 
-// Pending reports whether Effects would return anything.
-func (n *Node) Pending() bool {
+// HasEffects reports whether Effects would return anything.
+func (n *Node) HasEffects() bool {
 	return len(n.immediate)+len(n.afterSync)+len(n.reads) > 0 || n.receivedSnapshot != nil ||
 		n.hard != n.emittedHard || n.log.emitted < n.log.lastIndex() || n.applicableIndex() > n.log.appliedIndex
 }
@@ -269,9 +271,9 @@
 const maxApplyBytes = 4 << 20
 
 // Effects returns the work that is due. The caller must carry it out and call
-// Persisted before any other method.
+// MarkPersisted before any other method.
 func (n *Node) Effects() Effects {
-	e := Effects{Early: n.immediate, Late: n.afterSync, Reads: n.reads, Snapshot: n.receivedSnapshot}
+	e := Effects{MessagesBeforeSync: n.immediate, MessagesAfterSync: n.afterSync, Reads: n.reads, Snapshot: n.receivedSnapshot}
 	n.immediate, n.afterSync, n.reads, n.receivedSnapshot = nil, nil, nil, nil
 	if n.hard != n.emittedHard {
 		h := n.hard
@@ -279,8 +281,8 @@
 		n.emittedHard = h
 		// A leader that crashes before its own vote is on disk could vote again
 		// in the same term, so no message leaves before the vote is synced.
-		e.Late = append(e.Early, e.Late...)
-		e.Early = nil
+		e.MessagesAfterSync = append(e.MessagesBeforeSync, e.MessagesAfterSync...)
+		e.MessagesBeforeSync = nil
 	}
 	e.Entries = n.log.slice(n.log.emitted+1, n.log.lastIndex(), int(^uint(0)>>1))
 	n.log.emitted = n.log.lastIndex()
@@ -289,8 +291,8 @@
 	return e
 }
 
-// Persisted records that all writes returned by Effects are synced.
-func (n *Node) Persisted() {
+// MarkPersisted records that all writes returned by Effects are synced.
+func (n *Node) MarkPersisted() {
 	n.log.persisted = n.log.emitted
 	if n.role == Leader {
 		n.advanceCommit()
@@ -300,7 +302,7 @@
 // Compact records that a snapshot is on disk and discards the entries that it
 // covers, except for the last tail entries, which serve replicas that lag
 // slightly.
-func (n *Node) Compact(m Meta, tail uint64) {
+func (n *Node) Compact(m SnapshotMeta, tail uint64) {
 	if m.Index <= n.log.snapshot.Index || m.Index > n.log.appliedIndex {
 		return
 	}
@@ -313,10 +315,10 @@
 // PeerStatus is a leader's replication progress for another replica.
 type PeerStatus struct {
 	Member Member
-	// Match is the last index known to be replicated to the peer.
-	Match uint64
-	// Heard is the number of ticks since its last reply.
-	Heard uint64
+	// MatchIndex is the last index known to be replicated to the peer.
+	MatchIndex uint64
+	// TicksSinceReply is the number of ticks since its last reply.
+	TicksSinceReply uint64
 }
 
 // Status describes a node's role, its log and its group.
@@ -325,10 +327,10 @@
 	Role         Role
 	Term         uint64
 	Leader       ID
-	Last         uint64
-	Commit       uint64
+	LastIndex    uint64
+	CommitIndex  uint64
 	AppliedIndex uint64
-	Snapshot     Meta
+	Snapshot     SnapshotMeta
 	Members      []Member
 	// Peers is set on a leader only.
 	Peers []PeerStatus
@@ -338,12 +340,12 @@
 // Members.
 func (n *Node) Status() Status {
 	s := Status{
-		ID: n.options.ID, Role: n.role, Term: n.hard.Term, Leader: n.leader, Last: n.log.lastIndex(),
-		Commit: n.log.commitIndex, AppliedIndex: n.log.appliedIndex, Snapshot: n.log.snapshot, Members: n.membership.members(),
+		ID: n.options.ID, Role: n.role, Term: n.hard.Term, Leader: n.leader, LastIndex: n.log.lastIndex(),
+		CommitIndex: n.log.commitIndex, AppliedIndex: n.log.appliedIndex, Snapshot: n.log.snapshot, Members: n.membership.members(),
 	}
 	for _, m := range s.Members {
 		if p := n.leaderState.peers[m.ID]; p != nil {
-			s.Peers = append(s.Peers, PeerStatus{Member: m, Match: p.matchIndex, Heard: n.now - p.lastReplyAt})
+			s.Peers = append(s.Peers, PeerStatus{Member: m, MatchIndex: p.matchIndex, TicksSinceReply: n.now - p.lastReplyAt})
 		}
 	}
 	return s
@@ -354,14 +356,14 @@
 	return n.role, n.hard.Term, n.leader
 }
 
-// Commit returns the commit index.
-func (n *Node) Commit() uint64 { return n.log.commitIndex }
+// CommitIndex returns the commit index.
+func (n *Node) CommitIndex() uint64 { return n.log.commitIndex }
 
 // Members returns the newest member list, which the caller must not change.
 func (n *Node) Members() []Member { return n.membership.members() }
 
-// Base returns the index of the newest snapshot.
-func (n *Node) Base() uint64 { return n.log.snapshot.Index }
+// SnapshotIndex returns the index of the newest snapshot.
+func (n *Node) SnapshotIndex() uint64 { return n.log.snapshot.Index }
 
 // Term returns the term of an entry, and false if it is not in the log.
 func (n *Node) Term(index uint64) (uint64, bool) { return n.log.term(index) }
--- a/core/consensus/node_test.go
+++ b/core/consensus/node_test.go
@@ -8,10 +8,10 @@
 
 func testNode(id ID, members ...Member) *Node {
 	opt := Options{
-		ID: id, ElectionTicks: 12, HeartbeatTicks: 2, LeaseTicks: 9, ResendTicks: 6, AppendBytes: 1 << 10,
-		Inflight: 4, UncommittedBytes: 100, ChunkBytes: 10, Random: func(uint64) uint64 { return 0 },
+		ID: id, ElectionTimeoutTicks: 12, HeartbeatIntervalTicks: 2, LeaseDurationTicks: 9, ResendDelayTicks: 6, MaxAppendBytes: 1 << 10,
+		MaxInflightAppends: 4, MaxUncommittedBytes: 100, ChunkBytes: 10, Random: func(uint64) uint64 { return 0 },
 	}
-	return New(opt, StoredState{HardState: Hard{Term: 1}, Meta: Meta{Index: 1, Term: 1, Members: members}}, 0)
+	return New(opt, StoredState{HardState: HardState{Term: 1}, Meta: SnapshotMeta{Index: 1, Term: 1, Members: members}}, 0)
 }
 
 func threeVoters() []Member {
@@ -21,10 +21,10 @@
 // drainMessages processes all effects and returns the messages.
 func drainMessages(n *Node) []Message {
 	out := []Message{}
-	for n.Pending() {
+	for n.HasEffects() {
 		e := n.Effects()
-		out = append(append(out, e.Early...), e.Late...)
-		n.Persisted()
+		out = append(append(out, e.MessagesBeforeSync...), e.MessagesAfterSync...)
+		n.MarkPersisted()
 	}
 	return out
 }
@@ -55,9 +55,9 @@
 	n.Advance(13)
 	n.Step(Message{Kind: Vote, From: 2, To: 1, Term: 5, Index: 1, LogTerm: 1})
 	e := n.Effects()
-	require.Equal(t, &Hard{Term: 5, VotedFor: 2}, e.Hard)
-	require.Empty(t, e.Early)
-	require.Len(t, e.Late, 1)
+	require.Equal(t, &HardState{Term: 5, VotedFor: 2}, e.Hard)
+	require.Empty(t, e.MessagesBeforeSync)
+	require.Len(t, e.MessagesAfterSync, 1)
 }
 
 func TestVotesOncePerTerm(t *testing.T) {
@@ -85,7 +85,7 @@
 func newRestartedNode(id, leader ID) *Node {
 	n := testNode(id, threeVoters()...)
 	n.hard.Leader = leader
-	return New(n.options, StoredState{HardState: n.hard, Meta: Meta{Index: 1, Term: 1, Members: threeVoters()}}, 0)
+	return New(n.options, StoredState{HardState: n.hard, Meta: SnapshotMeta{Index: 1, Term: 1, Members: threeVoters()}}, 0)
 }
 
 // All replicas restart at the same time. The others must not wait for the lease
@@ -149,19 +149,19 @@
 	n := testNode(1, threeVoters()...)
 	n.Step(Message{Kind: Heartbeat, From: 2, To: 1, Term: 1, Sequence: 4})
 	e := n.Effects()
-	require.Equal(t, &Hard{Term: 1, Leader: 2}, e.Hard)
-	require.Empty(t, e.Early)
-	require.Len(t, e.Late, 1)
+	require.Equal(t, &HardState{Term: 1, Leader: 2}, e.Hard)
+	require.Empty(t, e.MessagesBeforeSync)
+	require.Len(t, e.MessagesAfterSync, 1)
 }
 
 func TestDecodesHardStateWithoutLeader(t *testing.T) {
-	data := EncodeHardState(Hard{Term: 7, VotedFor: 3, Leader: 2})
+	data := EncodeHardState(HardState{Term: 7, VotedFor: 3, Leader: 2})
 	h, err := DecodeHardState(data)
 	require.NoError(t, err)
-	require.Equal(t, Hard{Term: 7, VotedFor: 3, Leader: 2}, h)
+	require.Equal(t, HardState{Term: 7, VotedFor: 3, Leader: 2}, h)
 	h, err = DecodeHardState(data[:len(data)-1])
 	require.NoError(t, err)
-	require.Equal(t, Hard{Term: 7, VotedFor: 3}, h)
+	require.Equal(t, HardState{Term: 7, VotedFor: 3}, h)
 }
 
 func TestLeaseExpiresBeforeNextElection(t *testing.T) {
@@ -170,11 +170,11 @@
 	n.Step(Message{Kind: AppendReply, From: 2, To: 1, Term: 2, Index: 2})
 	n.Step(Message{Kind: HeartbeatReply, From: 2, To: 1, Term: 2, Sequence: 1})
 	drainMessages(n)
-	require.True(t, n.Leased())
+	require.True(t, n.HasLease())
 	n.Advance(108)
-	require.True(t, n.Leased())
+	require.True(t, n.HasLease())
 	n.Advance(109)
-	require.False(t, n.Leased())
+	require.False(t, n.HasLease())
 	n.Advance(112)
 	require.Equal(t, Follower, n.role, "a leader without a quorum must step down")
 }
@@ -185,7 +185,7 @@
 	n.Step(Message{Kind: AppendReply, From: 2, To: 1, Term: 2, Index: 2})
 	n.Step(Message{Kind: HeartbeatReply, From: 2, To: 1, Term: 2, Sequence: 1})
 	require.NoError(t, n.Transfer(2))
-	require.False(t, n.Leased())
+	require.False(t, n.HasLease())
 	_, _, err := n.Propose([][]byte{[]byte("x")})
 	notLeader := (*NotLeaderError)(nil)
 	require.ErrorAs(t, err, &notLeader)
--- a/core/consensus/replicate.go
+++ b/core/consensus/replicate.go
@@ -7,7 +7,7 @@
 // sendAppends sends the entries that a replica lacks, up to the limit of
 // unanswered messages.
 func (n *Node) sendAppends(to ID, p *peer) {
-	for !p.isPaused && p.state != installing && len(p.inflight) < n.options.Inflight && p.nextIndex <= n.log.lastIndex() {
+	for !p.isPaused && p.state != installing && len(p.inflight) < n.options.MaxInflightAppends && p.nextIndex <= n.log.lastIndex() {
 		n.sendAppend(to, p)
 	}
 }
@@ -18,7 +18,7 @@
 		n.startInstall(to, p)
 		return
 	}
-	entries := n.log.slice(p.nextIndex, n.log.lastIndex(), n.options.AppendBytes)
+	entries := n.log.slice(p.nextIndex, n.log.lastIndex(), n.options.MaxAppendBytes)
 	n.send(Message{Kind: Append, To: to, Index: p.nextIndex - 1, LogTerm: term, Commit: n.log.commitIndex, Entries: entries})
 	if p.state == probing {
 		p.isPaused = true
@@ -98,9 +98,9 @@
 }
 
 // resend returns to probing, or repeats the snapshot chunk, if there has been
-// no progress for ResendTicks: a message must have been lost.
+// no progress for ResendDelayTicks: a message must have been lost.
 func (n *Node) resend(to ID, p *peer) {
-	if p.matchIndex >= n.log.lastIndex() || n.now < p.lastProgressAt+n.options.ResendTicks {
+	if p.matchIndex >= n.log.lastIndex() || n.now < p.lastProgressAt+n.options.ResendDelayTicks {
 		n.sendAppends(to, p)
 		return
 	}
@@ -146,7 +146,7 @@
 type incomingSnapshot struct {
 	from ID
 	term uint64
-	meta Meta
+	meta SnapshotMeta
 	data []byte
 }
 
--- a/core/consensus/types.go
+++ b/core/consensus/types.go
@@ -52,9 +52,9 @@
 	Data  []byte
 }
 
-// Hard is the state that a node must persist before it answers messages
+// HardState is the state that a node must persist before it answers messages
 // (Raft's hard state, without the log).
-type Hard struct {
+type HardState struct {
 	Term     uint64
 	VotedFor ID
 	// Leader is the leader of Term, zero until it is known. This node may have
@@ -62,8 +62,8 @@
 	Leader ID
 }
 
-// Meta describes a snapshot of the state after the entry at Index.
-type Meta struct {
+// SnapshotMeta describes a snapshot of the state after the entry at Index.
+type SnapshotMeta struct {
 	Index   uint64
 	Term    uint64
 	Members []Member
@@ -73,14 +73,14 @@
 
 // Snapshot is a complete snapshot with its data.
 type Snapshot struct {
-	Meta Meta
+	Meta SnapshotMeta
 	Data []byte
 }
 
 // StoredState is the state read from disk when a node starts.
 type StoredState struct {
-	HardState Hard
-	Meta      Meta
+	HardState HardState
+	Meta      SnapshotMeta
 	Entries   []Entry
 }
 
@@ -135,7 +135,7 @@
 // Chunk is a part of a snapshot. A node leaves Data empty; the caller fills it
 // from disk before it sends the message.
 type Chunk struct {
-	Meta   Meta
+	Meta   SnapshotMeta
 	Offset uint64
 	Length uint64
 	Data   []byte
@@ -148,28 +148,29 @@
 }
 
 // Effects lists what the caller must do, in the order of the fields, before it
-// calls Persisted. No other call to the node may come in between.
+// calls MarkPersisted. No other call to the node may come in between.
 type Effects struct {
-	// Early holds messages that may be sent before the writes below.
-	Early []Message
+	// MessagesBeforeSync holds messages that may be sent before the writes
+	// below.
+	MessagesBeforeSync []Message
 	// Hard is the state to write, nil if it has not changed.
-	Hard *Hard
+	Hard *HardState
 	// Snapshot replaces the log and the applied state.
 	Snapshot *Snapshot
 	// Entries are appended to the log. They replace all entries on disk from
 	// the index of the first one on.
 	Entries []Entry
-	// Late holds messages that must be sent only after all of the above is
-	// synced.
-	Late []Message
+	// MessagesAfterSync holds messages that must be sent only after all of the
+	// above is synced.
+	MessagesAfterSync []Message
 	// Committed entries are applied to the state machine in order.
 	Committed []Entry
 	// Reads are reads confirmed since the last call.
 	Reads []Read
 }
 
-// Writes reports whether something must be written and synced.
-func (e *Effects) Writes() bool {
+// HasWrites reports whether something must be written and synced.
+func (e *Effects) HasWrites() bool {
 	return e.Hard != nil || e.Snapshot != nil || len(e.Entries) > 0
 }
 
--- a/core/member/gossip.go
+++ b/core/member/gossip.go
@@ -56,7 +56,7 @@
 // state with another peer address is a name conflict: it is reported and not
 // refuted, so that the two daemons do not outbid each other.
 func (m *Machine) refute(s State) {
-	if s.Info.Peers != m.self.Info.Peers {
+	if s.Info.PeerAddress != m.self.Info.PeerAddress {
 		m.events = append(m.events, Event{State: s, Conflict: s.Status.IsLive(), Known: true})
 		return
 	}
@@ -77,7 +77,7 @@
 		return
 	}
 	if s.supersedes(e.state) {
-		if s.Status != e.state.Status || s.Info.Peers != e.state.Info.Peers {
+		if s.Status != e.state.Status || s.Info.PeerAddress != e.state.Info.PeerAddress {
 			m.events = append(m.events, Event{State: s, PreviousStatus: e.state.Status, Known: true})
 		}
 		if s.Status != e.state.Status {
--- a/core/member/machine.go
+++ b/core/member/machine.go
@@ -64,7 +64,7 @@
 // New returns the machine of a daemon that knows only its own state and the
 // peer addresses of its seeds.
 func New(self State, seeds []string, opt Options, rng *rand.Rand) *Machine {
-	others := slices.DeleteFunc(slices.Clone(seeds), func(a string) bool { return a == self.Info.Peers })
+	others := slices.DeleteFunc(slices.Clone(seeds), func(a string) bool { return a == self.Info.PeerAddress })
 	return &Machine{
 		options: opt, rng: rng, self: self, seeds: others, hasJoined: len(others) == 0,
 		listingsLeft: listingsAfterJoin,
@@ -89,15 +89,15 @@
 	m.self.Info = i
 }
 
-// Leave sets the daemon's own status to Left. Send the result of LeaveRequests to
-// announce it.
+// Leave sets the daemon's own status to Left. Send the result of LeaveRequests
+// to announce it.
 func (m *Machine) Leave() {
 	m.raiseIncarnation(m.self.Incarnation)
 	m.self.Status = Left
 }
 
-// LeaveRequests returns the last requests of a daemon that has left. Their outcomes
-// need not be reported.
+// LeaveRequests returns the last requests of a daemon that has left. Their
+// outcomes need not be reported.
 func (m *Machine) LeaveRequests() []Request {
 	out := []Request{}
 	for range m.options.MaxRelays {
@@ -188,7 +188,7 @@
 	} else if m.hasNextPage {
 		m.hasNextPage = false
 		if n, ok := m.nextRandom(); ok {
-			out = append(out, m.newJoin(m.known[n].state.Info.Peers, m.pageAfter))
+			out = append(out, m.newJoin(m.known[n].state.Info.PeerAddress, m.pageAfter))
 		}
 	}
 	next, ok := m.nextOnRing()
@@ -256,7 +256,7 @@
 func (m *Machine) isReachable(address string) bool {
 	return slices.ContainsFunc(m.names, func(n string) bool {
 		s := m.known[n].state
-		return s.Status.IsLive() && s.Info.Peers == address
+		return s.Status.IsLive() && s.Info.PeerAddress == address
 	})
 }
 
@@ -269,19 +269,19 @@
 
 func (m *Machine) newDirectProbe(name string) Request {
 	p := pendingRequest{probe: &probe{target: name, outstanding: 1}}
-	return m.newRequest(m.known[name].state.Info.Peers, m.options.DirectTimeout, name, p)
+	return m.newRequest(m.known[name].state.Info.PeerAddress, m.options.DirectTimeout, name, p)
 }
 
 func (m *Machine) newRequest(address string, timeout time.Duration, receiver string, p pendingRequest) Request {
 	m.nextID++
 	m.pending[m.nextID] = p
-	return Request{ID: m.nextID, To: address, Timeout: timeout, Updates: m.selectUpdates(receiver)}
+	return Request{ID: m.nextID, Address: address, Timeout: timeout, Updates: m.selectUpdates(receiver)}
 }
 
-// Receive processes a request and returns its reply. If the second result is
-// not nil, the caller must send that request first and set the reply's
+// HandleRequest processes a request and returns its reply. If the second result
+// is not nil, the caller must send that request first and set the reply's
 // TargetAlive to whether it was answered.
-func (m *Machine) Receive(now time.Duration, r Request) (Reply, *Request) {
+func (m *Machine) HandleRequest(now time.Duration, r Request) (Reply, *Request) {
 	m.mergeAll(now, r.Updates)
 	reply := Reply{TargetAlive: true, Updates: m.selectUpdates(senderName(r.Updates))}
 	if r.Join {
@@ -295,7 +295,7 @@
 	if !ok {
 		return reply, nil
 	}
-	return reply, &Request{To: e.state.Info.Peers, Timeout: m.options.DirectTimeout, Updates: m.selectUpdates(r.Target)}
+	return reply, &Request{Address: e.state.Info.PeerAddress, Timeout: m.options.DirectTimeout, Updates: m.selectUpdates(r.Target)}
 }
 
 func senderName(updates []State) string {
@@ -320,10 +320,10 @@
 	}
 }
 
-// Acked processes the reply to a request and returns the requests to send next.
-// A reply to a direct probe from a daemon with another name counts as a
+// HandleReply processes the reply to a request and returns the requests to send
+// next. A reply to a direct probe from a daemon with another name counts as a
 // failure.
-func (m *Machine) Acked(now time.Duration, id uint64, r Reply) []Request {
+func (m *Machine) HandleReply(now time.Duration, id uint64, r Reply) []Request {
 	p, ok := m.pending[id]
 	if !ok {
 		return nil
@@ -339,17 +339,17 @@
 	m.mergeAll(now, r.Updates)
 	isOtherDaemon := !p.probe.isIndirect && senderName(r.Updates) != p.probe.target
 	if !r.TargetAlive || isOtherDaemon {
-		return m.Failed(now, id)
+		return m.HandleFailure(now, id)
 	}
 	delete(m.pending, id)
 	p.probe.outstanding = 0
 	return nil
 }
 
-// Failed records that a request was not answered within its timeout and returns
-// the requests to send next: indirect probes of a daemon that did not answer a
-// direct one.
-func (m *Machine) Failed(now time.Duration, id uint64) []Request {
+// HandleFailure records that a request was not answered within its timeout and
+// returns the requests to send next: indirect probes of a daemon that did not
+// answer a direct one.
+func (m *Machine) HandleFailure(now time.Duration, id uint64) []Request {
 	p, ok := m.pending[id]
 	delete(m.pending, id)
 	if !ok || p.isJoin || p.probe.outstanding == 0 {
@@ -377,7 +377,7 @@
 	m.rng.Shuffle(len(relays), func(i, j int) { relays[i], relays[j] = relays[j], relays[i] })
 	out := []Request{}
 	for _, n := range relays[:min(len(relays), m.options.MaxRelays)] {
-		r := m.newRequest(m.known[n].state.Info.Peers, m.options.IndirectTimeout, n, pendingRequest{probe: p})
+		r := m.newRequest(m.known[n].state.Info.PeerAddress, m.options.IndirectTimeout, n, pendingRequest{probe: p})
 		r.Target = p.target
 		out = append(out, r)
 	}
--- a/core/member/machine_test.go
+++ b/core/member/machine_test.go
@@ -46,12 +46,12 @@
 }
 
 func newTestNetwork() *testNetwork {
-	return &testNetwork{opt: Defaults(), machines: map[string]*Machine{}, isLost: func(string, string) bool { return false }}
+	return &testNetwork{opt: DefaultOptions(), machines: map[string]*Machine{}, isLost: func(string, string) bool { return false }}
 }
 
 func (w *testNetwork) start(name string, incarnation uint64, seeds ...string) *Machine {
 	rng := rand.New(rand.NewPCG(incarnation, uint64(len(name)+len(w.names))))
-	m := New(State{Name: name, Incarnation: incarnation, Info: Info{Peers: name}}, seeds, w.opt, rng)
+	m := New(State{Name: name, Incarnation: incarnation, Info: Info{PeerAddress: name}}, seeds, w.opt, rng)
 	if !slices.Contains(w.names, name) {
 		w.names = append(w.names, name)
 	}
@@ -92,7 +92,7 @@
 			} else if f.failsAt > w.now {
 				w.failingRequests = append(w.failingRequests, f)
 			} else {
-				w.send(f.from, m.Failed(w.now, f.requestID))
+				w.send(f.from, m.HandleFailure(w.now, f.requestID))
 			}
 		}
 		for _, n := range w.names {
@@ -110,25 +110,25 @@
 			w.failingRequests = append(w.failingRequests, failingRequest{failsAt: w.now + r.Timeout, from: from, requestID: r.ID})
 			continue
 		}
-		w.send(from, w.machines[from].Acked(w.now, r.ID, reply))
+		w.send(from, w.machines[from].HandleReply(w.now, r.ID, reply))
 	}
 }
 
 func (w *testNetwork) call(from string, r Request) (Reply, bool) {
 	w.messages++
 	w.states += len(r.Updates)
-	m := w.machines[r.To]
-	if m == nil || w.isLost(from, r.To) {
+	m := w.machines[r.Address]
+	if m == nil || w.isLost(from, r.Address) {
 		return Reply{}, false
 	}
-	reply, relay := m.Receive(w.now, r)
+	reply, relay := m.HandleRequest(w.now, r)
 	if relay != nil {
-		answer, ok := w.call(r.To, *relay)
+		answer, ok := w.call(r.Address, *relay)
 		reply.TargetAlive = ok && answer.TargetAlive
 	}
 	w.messages++
 	w.states += len(reply.Updates)
-	return reply, !w.isLost(r.To, from)
+	return reply, !w.isLost(r.Address, from)
 }
 
 func TestDeadDaemonIsDetectedWithinBound(t *testing.T) {
@@ -209,7 +209,7 @@
 
 func TestDuplicateNameIsReported(t *testing.T) {
 	w := newConvergedNetwork(t, 3)
-	duplicate := New(State{Name: "d002", Incarnation: 900, Info: Info{Peers: "x"}}, []string{"d000"}, w.opt, rand.New(rand.NewPCG(1, 1)))
+	duplicate := New(State{Name: "d002", Incarnation: 900, Info: Info{PeerAddress: "x"}}, []string{"d000"}, w.opt, rand.New(rand.NewPCG(1, 1)))
 	w.machines["x"] = duplicate
 	w.names = append(w.names, "x")
 	w.run(w.opt.MaxDisseminationTime(3))
@@ -279,7 +279,7 @@
 	m100, s100 := costPerDaemon(100)
 	require.InEpsilon(t, m9, m100, 0.15)
 	require.InEpsilon(t, s9, s100, 0.25)
-	o := Defaults()
+	o := DefaultOptions()
 	bound := 4 * float64(time.Second/o.ProbeInterval)
 	require.LessOrEqual(t, m100, bound)
 	require.LessOrEqual(t, s100, bound*float64(o.MaxUpdates))
--- a/core/member/member.go
+++ b/core/member/member.go
@@ -4,9 +4,10 @@
 // before it declares it dead, and piggybacks state updates on these messages.
 // internal/member carries the messages.
 //
-// Tick, Receive, Acked and Failed drive the state machine. The caller sends the
-// requests that they return and reports the outcome of each within its timeout.
-// The messages and bytes per daemon do not grow with the number of daemons.
+// Tick, HandleRequest, HandleReply and HandleFailure drive the state machine.
+// The caller sends the requests that they return and reports the outcome of
+// each within its timeout. The messages and bytes per daemon do not grow with
+// the number of daemons.
 package member
 
 import (
@@ -37,13 +38,13 @@
 type Info struct {
 	Region     string
 	DataCentre string
-	// Peers, Callers and Upstreams are the addresses on which the daemon serves
-	// them, each IP:port.
-	Peers     string
-	Callers   string
-	Upstreams string
-	// Version is the version of the configuration in force.
-	Version uint64
+	// PeerAddress, CallerAddress and UpstreamAddress are the addresses on which
+	// the daemon serves them, each IP:port.
+	PeerAddress     string
+	CallerAddress   string
+	UpstreamAddress string
+	// ConfigVersion is the version of the configuration in force.
+	ConfigVersion uint64
 	// LoadPermille is the load in thousandths of the daemon's capacity.
 	LoadPermille uint32
 	// HasReplica marks a daemon that holds a replica of the control groups.
@@ -78,8 +79,8 @@
 type Request struct {
 	// ID is chosen by the sender to match the reply.
 	ID uint64
-	// To is the receiver's peer address.
-	To string
+	// Address is the receiver's peer address.
+	Address string
 	// Timeout limits the wait for the reply.
 	Timeout time.Duration
 	// Target names the daemon that the receiver must probe; empty for the
@@ -120,14 +121,16 @@
 	// one through a relay.
 	DirectTimeout   time.Duration
 	IndirectTimeout time.Duration
-	// SuspicionTimeout is the time a suspect has to refute before it is declared dead.
+	// SuspicionTimeout is the time a suspect has to refute before it is
+	// declared dead.
 	SuspicionTimeout time.Duration
-	// RejoinInterval is the interval between attempts to reach lost seeds and dead
-	// daemons.
+	// RejoinInterval is the interval between attempts to reach lost seeds and
+	// dead daemons.
 	RejoinInterval time.Duration
 	// DeadRetention is how long a dead daemon is kept in the list.
 	DeadRetention time.Duration
-	// MaxRelays is the maximum number of daemons asked to probe one that does not answer.
+	// MaxRelays is the maximum number of daemons asked to probe one that does
+	// not answer.
 	MaxRelays int
 	// MaxUpdates limits the states in a message.
 	MaxUpdates int
@@ -135,8 +138,8 @@
 	MaxPageMembers int
 }
 
-// Defaults returns the options that daemons use.
-func Defaults() Options {
+// DefaultOptions returns the options that daemons use.
+func DefaultOptions() Options {
 	return Options{
 		ProbeInterval:    500 * time.Millisecond,
 		DirectTimeout:    200 * time.Millisecond,
@@ -158,14 +161,14 @@
 	return retransmitMultiplier * bits.Len(uint(n))
 }
 
-// DetectBound returns the maximum time from a daemon's death until another
+// MaxDetectionTime returns the maximum time from a daemon's death until another
 // daemon declares it dead, if the dead daemon's ring neighbour is live.
-func (o Options) DetectBound() time.Duration {
+func (o Options) MaxDetectionTime() time.Duration {
 	return o.ProbeInterval + o.DirectTimeout + o.IndirectTimeout + o.SuspicionTimeout + o.ProbeInterval
 }
 
-// MaxDisseminationTime returns the time from a daemon's death within which all daemons
-// of a fleet of n know of it.
+// MaxDisseminationTime returns the time from a daemon's death within which all
+// daemons of a fleet of n know of it.
 func (o Options) MaxDisseminationTime(n int) time.Duration {
-	return o.DetectBound() + time.Duration(bits.Len(uint(n)))*o.ProbeInterval
+	return o.MaxDetectionTime() + time.Duration(bits.Len(uint(n)))*o.ProbeInterval
 }
--- a/internal/capacity/membership.go
+++ b/internal/capacity/membership.go
@@ -38,10 +38,10 @@
 	for i := range n {
 		address := fmt.Sprintf("10.0.%d.%d:7200", i/256, i%256)
 		self := detector.State{Name: fmt.Sprintf("daemon-%04d", i), Incarnation: 1_790_000_000_000_000_000, Info: detector.Info{
-			Region: "region-1", DataCentre: "region-1-a", Peers: address,
-			Callers: fmt.Sprintf("10.0.%d.%d:7100", i/256, i%256), Upstreams: fmt.Sprintf("10.0.%d.%d:7300", i/256, i%256), Version: 41_000,
+			Region: "region-1", DataCentre: "region-1-a", PeerAddress: address,
+			CallerAddress: fmt.Sprintf("10.0.%d.%d:7100", i/256, i%256), UpstreamAddress: fmt.Sprintf("10.0.%d.%d:7300", i/256, i%256), ConfigVersion: 41_000,
 		}}
-		f.machines[address] = detector.New(self, []string{"10.0.0.0:7200"}, detector.Defaults(), rand.New(rand.NewPCG(memberSeed, uint64(i))))
+		f.machines[address] = detector.New(self, []string{"10.0.0.0:7200"}, detector.DefaultOptions(), rand.New(rand.NewPCG(memberSeed, uint64(i))))
 		f.names = append(f.names, address)
 	}
 	return f
@@ -59,15 +59,15 @@
 // carry brings requests to their receivers and the replies back.
 func (f *fleet) carry(from *detector.Machine, requests []detector.Request) {
 	for _, r := range requests {
-		to, ok := f.machines[r.To]
+		to, ok := f.machines[r.Address]
 		if !ok {
-			f.carry(from, from.Failed(f.now, r.ID))
+			f.carry(from, from.HandleFailure(f.now, r.ID))
 			continue
 		}
-		reply, _ := to.Receive(f.now, r)
+		reply, _ := to.HandleRequest(f.now, r)
 		f.messages += 2
 		f.bytes += proto.Size(member.EncodeRequest(from.Self().Name, r)) + proto.Size(member.EncodeReply(reply))
-		f.carry(from, from.Acked(f.now, r.ID, reply))
+		f.carry(from, from.HandleReply(f.now, r.ID, reply))
 	}
 }
 
--- a/internal/logbench/measure.go
+++ b/internal/logbench/measure.go
@@ -159,7 +159,7 @@
 	if err != nil {
 		return err
 	}
-	meta := consensus.Meta{Index: snapshotClaims, Term: 1, Size: uint64(len(data))}
+	meta := consensus.SnapshotMeta{Index: snapshotClaims, Term: 1, Size: uint64(len(data))}
 	if err := wal.WriteSnapshot(disk, consensus.Snapshot{Meta: meta, Data: data}); err != nil {
 		return err
 	}
@@ -172,7 +172,7 @@
 			}
 			entries = append(entries, consensus.Entry{Term: 1, Index: uint64(i) + 1, Data: data})
 		}
-		if err := log.Save(&consensus.Hard{Term: 1}, entries); err != nil {
+		if err := log.Save(&consensus.HardState{Term: 1}, entries); err != nil {
 			return err
 		}
 	}
--- a/internal/matrix/clock.go
+++ b/internal/matrix/clock.go
@@ -110,7 +110,7 @@
 func (p *process) believedLive() bool {
 	now := p.world.now()
 	answers := p.reachable() && p.paused <= now
-	return !p.left && (answers || now-p.lost < member.Defaults().DetectBound())
+	return !p.left && (answers || now-p.lost < member.DefaultOptions().MaxDetectionTime())
 }
 
 func (p *process) die() {
--- a/internal/member/codec.go
+++ b/internal/member/codec.go
@@ -35,8 +35,8 @@
 		i := s.Info
 		out = append(out, &rpc.MemberState{
 			Name: s.Name, Incarnation: s.Incarnation, Beat: s.InfoVersion, Status: uint32(s.Status),
-			Region: i.Region, DataCentre: i.DataCentre, PeerAddress: i.Peers, CallerAddress: i.Callers, UpstreamAddress: i.Upstreams,
-			ConfigVersion: i.Version, LoadPermille: i.LoadPermille, Replica: i.HasReplica, Leaving: i.IsLeaving,
+			Region: i.Region, DataCentre: i.DataCentre, PeerAddress: i.PeerAddress, CallerAddress: i.CallerAddress, UpstreamAddress: i.UpstreamAddress,
+			ConfigVersion: i.ConfigVersion, LoadPermille: i.LoadPermille, Replica: i.HasReplica, Leaving: i.IsLeaving,
 		})
 	}
 	return out
@@ -52,8 +52,8 @@
 		out = append(out, member.State{
 			Name: s.Name, Incarnation: s.Incarnation, InfoVersion: s.Beat, Status: member.Status(s.Status),
 			Info: member.Info{
-				Region: s.Region, DataCentre: s.DataCentre, Peers: s.PeerAddress, Callers: s.CallerAddress, Upstreams: s.UpstreamAddress,
-				Version: s.ConfigVersion, LoadPermille: s.LoadPermille, HasReplica: s.Replica, IsLeaving: s.Leaving,
+				Region: s.Region, DataCentre: s.DataCentre, PeerAddress: s.PeerAddress, CallerAddress: s.CallerAddress, UpstreamAddress: s.UpstreamAddress,
+				ConfigVersion: s.ConfigVersion, LoadPermille: s.LoadPermille, HasReplica: s.Replica, IsLeaving: s.Leaving,
 			},
 		})
 	}
@@ -66,7 +66,7 @@
 func toPortMember(s member.State) port.Member {
 	i := s.Info
 	return port.Member{
-		Name: s.Name, Region: i.Region, DataCentre: i.DataCentre, Peers: i.Peers, Callers: i.Callers, Upstreams: i.Upstreams,
-		Version: i.Version, Load: float64(i.LoadPermille) / loadScale, Replica: i.HasReplica, Leaving: i.IsLeaving,
+		Name: s.Name, Region: i.Region, DataCentre: i.DataCentre, Peers: i.PeerAddress, Callers: i.CallerAddress, Upstreams: i.UpstreamAddress,
+		Version: i.ConfigVersion, Load: float64(i.LoadPermille) / loadScale, Replica: i.HasReplica, Leaving: i.IsLeaving,
 	}
 }
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -56,7 +56,7 @@
 func New(set *settings.Settings, log *zap.Logger, self port.Holder) *Service {
 	s := &Service{settings: set, log: log.Named("member"), metrics: newMetrics(), startedAt: time.Now()}
 	rng := rand.New(rand.NewPCG(self.Incarnation, uint64(len(set.Name))))
-	s.machine = member.New(member.State{Name: set.Name, Incarnation: self.Incarnation, Info: s.localInfo(0, 0)}, set.Seeds, member.Defaults(), rng)
+	s.machine = member.New(member.State{Name: set.Name, Incarnation: self.Incarnation, Info: s.localInfo(0, 0)}, set.Seeds, member.DefaultOptions(), rng)
 	return s
 }
 
@@ -131,8 +131,8 @@
 
 func (s *Service) localInfo(version uint64, load uint32) member.Info {
 	return member.Info{
-		Region: s.settings.Region, DataCentre: s.settings.DataCentre, Peers: s.settings.Addresses.Peers, Callers: s.settings.Addresses.Callers,
-		Upstreams: s.settings.Addresses.Upstreams, HasReplica: s.settings.HasRole(settings.Replica), Version: version, LoadPermille: load, IsLeaving: s.isLeaving,
+		Region: s.settings.Region, DataCentre: s.settings.DataCentre, PeerAddress: s.settings.Addresses.Peers, CallerAddress: s.settings.Addresses.Callers,
+		UpstreamAddress: s.settings.Addresses.Upstreams, HasReplica: s.settings.HasRole(settings.Replica), ConfigVersion: version, LoadPermille: load, IsLeaving: s.isLeaving,
 	}
 }
 
@@ -161,9 +161,9 @@
 	s.mu.Lock()
 	next := []member.Request(nil)
 	if err == nil {
-		next = s.machine.Acked(elapsedSince(s.startedAt), r.ID, reply)
+		next = s.machine.HandleReply(elapsedSince(s.startedAt), r.ID, reply)
 	} else {
-		next = s.machine.Failed(elapsedSince(s.startedAt), r.ID)
+		next = s.machine.HandleFailure(elapsedSince(s.startedAt), r.ID)
 	}
 	s.logChanges()
 	s.mu.Unlock()
@@ -175,7 +175,7 @@
 	defer cancel()
 	in := EncodeRequest(s.settings.Name, r)
 	s.metrics.recordSent(proto.Size(in))
-	out, err := rpc.NewDRPCMembersClient(s.link.Conn(r.To)).Probe(ctx, in)
+	out, err := rpc.NewDRPCMembersClient(s.link.Conn(r.Address)).Probe(ctx, in)
 	if err != nil {
 		return member.Reply{}, err
 	}
@@ -187,7 +187,7 @@
 func (s *Service) Probe(ctx context.Context, in *rpc.ProbeRequest) (*rpc.ProbeReply, error) {
 	s.metrics.recordReceived(proto.Size(in))
 	s.mu.Lock()
-	reply, relay := s.machine.Receive(elapsedSince(s.startedAt), decodeRequest(in))
+	reply, relay := s.machine.HandleRequest(elapsedSince(s.startedAt), decodeRequest(in))
 	s.logChanges()
 	s.mu.Unlock()
 	if relay != nil {
@@ -203,10 +203,10 @@
 func (s *Service) logChanges() {
 	for _, c := range s.machine.Events() {
 		if c.Conflict {
-			s.reportConflict(c.State.Info.Peers)
+			s.reportConflict(c.State.Info.PeerAddress)
 			continue
 		}
-		fields := []zap.Field{zap.String("member", c.State.Name), zap.String("address", c.State.Info.Peers), zap.Uint64("incarnation", c.State.Incarnation)}
+		fields := []zap.Field{zap.String("member", c.State.Name), zap.String("address", c.State.Info.PeerAddress), zap.Uint64("incarnation", c.State.Incarnation)}
 		switch c.State.Status {
 		case member.Suspect:
 			s.log.Info("daemon does not answer", fields...)
@@ -306,7 +306,7 @@
 	defer s.mu.Unlock()
 	out := []memberDump{}
 	for _, m := range append(s.machine.Members(), s.machine.Self()) {
-		out = append(out, memberDump{Name: m.Name, Status: m.Status.String(), Incarnation: m.Incarnation, Address: m.Info.Peers, Leaving: m.Info.IsLeaving})
+		out = append(out, memberDump{Name: m.Name, Status: m.Status.String(), Incarnation: m.Incarnation, Address: m.Info.PeerAddress, Leaving: m.Info.IsLeaving})
 	}
 	return out
 }
--- a/internal/replica/calls.go
+++ b/internal/replica/calls.go
@@ -116,7 +116,7 @@
 	}
 	g.mu.Lock()
 	frozen := g.machine.Freeze()
-	meta := consensus.Meta{Index: g.applied, Term: g.status.Term}
+	meta := consensus.SnapshotMeta{Index: g.applied, Term: g.status.Term}
 	g.mu.Unlock()
 	data, err := frozen.Encode()
 	if err != nil {
--- a/internal/replica/checks_test.go
+++ b/internal/replica/checks_test.go
@@ -46,7 +46,7 @@
 		}
 		c.leaders[st.Term] = st.ID
 	}
-	for i := s.checked + 1; i <= st.Commit; i++ {
+	for i := s.checked + 1; i <= st.CommitIndex; i++ {
 		term, ok := s.engine.node.Term(i)
 		if !ok {
 			continue
@@ -56,7 +56,7 @@
 		}
 		c.terms[i] = term
 	}
-	s.checked = max(s.checked, st.Commit)
+	s.checked = max(s.checked, st.CommitIndex)
 }
 
 func (c *checks) claimed(key, stream string) {
--- a/internal/replica/engine.go
+++ b/internal/replica/engine.go
@@ -96,9 +96,9 @@
 
 func (g *group) options(id consensus.ID) consensus.Options {
 	return consensus.Options{
-		ID: id, ElectionTicks: electionTicks, HeartbeatTicks: heartbeatTicks, LeaseTicks: g.limits.leaseTicks,
-		ResendTicks: resendTicks, AppendBytes: g.limits.appendBytes, Inflight: inflight,
-		UncommittedBytes: uncommittedBytes, ChunkBytes: g.limits.chunkBytes, Random: g.random,
+		ID: id, ElectionTimeoutTicks: electionTicks, HeartbeatIntervalTicks: heartbeatTicks, LeaseDurationTicks: g.limits.leaseTicks,
+		ResendDelayTicks: resendTicks, MaxAppendBytes: g.limits.appendBytes, MaxInflightAppends: inflight,
+		MaxUncommittedBytes: uncommittedBytes, ChunkBytes: g.limits.chunkBytes, Random: g.random,
 	}
 }
 
@@ -203,25 +203,25 @@
 
 // settle carries out effects until there are none.
 func (e *engine) settle() error {
-	for e.node.Pending() {
+	for e.node.HasEffects() {
 		eff := e.node.Effects()
 		if err := e.perform(eff); err != nil {
 			return err
 		}
-		e.node.Persisted()
+		e.node.MarkPersisted()
 	}
 	e.noteRole()
 	return nil
 }
 
 func (e *engine) perform(eff consensus.Effects) error {
-	e.sendAll(eff.Early)
+	e.sendAll(eff.MessagesBeforeSync)
 	if eff.Snapshot != nil {
 		if err := wal.WriteSnapshot(e.g.disk, *eff.Snapshot); err != nil {
 			return err
 		}
 	}
-	if eff.Writes() {
+	if eff.HasWrites() {
 		began := time.Now()
 		if err := e.log.Save(eff.Hard, eff.Entries); err != nil {
 			return err
@@ -234,7 +234,7 @@
 			return err
 		}
 	}
-	e.sendAll(eff.Late)
+	e.sendAll(eff.MessagesAfterSync)
 	e.applyAll(eff.Committed)
 	for _, r := range eff.Reads {
 		if done := e.asked[r.ID]; done != nil {
@@ -304,8 +304,8 @@
 	// The role may have changed in this very batch.
 	e.noteRole()
 	a := p.command.Acquire
-	applied := e.g.applied == e.node.Commit()
-	if a != nil && applied && e.node.Leased() && e.lessor.renew(e.machine, a, e.g.now()) {
+	applied := e.g.applied == e.node.CommitIndex()
+	if a != nil && applied && e.node.HasLease() && e.lessor.renew(e.machine, a, e.g.now()) {
 		p.done <- outcome{result: e.machine.Apply(p.command), index: e.g.applied}
 		return
 	}
--- a/internal/replica/group.go
+++ b/internal/replica/group.go
@@ -297,14 +297,14 @@
 	version, _, _ := g.machine.Config()
 	out := port.ReplicaStatus{
 		Name: g.set.Name, Address: g.set.Addresses.Peers, Group: g.name, ID: uint64(s.ID), Role: s.Role.String(),
-		Term: s.Term, Last: s.Last, Committed: s.Commit, Applied: g.applied, Version: version,
+		Term: s.Term, Last: s.LastIndex, Committed: s.CommitIndex, Applied: g.applied, Version: version,
 	}
 	if len(s.Members) == 0 {
 		out.Role = "new"
 	}
 	lag := map[consensus.ID]uint64{}
 	for _, p := range s.Peers {
-		lag[p.Member.ID] = s.Last - min(p.Match, s.Last)
+		lag[p.Member.ID] = s.LastIndex - min(p.MatchIndex, s.LastIndex)
 	}
 	for _, m := range s.Members {
 		out.Members = append(out.Members, port.ReplicaMember{Name: m.Name, Address: m.Address, ID: uint64(m.ID), Learner: m.Learner, Lag: lag[m.ID]})
--- a/internal/replica/joiner.go
+++ b/internal/replica/joiner.go
@@ -216,7 +216,7 @@
 // begin writes the group's first snapshot; the engine then starts anew from it.
 func (e *engine) begin(machine *state.Machine, members []consensus.Member) {
 	s := e.node.Status()
-	if len(s.Members) > 0 || s.Last > 0 {
+	if len(s.Members) > 0 || s.LastIndex > 0 {
 		return
 	}
 	data, err := machine.Snapshot()
@@ -225,8 +225,8 @@
 		return
 	}
 	// A new term, so that no vote of an earlier one is forgotten.
-	hard := consensus.Hard{Term: max(s.Term+1, firstTerm)}
-	meta := consensus.Meta{Index: firstIndex, Term: firstTerm, Members: members, Size: uint64(len(data))}
+	hard := consensus.HardState{Term: max(s.Term+1, firstTerm)}
+	meta := consensus.SnapshotMeta{Index: firstIndex, Term: firstTerm, Members: members, Size: uint64(len(data))}
 	err = e.log.Save(&hard, nil)
 	if err == nil {
 		err = wal.WriteSnapshot(e.g.disk, consensus.Snapshot{Meta: meta, Data: data})
--- a/internal/replica/keeper.go
+++ b/internal/replica/keeper.go
@@ -45,7 +45,7 @@
 		return
 	}
 	now := e.g.now()
-	if !e.node.Settled() {
+	if !e.node.HasCommittedInTerm() {
 		return
 	}
 	for _, l := range e.lessor.lapsed(e.machine, now, e.g.limits.expireAfter) {
@@ -74,7 +74,7 @@
 func (e *engine) promote() {
 	s := e.node.Status()
 	for _, p := range s.Peers {
-		if !p.Member.Learner || p.Match < s.Commit || p.Heard > electionTicks {
+		if !p.Member.Learner || p.MatchIndex < s.CommitIndex || p.TicksSinceReply > electionTicks {
 			continue
 		}
 		list := slices.Clone(s.Members)
@@ -100,7 +100,7 @@
 func silentVoter(s consensus.Status) int {
 	return slices.IndexFunc(s.Members, func(m consensus.Member) bool {
 		return !m.Learner && slices.ContainsFunc(s.Peers, func(p consensus.PeerStatus) bool {
-			return p.Member.ID == m.ID && p.Heard > goneTicks
+			return p.Member.ID == m.ID && p.TicksSinceReply > goneTicks
 		})
 	})
 }
@@ -121,7 +121,7 @@
 		at = silentVoter(s)
 	}
 	for _, p := range s.Peers {
-		if at < 0 && p.Member.Learner && p.Heard > lostTicks {
+		if at < 0 && p.Member.Learner && p.TicksSinceReply > lostTicks {
 			at = slices.IndexFunc(s.Members, func(m consensus.Member) bool { return m.ID == p.Member.ID })
 		}
 	}
@@ -188,7 +188,7 @@
 func (e *engine) transfer() {
 	best := consensus.PeerStatus{}
 	for _, p := range e.node.Status().Peers {
-		if !p.Member.Learner && p.Heard <= electionTicks && p.Match >= best.Match {
+		if !p.Member.Learner && p.TicksSinceReply <= electionTicks && p.MatchIndex >= best.MatchIndex {
 			best = p
 		}
 	}
--- a/internal/replica/meters.go
+++ b/internal/replica/meters.go
@@ -68,6 +68,6 @@
 		m.leader.Set(1)
 	}
 	for _, p := range s.Peers {
-		m.lag.WithLabelValues(m.name, p.Member.Name).Set(float64(s.Last - min(p.Match, s.Last)))
+		m.lag.WithLabelValues(m.name, p.Member.Name).Set(float64(s.LastIndex - min(p.MatchIndex, s.LastIndex)))
 	}
 }
--- a/internal/replica/schedule_test.go
+++ b/internal/replica/schedule_test.go
@@ -200,7 +200,7 @@
 // replicas vote, by the leader's committed membership.
 func (w *world) loseDisk(s *site) {
 	l := w.leader()
-	if l == nil || l.engine.node.Status().Commit < l.engine.node.Status().Last {
+	if l == nil || l.engine.node.Status().CommitIndex < l.engine.node.Status().LastIndex {
 		return
 	}
 	members := l.engine.node.Status().Members
@@ -238,7 +238,7 @@
 func (w *world) level() bool {
 	l := w.leader()
 	for _, s := range w.sites {
-		if l == nil || s.engine == nil || s.group.applied < l.engine.node.Status().Last {
+		if l == nil || s.engine == nil || s.group.applied < l.engine.node.Status().LastIndex {
 			return false
 		}
 	}
--- a/internal/replica/snapshot.go
+++ b/internal/replica/snapshot.go
@@ -20,7 +20,7 @@
 
 // snapshotDone says that a snapshot is on disk, or why not.
 type snapshotDone struct {
-	meta consensus.Meta
+	meta consensus.SnapshotMeta
 	err  error
 }
 
@@ -34,19 +34,19 @@
 
 // maybeSnapshot begins a snapshot where the log has grown long.
 func (e *engine) maybeSnapshot() {
-	base := e.node.Base()
+	base := e.node.SnapshotIndex()
 	long := e.g.applied-base > e.g.limits.snapshotEntries || e.log.Bytes()-e.snapshot.bytes > e.g.limits.snapshotBytes
 	if e.snapshot.busy || e.g.applied <= base || !long {
 		return
 	}
 	term, _ := e.node.Term(e.g.applied)
-	meta := consensus.Meta{Index: e.g.applied, Term: term, Members: e.node.MembersAt(e.g.applied)}
+	meta := consensus.SnapshotMeta{Index: e.g.applied, Term: term, Members: e.node.MembersAt(e.g.applied)}
 	frozen := e.machine.Freeze()
 	e.snapshot.busy = true
 	e.g.spawn(func() { e.snapshot.done <- writeSnapshot(e.g.disk, meta, frozen) })
 }
 
-func writeSnapshot(disk wal.Disk, meta consensus.Meta, frozen state.Frozen) snapshotDone {
+func writeSnapshot(disk wal.Disk, meta consensus.SnapshotMeta, frozen state.Frozen) snapshotDone {
 	data, err := frozen.Encode()
 	if err != nil {
 		return snapshotDone{err: err}
@@ -63,7 +63,7 @@
 		e.g.log.Warn("snapshot could not be written", zap.Error(done.err))
 		return
 	}
-	if done.meta.Index <= e.node.Base() {
+	if done.meta.Index <= e.node.SnapshotIndex() {
 		return
 	}
 	tail := min(e.g.limits.tailEntries, done.meta.Index)
--- a/internal/replica/world_test.go
+++ b/internal/replica/world_test.go
@@ -173,7 +173,7 @@
 	s.engine = e
 	s.id = e.log.Identity().ID
 	s.emptied = false
-	s.checked = e.node.Status().Commit
+	s.checked = e.node.Status().CommitIndex
 }
 
 // stopped ends a life of the process; a crash takes the disk's unsynced bytes.
--- a/internal/wal/errors.go
+++ b/internal/wal/errors.go
@@ -15,8 +15,8 @@
 	return fmt.Sprintf("%s at offset %d: %s; move the folder away and start the daemon again: it rejoins from the other replicas; a single replica needs a backup, see docs/operations/replicas.md", e.File, e.Offset, e.Reason)
 }
 
-// ForeignFolderError reports that a data folder belongs to another daemon or group,
-// or holds other files.
+// ForeignFolderError reports that a data folder belongs to another daemon or
+// group, or holds other files.
 type ForeignFolderError struct {
 	File   string
 	Reason string
--- a/internal/wal/load.go
+++ b/internal/wal/load.go
@@ -17,7 +17,7 @@
 
 // frameRecords is the decoded payload of a frame.
 type frameRecords struct {
-	hard    *consensus.Hard
+	hard    *consensus.HardState
 	entries []consensus.Entry
 }
 
--- a/internal/wal/snapshot.go
+++ b/internal/wal/snapshot.go
@@ -8,8 +8,8 @@
 	"github.com/verbenastep/verbenastep/core/consensus"
 )
 
-// A snapshot file consists of two frames: the encoded consensus.Meta and the
-// data.
+// A snapshot file consists of two frames: the encoded consensus.SnapshotMeta
+// and the data.
 
 func snapshotName(index uint64) string { return fmt.Sprintf("%016d%s", index, snapshotSuffix) }
 
@@ -42,7 +42,7 @@
 	return WriteFile(disk, snapshotName(s.Meta.Index), EncodeSnapshot(s))
 }
 
-func (l *Log) loadSnapshot(names []string) (consensus.Meta, []byte, error) {
+func (l *Log) loadSnapshot(names []string) (consensus.SnapshotMeta, []byte, error) {
 	newest := ""
 	for _, n := range names {
 		if strings.HasSuffix(n, tempSuffix) {
@@ -53,15 +53,15 @@
 		}
 	}
 	if newest == "" {
-		return consensus.Meta{}, nil, nil
+		return consensus.SnapshotMeta{}, nil, nil
 	}
 	b, err := l.disk.Read(newest)
 	if err != nil {
-		return consensus.Meta{}, nil, err
+		return consensus.SnapshotMeta{}, nil, err
 	}
 	s, err := DecodeSnapshot(l.disk.Path(newest), b)
 	if err != nil {
-		return consensus.Meta{}, nil, err
+		return consensus.SnapshotMeta{}, nil, err
 	}
 	l.snapshot = s.Meta
 	for _, n := range names {
@@ -73,7 +73,7 @@
 }
 
 // ReadSnapshot reads length bytes of a snapshot's data from an offset.
-func (l *Log) ReadSnapshot(meta consensus.Meta, offset, length uint64) ([]byte, error) {
+func (l *Log) ReadSnapshot(meta consensus.SnapshotMeta, offset, length uint64) ([]byte, error) {
 	head := 2*frameHeaderBytes + len(consensus.EncodeSnapshotMeta(meta))
 	return l.disk.ReadAt(snapshotName(meta.Index), int64(head)+int64(offset), int(length))
 }
--- a/internal/wal/wal.go
+++ b/internal/wal/wal.go
@@ -63,11 +63,11 @@
 	disk     Disk
 	unlock   func() error
 	identity Identity
-	hard     consensus.Hard
+	hard     consensus.HardState
 	segments []segment
 	file     File
 	sequence uint64
-	snapshot consensus.Meta
+	snapshot consensus.SnapshotMeta
 	failure  error
 }
 
@@ -111,7 +111,7 @@
 
 // entriesAfter returns the entries after a snapshot. It returns none if the log
 // conflicts with the snapshot or does not reach it.
-func entriesAfter(entries []consensus.Entry, meta consensus.Meta) []consensus.Entry {
+func entriesAfter(entries []consensus.Entry, meta consensus.SnapshotMeta) []consensus.Entry {
 	for i, e := range entries {
 		if e.Index == meta.Index && e.Term != meta.Term {
 			return nil
@@ -204,7 +204,7 @@
 
 // Save appends a hard state, if not nil, and entries, and syncs them. After an
 // error, a *DiskError, all further calls return the same error.
-func (l *Log) Save(hard *consensus.Hard, entries []consensus.Entry) error {
+func (l *Log) Save(hard *consensus.HardState, entries []consensus.Entry) error {
 	if l.failure != nil {
 		return l.failure
 	}
@@ -215,7 +215,7 @@
 	return l.failure
 }
 
-func (l *Log) save(hard *consensus.Hard, entries []consensus.Entry) error {
+func (l *Log) save(hard *consensus.HardState, entries []consensus.Entry) error {
 	if l.tail().size >= l.SegmentBytes {
 		if err := l.rotate(); err != nil {
 			return err
@@ -275,7 +275,7 @@
 
 // UseSnapshot switches to a snapshot written with WriteSnapshot. It removes the
 // previous snapshot, and segments whose entries all have an index below keep.
-func (l *Log) UseSnapshot(m consensus.Meta, keep uint64) {
+func (l *Log) UseSnapshot(m consensus.SnapshotMeta, keep uint64) {
 	old := l.snapshot
 	l.snapshot = m
 	if old.Index != 0 && old.Index != m.Index {
--- a/internal/wal/wal_test.go
+++ b/internal/wal/wal_test.go
@@ -32,7 +32,7 @@
 	l, _ := openLog(t, folder)
 	l.SegmentBytes = 200
 	for i := uint64(1); i <= 30; i++ {
-		require.NoError(t, l.Save(&consensus.Hard{Term: i, VotedFor: 7}, entries(1, i, i)))
+		require.NoError(t, l.Save(&consensus.HardState{Term: i, VotedFor: 7}, entries(1, i, i)))
 	}
 	require.NoError(t, l.Close())
 	return folder
@@ -56,7 +56,7 @@
 	folder := newFilledFolder(t)
 	require.Greater(t, len(segments(t, folder)), 3)
 	l, saved := openLog(t, folder)
-	require.Equal(t, consensus.Hard{Term: 30, VotedFor: 7}, saved.HardState)
+	require.Equal(t, consensus.HardState{Term: 30, VotedFor: 7}, saved.HardState)
 	require.Equal(t, entries(1, 1, 30), saved.Entries)
 	require.NoError(t, l.Save(nil, entries(2, 20, 21)))
 	require.NoError(t, l.Close())
@@ -127,7 +127,7 @@
 func TestSnapshotReplacesEarlierEntries(t *testing.T) {
 	folder := newFilledFolder(t)
 	l, _ := openLog(t, folder)
-	meta := consensus.Meta{Index: 25, Term: 1, Size: 5, Members: []consensus.Member{{ID: 7, Name: "daemon-1"}}}
+	meta := consensus.SnapshotMeta{Index: 25, Term: 1, Size: 5, Members: []consensus.Member{{ID: 7, Name: "daemon-1"}}}
 	require.NoError(t, WriteSnapshot(Folder(folder), consensus.Snapshot{Meta: meta, Data: []byte("state")}))
 	l.UseSnapshot(meta, 20)
 	part, err := l.ReadSnapshot(meta, 1, 3)
@@ -204,14 +204,14 @@
 }
 
 func FuzzDecodeRecords(f *testing.F) {
-	f.Add(appendRecord(appendRecord(nil, recordHard, consensus.EncodeHardState(consensus.Hard{Term: 1})), recordEntry, consensus.EncodeEntry(entries(1, 1, 1)[0])))
+	f.Add(appendRecord(appendRecord(nil, recordHard, consensus.EncodeHardState(consensus.HardState{Term: 1})), recordEntry, consensus.EncodeEntry(entries(1, 1, 1)[0])))
 	f.Fuzz(func(_ *testing.T, b []byte) {
 		_, _ = decodeRecords(b)
 	})
 }
 
 func FuzzDecodeSnapshot(f *testing.F) {
-	f.Add(EncodeSnapshot(consensus.Snapshot{Meta: consensus.Meta{Index: 1, Term: 1, Size: 2}, Data: []byte("ab")}))
+	f.Add(EncodeSnapshot(consensus.Snapshot{Meta: consensus.SnapshotMeta{Index: 1, Term: 1, Size: 2}, Data: []byte("ab")}))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		s, err := DecodeSnapshot("file", b)
 		if err == nil {
