--- a/internal/logclient/logclient.go
+++ b/internal/logclient/logclient.go
@@ -1,6 +1,8 @@
-// Package logclient is every daemon's way to the replicated log: it finds the
-// leader among the replicas and retries what provably did not commit, or what
-// has the same effect when it commits twice.
+// Package logclient provides the client of the replicated log that every daemon
+// runs. It finds the leader among the replicas and batches commands.
+//
+// A command is sent again only if it certainly did not commit, or if committing
+// it twice has the same effect as committing it once.
 package logclient
 
 import (
@@ -20,40 +22,41 @@
 )
 
 const (
-	// callTimeout bounds one attempt.
-	callTimeout = 800 * time.Millisecond
-	// totalTimeout bounds all attempts of one call; it outlasts an election.
-	totalTimeout = 5 * time.Second
-	// firstPause and longestPause bound the wait between attempts, which
-	// doubles.
-	firstPause   = 10 * time.Millisecond
-	longestPause = 200 * time.Millisecond
+	// attemptTimeout bounds one attempt at one replica.
+	attemptTimeout = 800 * time.Millisecond
+	// callTimeout bounds all attempts of one call; it is longer than an election.
+	callTimeout = 5 * time.Second
+	// initialBackoff and maxBackoff bound the exponential backoff between
+	// attempts.
+	initialBackoff = 10 * time.Millisecond
+	maxBackoff     = 200 * time.Millisecond
 )
 
-// Service is the "log.client" service.
+// Service implements the "log.client" service. It is safe for concurrent use.
 type Service struct {
 	set  *settings.Settings
 	log  *zap.Logger
 	link port.Link
 
 	mu sync.Mutex
-	// leaders holds the address that last answered as leader, by group.
+	// leaders holds the address of the last known leader by group; it is empty
+	// if none is known.
 	leaders map[string]string
-	// next is the replica to try where no leader is known.
-	next   int
-	queues map[string]*queue
+	// nextReplica is the index of the replica to try while no leader is known.
+	nextReplica int
+	queues      map[string]*queue
 }
 
-// New returns the service.
+// New returns a client of the replicas in the settings.
 func New(set *settings.Settings, log *zap.Logger) *Service {
 	return &Service{set: set, log: log.Named("log"), leaders: map[string]string{}, queues: map[string]*queue{}}
 }
 
-// Name returns the service's name.
+// Name implements kernel.Service.
 func (s *Service) Name() string { return port.NameLog }
 
-// Needs returns the link, and the daemon's own replica where it has one: the
-// replica must outlast those who propose.
+// Needs implements kernel.Service. A daemon that runs a replica also needs that
+// service, so that the replica stops after the services that propose commands.
 func (s *Service) Needs() []string {
 	needs := []string{port.NameLink}
 	if s.set.HasRole(settings.Replica) {
@@ -62,90 +65,97 @@
 	return needs
 }
 
-// Start finds the link.
+// Start implements kernel.Service.
 func (s *Service) Start(_ context.Context, k *kernel.Kernel) error {
 	link, err := kernel.Find[port.Link](k, port.NameLink)
 	s.link = link
 	return err
 }
 
-// leader returns where the leader is believed to be.
-func (s *Service) leader(group string) string {
+// leaderAddress returns the address of the last known leader, or else the next
+// replica in turn.
+func (s *Service) leaderAddress(group string) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if address := s.leaders[group]; address != "" {
 		return address
 	}
 	known := s.set.KnownReplicas()
-	address := known[s.next%len(known)].Address
-	s.next++
+	address := known[s.nextReplica%len(known)].Address
+	s.nextReplica++
 	return address
 }
 
-// note keeps what an attempt taught; an empty leader means none is known.
-func (s *Service) note(group, leader string) {
+// setLeader stores the leader that an attempt found; an empty address means that
+// none is known.
+func (s *Service) setLeader(group, leader string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.leaders[group] = leader
 }
 
-// answer is what an attempt came to.
-type answer struct {
-	// refused says that the replica is not the leader; leader may name it.
+// attemptResult is the answer of a replica to one attempt.
+type attemptResult struct {
+	// refused reports that the replica did not serve the call, usually because
+	// it is not the leader.
 	refused bool
-	leader  string
+	// leader is the address of the leader, or empty if the replica knows none.
+	leader string
 }
 
-// attempt makes one call to one replica.
-type attempt func(ctx context.Context, c rpc.DRPCLogClient) (answer, error)
+// attempt makes one RPC to one replica.
+type attempt func(ctx context.Context, c rpc.DRPCLogClient) (attemptResult, error)
 
-// toLeader makes attempts until one succeeds. Those that fail without an
-// answer are repeated only where again says so. It returns whether an attempt
-// may have taken effect.
-func (s *Service) toLeader(ctx context.Context, group string, again bool, try attempt) (unknown bool, err error) {
-	ctx, cancel := context.WithTimeout(ctx, totalTimeout)
+// callLeader makes attempts with exponential backoff until one succeeds or
+// callTimeout ends. A refusal that names another leader is followed at once. An
+// attempt that fails without an answer is repeated only if repeatable is set.
+// outcomeUnknown reports that a failed attempt may have taken effect.
+func (s *Service) callLeader(ctx context.Context, group string, repeatable bool, try attempt) (outcomeUnknown bool, err error) {
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	pause := firstPause
+	backoff := initialBackoff
 	for {
-		address := s.leader(group)
-		a, failed := s.once(ctx, address, try)
-		if failed == nil && !a.refused {
-			s.note(group, address)
+		address := s.leaderAddress(group)
+		result, failure := s.callReplica(ctx, address, try)
+		if failure == nil && !result.refused {
+			s.setLeader(group, address)
 			return false, nil
 		}
-		s.note(group, a.leader)
-		if failed != nil {
-			unknown, err = true, failed
+		s.setLeader(group, result.leader)
+		if failure != nil {
+			outcomeUnknown, err = true, failure
 		}
-		if failed != nil && !again {
-			return unknown, err
+		if failure != nil && !repeatable {
+			return outcomeUnknown, err
 		}
-		if a.leader != "" && a.leader != address {
+		if result.leader != "" && result.leader != address {
 			continue
 		}
 		select {
 		case <-ctx.Done():
-			return unknown, ctx.Err()
-		case <-time.After(pause):
+			return outcomeUnknown, ctx.Err()
+		case <-time.After(backoff):
 		}
-		pause = min(2*pause, longestPause)
+		backoff = min(2*backoff, maxBackoff)
 	}
 }
 
-func (s *Service) once(ctx context.Context, address string, try attempt) (answer, error) {
-	ctx, cancel := context.WithTimeout(ctx, callTimeout)
+// callReplica makes one attempt at the replica, bounded by attemptTimeout.
+func (s *Service) callReplica(ctx context.Context, address string, try attempt) (attemptResult, error) {
+	ctx, cancel := context.WithTimeout(ctx, attemptTimeout)
 	defer cancel()
 	return try(ctx, rpc.NewDRPCLogClient(s.link.Conn(address)))
 }
 
-// Lookup reads a claim after all that was committed before the call, from any
-// replica.
+// Lookup reads the claim of a key and reports whether it exists. The read is
+// linearizable: it sees every command committed before the call, whichever
+// replica serves it. It returns fault.Unavailable if no replica can serve it.
 func (s *Service) Lookup(ctx context.Context, group, workspace, key string) (state.Claim, bool, error) {
 	reply := (*rpc.LookupReply)(nil)
-	_, err := s.toLeader(ctx, group, true, func(ctx context.Context, log rpc.DRPCLogClient) (answer, error) {
+	_, err := s.callLeader(ctx, group, true, func(ctx context.Context, log rpc.DRPCLogClient) (attemptResult, error) {
 		r, err := log.Lookup(ctx, &rpc.LookupRequest{Group: group, Workspace: workspace, Key: key})
 		reply = r
-		return answer{refused: r.GetRefused(), leader: r.GetLeader()}, err
+		return attemptResult{refused: r.GetRefused(), leader: r.GetLeader()}, err
 	})
 	if err != nil {
 		return state.Claim{}, false, fault.New(fault.Unavailable, "retry when the log has a leader; see verbenastep replicas", "the log did not answer: %v", err)
@@ -158,13 +168,14 @@
 	return c, err == nil, err
 }
 
-// Stop does nothing.
+// Stop implements kernel.Service; it does nothing.
 func (s *Service) Stop(context.Context) error { return nil }
 
-// Health returns nil.
+// Health implements kernel.Service. It always returns nil; the state of the log is
+// reported by the replicas.
 func (s *Service) Health() error { return nil }
 
-// Dump shows the replicas and the leaders as last heard of.
+// Dump returns the known replicas and the last known leader of each group.
 func (s *Service) Dump() any {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/logclient/logclient_test.go
+++ b/internal/logclient/logclient_test.go
@@ -21,7 +21,8 @@
 	"github.com/verbenastep/verbenastep/internal/settings"
 )
 
-// fakeLink answers Propose as a test says, by address.
+// fakeLink answers Propose calls with the function for the replica's address and
+// records the addresses called.
 type fakeLink struct {
 	mu      sync.Mutex
 	calls   []string
@@ -50,7 +51,7 @@
 	return err
 }
 
-func testClient(answers map[string]func(*rpc.ProposeRequest) (*rpc.ProposeReply, error)) (*Service, *fakeLink) {
+func newTestClient(answers map[string]func(*rpc.ProposeRequest) (*rpc.ProposeReply, error)) (*Service, *fakeLink) {
 	link := &fakeLink{answers: answers}
 	set := &settings.Settings{Replicas: []settings.Peer{{Name: "a", Address: "a"}, {Name: "b", Address: "b"}}}
 	s := New(set, zap.NewNop())
@@ -77,15 +78,17 @@
 	}
 }
 
-func broken(*rpc.ProposeRequest) (*rpc.ProposeReply, error) { return nil, errors.New("broken") }
+func failConnection(*rpc.ProposeRequest) (*rpc.ProposeReply, error) {
+	return nil, errors.New("connection closed")
+}
 
 var (
 	claim   = state.Command{Claim: &state.Claim{Workspace: "w", Key: "k", Stream: "s"}}
 	suspect = state.Command{Suspect: &state.Suspect{Pool: "p", Crashes: 1}}
 )
 
-func TestFollowsTheHint(t *testing.T) {
-	s, link := testClient(map[string]func(*rpc.ProposeRequest) (*rpc.ProposeReply, error){"a": refuse("b"), "b": accept})
+func TestProposeFollowsLeaderHint(t *testing.T) {
+	s, link := newTestClient(map[string]func(*rpc.ProposeRequest) (*rpc.ProposeReply, error){"a": refuse("b"), "b": accept})
 	for range 2 {
 		result, err := s.Propose(t.Context(), port.GroupMain, claim)
 		require.NoError(t, err)
@@ -94,14 +97,14 @@
 	require.Equal(t, []string{"a", "b", "b"}, link.calls)
 }
 
-func TestRepeatsOnlyWhatMayCommitTwice(t *testing.T) {
+func TestProposeRepeatsOnlyIdempotentCommands(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s, link := testClient(map[string]func(*rpc.ProposeRequest) (*rpc.ProposeReply, error){"a": broken, "b": accept})
+		s, link := newTestClient(map[string]func(*rpc.ProposeRequest) (*rpc.ProposeReply, error){"a": failConnection, "b": accept})
 		_, err := s.Propose(t.Context(), port.GroupMain, claim)
 		require.NoError(t, err)
 		require.Equal(t, []string{"a", "b"}, link.calls)
 
-		s, link = testClient(map[string]func(*rpc.ProposeRequest) (*rpc.ProposeReply, error){"a": broken, "b": accept})
+		s, link = newTestClient(map[string]func(*rpc.ProposeRequest) (*rpc.ProposeReply, error){"a": failConnection, "b": accept})
 		_, err = s.Propose(t.Context(), port.GroupMain, suspect)
 		failed := fault.From(err)
 		require.Equal(t, fault.Unknown, failed.Kind)
@@ -110,26 +113,26 @@
 	})
 }
 
-func TestSaysWhatCertainlyDidNotCommit(t *testing.T) {
+func TestProposeReportsWhetherCommandMayHaveCommitted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s, _ := testClient(map[string]func(*rpc.ProposeRequest) (*rpc.ProposeReply, error){"a": refuse(""), "b": refuse("")})
+		s, _ := newTestClient(map[string]func(*rpc.ProposeRequest) (*rpc.ProposeReply, error){"a": refuse(""), "b": refuse("")})
 		_, err := s.Propose(t.Context(), port.GroupMain, claim)
 		require.Equal(t, fault.Unavailable, fault.From(err).Kind)
 		require.Equal(t, fault.NotRun, fault.From(err).Ran)
 
-		s, _ = testClient(map[string]func(*rpc.ProposeRequest) (*rpc.ProposeReply, error){"a": broken, "b": refuse("")})
+		s, _ = newTestClient(map[string]func(*rpc.ProposeRequest) (*rpc.ProposeReply, error){"a": failConnection, "b": refuse("")})
 		_, err = s.Propose(t.Context(), port.GroupMain, claim)
 		require.Equal(t, fault.MayHaveRun, fault.From(err).Ran)
 	})
 }
 
-func TestProposalsShareCalls(t *testing.T) {
+func TestConcurrentProposalsShareCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		slow := func(req *rpc.ProposeRequest) (*rpc.ProposeReply, error) {
 			time.Sleep(time.Millisecond)
 			return accept(req)
 		}
-		s, link := testClient(map[string]func(*rpc.ProposeRequest) (*rpc.ProposeReply, error){"a": slow, "b": slow})
+		s, link := newTestClient(map[string]func(*rpc.ProposeRequest) (*rpc.ProposeReply, error){"a": slow, "b": slow})
 		all := sync.WaitGroup{}
 		for i := range 200 {
 			all.Go(func() {
@@ -139,12 +142,12 @@
 			})
 		}
 		all.Wait()
-		require.LessOrEqual(t, len(link.calls), 2*callsInFlight)
+		require.LessOrEqual(t, len(link.calls), 2*maxCallsInFlight)
 	})
 }
 
-func TestRefusesWhatCouldNotBeReplicated(t *testing.T) {
-	s, link := testClient(nil)
+func TestProposeRejectsOversizedCommand(t *testing.T) {
+	s, link := newTestClient(nil)
 	body := make([]byte, port.MaxCommandBytes)
 	_, err := s.Propose(t.Context(), port.GroupMain, state.Command{Finish: &state.Finish{Body: body}})
 	require.Equal(t, fault.TooLarge, fault.From(err).Kind)
--- a/internal/logclient/propose.go
+++ b/internal/logclient/propose.go
@@ -11,44 +11,48 @@
 )
 
 const (
-	// callsInFlight is the most Propose calls at once to one group; commands
-	// that come meanwhile share the next call.
-	callsInFlight = 4
-	// batchCommands and batchBytes bound one call.
-	batchCommands = 512
-	batchBytes    = 1 << 20
+	// maxCallsInFlight bounds the concurrent Propose calls to one group; commands
+	// that arrive meanwhile are batched into the next call.
+	maxCallsInFlight = 4
+	// maxBatchCommands and maxBatchBytes bound the commands of one call.
+	maxBatchCommands = 512
+	maxBatchBytes    = 1 << 20
 )
 
-// command is one on its way.
-type command struct {
+// pendingCommand is a command whose outcome is not known yet.
+type pendingCommand struct {
 	data []byte
-	// again says that committing it twice has the effect and answer of once.
-	again bool
-	// unknown says that a call with it ended without an answer.
-	unknown bool
-	done    chan settled
+	// repeatable reports that the command may be sent again after an attempt
+	// without an answer; see idempotent.
+	repeatable bool
+	// outcomeUnknown reports that an attempt ended without an answer, so that
+	// the command may have committed.
+	outcomeUnknown bool
+	done           chan commandResult
 }
 
-// settled is how a command ended.
-type settled struct {
-	result  state.Result
-	unknown bool
-	err     error
+// commandResult is the outcome of a command.
+type commandResult struct {
+	result         state.Result
+	outcomeUnknown bool
+	err            error
 }
 
-// queue holds the commands for a group that wait for a call.
+// queue holds the commands of one group that have not been sent yet.
 type queue struct {
-	waiting []*command
-	calls   int
+	waiting       []*pendingCommand
+	callsInFlight int
 }
 
-// idempotent tells whether a command that commits twice has the effect and
-// answer of one.
+// idempotent reports whether committing the command twice has the same effect and
+// result as committing it once. A Suspect command counts crashes, so it is not.
 func idempotent(c state.Command) bool {
 	return c.Suspect == nil
 }
 
-// Propose commits a command through the leader.
+// Propose commits a command through the leader and returns its result. It returns
+// fault.Unavailable if the command was certainly not committed, fault.Unknown if
+// it may have been, and fault.TooLarge if it exceeds port.MaxCommandBytes.
 func (s *Service) Propose(ctx context.Context, group string, c state.Command) (state.Result, error) {
 	data, err := json.Marshal(c)
 	if err != nil {
@@ -57,25 +61,26 @@
 	if len(data) > port.MaxCommandBytes {
 		return state.Result{}, fault.New(fault.TooLarge, "split it, or send less", "the command has %d bytes, the log takes %d", len(data), port.MaxCommandBytes)
 	}
-	cmd := &command{data: data, again: idempotent(c), done: make(chan settled, 1)}
-	s.enqueue(group, cmd)
-	out := settled{unknown: true}
+	command := &pendingCommand{data: data, repeatable: idempotent(c), done: make(chan commandResult, 1)}
+	s.enqueue(group, command)
+	out := commandResult{outcomeUnknown: true}
 	select {
-	case out = <-cmd.done:
+	case out = <-command.done:
 	case <-ctx.Done():
 		out.err = ctx.Err()
 	}
 	if out.err == nil {
 		return out.result, nil
 	}
-	if out.unknown {
+	if out.outcomeUnknown {
 		return out.result, fault.New(fault.Unknown, "look up what became of it, or send it again", "the log did not answer: %v", out.err).WithRan(fault.MayHaveRun)
 	}
 	return out.result, fault.New(fault.Unavailable, "retry when the log has a leader; see verbenastep replicas", "the log has no leader: %v", out.err)
 }
 
-// enqueue adds a command and begins a call where one more is allowed.
-func (s *Service) enqueue(group string, cmd *command) {
+// enqueue adds a command to the group's queue and starts another sender if fewer
+// than maxCallsInFlight run.
+func (s *Service) enqueue(group string, command *pendingCommand) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	q := s.queues[group]
@@ -83,91 +88,96 @@
 		q = &queue{}
 		s.queues[group] = q
 	}
-	q.waiting = append(q.waiting, cmd)
-	if q.calls < callsInFlight {
-		q.calls++
-		go s.work(group, q)
+	q.waiting = append(q.waiting, command)
+	if q.callsInFlight < maxCallsInFlight {
+		q.callsInFlight++
+		go s.sendBatches(group, q)
 	}
 }
 
-// work makes calls until nothing waits.
-func (s *Service) work(group string, q *queue) {
+// sendBatches sends batches until the queue is empty.
+func (s *Service) sendBatches(group string, q *queue) {
 	for {
-		batch := s.take(q)
+		batch := s.nextBatch(q)
 		if len(batch) == 0 {
 			return
 		}
-		s.call(group, batch)
+		s.sendBatch(group, batch)
 	}
 }
 
-func (s *Service) take(q *queue) []*command {
+// nextBatch removes the next batch from the queue. An empty batch ends the sender,
+// whose call is no longer counted.
+func (s *Service) nextBatch(q *queue) []*pendingCommand {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	n, size := 0, 0
-	for n < len(q.waiting) && n < batchCommands && (n == 0 || size+len(q.waiting[n].data) <= batchBytes) {
+	for n < len(q.waiting) && n < maxBatchCommands && (n == 0 || size+len(q.waiting[n].data) <= maxBatchBytes) {
 		size += len(q.waiting[n].data)
 		n++
 	}
 	batch := q.waiting[:n:n]
 	q.waiting = q.waiting[n:]
 	if n == 0 {
-		q.calls--
+		q.callsInFlight--
 	}
 	return batch
 }
 
-// call makes attempts until all commands of a batch are settled.
-func (s *Service) call(group string, batch []*command) {
-	_, err := s.toLeader(context.Background(), group, true, func(ctx context.Context, log rpc.DRPCLogClient) (answer, error) {
+// sendBatch makes attempts until every command of the batch has an outcome or
+// callTimeout ends.
+func (s *Service) sendBatch(group string, batch []*pendingCommand) {
+	_, err := s.callLeader(context.Background(), group, true, func(ctx context.Context, log rpc.DRPCLogClient) (attemptResult, error) {
 		req := &rpc.ProposeRequest{Group: group}
 		for _, c := range batch {
 			req.Commands = append(req.Commands, c.data)
 		}
 		reply, err := log.Propose(ctx, req)
-		batch = settle(batch, reply, err)
+		batch = settleBatch(batch, reply, err)
 		if len(batch) == 0 {
-			return answer{}, nil
+			return attemptResult{}, nil
 		}
-		return answer{refused: true, leader: reply.GetLeader()}, err
+		return attemptResult{refused: true, leader: reply.GetLeader()}, err
 	})
 	for _, c := range batch {
-		c.done <- settled{unknown: c.unknown, err: err}
+		c.done <- commandResult{outcomeUnknown: c.outcomeUnknown, err: err}
 	}
 }
 
-// settle takes an attempt's outcome and returns what is to be sent again.
-func settle(batch []*command, reply *rpc.ProposeReply, err error) []*command {
-	left := []*command{}
+// settleBatch delivers the results of an attempt and returns the commands to send
+// again.
+func settleBatch(batch []*pendingCommand, reply *rpc.ProposeReply, err error) []*pendingCommand {
+	remaining := []*pendingCommand{}
 	for i, c := range batch {
 		out := &rpc.Proposed{Unknown: true}
 		if err == nil && i < len(reply.Results) {
 			out = reply.Results[i]
 		}
-		c.unknown = c.unknown || out.Unknown
+		c.outcomeUnknown = c.outcomeUnknown || out.Unknown
 		switch {
-		case out.Refused, out.Unknown && c.again:
-			left = append(left, c)
+		case out.Refused, out.Unknown && c.repeatable:
+			remaining = append(remaining, c)
 		case out.Unknown:
-			c.done <- settled{unknown: true, err: errUnanswered(err)}
+			c.done <- commandResult{outcomeUnknown: true, err: unknownOutcomeError(err)}
 		default:
-			s := settled{}
+			s := commandResult{}
 			s.err = json.Unmarshal(out.Result, &s.result)
 			c.done <- s
 		}
 	}
-	return left
+	return remaining
 }
 
-// unanswered says that a replica stopped before it knew the outcome.
-type unanswered struct{}
+// replicaStoppedError reports that a replica ended the call before it knew the
+// outcome of a command.
+type replicaStoppedError struct{}
 
-// Error names the remedy.
-func (unanswered) Error() string { return "the replica stopped meanwhile; ask another one" }
+// Error implements error.
+func (replicaStoppedError) Error() string { return "the replica stopped meanwhile; ask another one" }
 
-func errUnanswered(err error) error {
+func unknownOutcomeError(err error) error {
 	if err != nil {
 		return err
 	}
-	return unanswered{}
+	return replicaStoppedError{}
 }
--- a/internal/logclient/replicas.go
+++ b/internal/logclient/replicas.go
@@ -12,7 +12,8 @@
 	"github.com/verbenastep/verbenastep/internal/settings"
 )
 
-// Status asks each replica of the settings for its position.
+// Status queries all replicas of the settings concurrently. A replica that does
+// not answer within attemptTimeout is returned with its Error set.
 func (s *Service) Status(ctx context.Context, group string) []port.ReplicaStatus {
 	out := make([]port.ReplicaStatus, len(s.set.KnownReplicas()))
 	all := sync.WaitGroup{}
@@ -25,12 +26,12 @@
 
 func (s *Service) statusOf(ctx context.Context, group string, p settings.Peer) port.ReplicaStatus {
 	st := port.ReplicaStatus{Name: p.Name, Address: p.Address, Group: group}
-	_, err := s.once(ctx, p.Address, func(ctx context.Context, log rpc.DRPCLogClient) (answer, error) {
+	_, err := s.callReplica(ctx, p.Address, func(ctx context.Context, log rpc.DRPCLogClient) (attemptResult, error) {
 		reply, err := log.Status(ctx, &rpc.ReplicaStatusRequest{Group: group})
 		if err != nil {
-			return answer{}, err
+			return attemptResult{}, err
 		}
-		return answer{}, json.Unmarshal(reply.Status, &st)
+		return attemptResult{}, json.Unmarshal(reply.Status, &st)
 	})
 	if err != nil {
 		st.Error = err.Error()
@@ -38,33 +39,35 @@
 	return st
 }
 
-// Remove takes the replica of a name out of the group.
+// Remove removes the named replica from the group and returns once the change has
+// committed. It returns fault.Unavailable if that takes longer than callTimeout.
 func (s *Service) Remove(ctx context.Context, group, name string) error {
-	why := ""
-	_, err := s.toLeader(ctx, group, true, func(ctx context.Context, log rpc.DRPCLogClient) (answer, error) {
+	reason := ""
+	_, err := s.callLeader(ctx, group, true, func(ctx context.Context, log rpc.DRPCLogClient) (attemptResult, error) {
 		reply, err := log.Change(ctx, &rpc.ChangeRequest{Group: group, Name: name})
-		why = reply.GetWhy()
-		// Until it is done the leader is asked again.
-		return answer{refused: !reply.GetDone(), leader: reply.GetLeader()}, err
+		reason = reply.GetWhy()
+		// The change is asynchronous: the leader is asked again until it is done.
+		return attemptResult{refused: !reply.GetDone(), leader: reply.GetLeader()}, err
 	})
 	if err != nil {
-		return fault.New(fault.Unavailable, "see verbenastep replicas and try again", "the replica is not removed: %v %s", err, why)
+		return fault.New(fault.Unavailable, "see verbenastep replicas and try again", "the replica is not removed: %v %s", err, reason)
 	}
 	return nil
 }
 
-// Backup writes a snapshot from the first replica that gives a whole one.
+// Backup writes a snapshot of the group to w. It tries the replicas in turn and
+// writes only after one has sent its whole snapshot.
 func (s *Service) Backup(ctx context.Context, group string, w io.Writer) error {
-	last := error(nil)
+	lastErr := error(nil)
 	for _, p := range s.set.KnownReplicas() {
 		data, err := s.backupFrom(ctx, group, p.Address)
 		if err == nil {
 			_, err = w.Write(data)
 			return err
 		}
-		last = err
+		lastErr = err
 	}
-	return fault.New(fault.Unavailable, "see verbenastep replicas and try again", "no replica gave a backup: %v", last)
+	return fault.New(fault.Unavailable, "see verbenastep replicas and try again", "no replica gave a backup: %v", lastErr)
 }
 
 func (s *Service) backupFrom(ctx context.Context, group, address string) ([]byte, error) {
