--- a/internal/link/dial.go
+++ b/internal/link/dial.go
@@ -7,48 +7,50 @@
 )
 
 const (
-	// dialTimeout bounds making a connection.
+	// dialTimeout bounds all attempts at one connection.
 	dialTimeout = time.Second
-	// dialAgain is the pause after which another attempt is made beside those
-	// under way. The system repeats a lost packet of an attempt only after a
-	// second, which a daemon that has just come up would be waited for.
-	dialAgain = 250 * time.Millisecond
+	// hedgeDelay is the interval at which further attempts start in parallel.
+	// The kernel retransmits a lost SYN only after 1 s, which would delay the
+	// connection to a daemon that has just started by as much.
+	hedgeDelay = 250 * time.Millisecond
 )
 
-// dialer makes one attempt at a connection.
-type dialer func(ctx context.Context) (net.Conn, error)
+// dialFunc makes one attempt to connect.
+type dialFunc func(ctx context.Context) (net.Conn, error)
 
-// attempt is how one of several ended.
-type attempt struct {
+// dialResult is the result of one attempt.
+type dialResult struct {
 	conn net.Conn
 	err  error
 }
 
-// dialRepeatedly returns the first connection that any of several attempts
-// brings. An attempt that is refused ends all: the daemon's machine is up.
-func dialRepeatedly(ctx context.Context, dial dialer, again time.Duration) (net.Conn, error) {
+// dialHedged starts an attempt at once and another after each delay, and returns
+// the result of the attempt that ends first. An error such as a refused
+// connection is returned without waiting for the other attempts, since it shows
+// that the host is reachable. Surplus connections are closed.
+func dialHedged(ctx context.Context, dial dialFunc, delay time.Duration) (net.Conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
-	ended := make(chan attempt)
-	begin := func() {
+	results := make(chan dialResult)
+	attempt := func() {
 		conn, err := dial(ctx)
 		select {
-		case ended <- attempt{conn, err}:
+		case results <- dialResult{conn, err}:
 		case <-ctx.Done():
 			if conn != nil {
 				_ = conn.Close()
 			}
 		}
 	}
-	go begin()
-	next := time.NewTicker(again)
+	go attempt()
+	next := time.NewTicker(delay)
 	defer next.Stop()
 	for {
 		select {
-		case a := <-ended:
-			return a.conn, a.err
+		case r := <-results:
+			return r.conn, r.err
 		case <-next.C:
-			go begin()
+			go attempt()
 		case <-ctx.Done():
 			return nil, ctx.Err()
 		}
--- a/internal/link/dial_test.go
+++ b/internal/link/dial_test.go
@@ -11,9 +11,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestLostFirstPacketDelaysAConnectionByOnePauseOnly has the first attempt
-// vanish, as towards a machine that is still off.
-func TestLostFirstPacketDelaysAConnectionByOnePauseOnly(t *testing.T) {
+// The first attempt never gets an answer, as when its SYN is lost or the host is
+// still down; the second must start after one delay and succeed.
+func TestDialRetriesAfterOneDelayWhenFirstAttemptHangs(t *testing.T) {
 	attempts := atomic.Int64{}
 	ours, theirs := net.Pipe()
 	defer theirs.Close()
@@ -24,21 +24,22 @@
 		}
 		return ours, nil
 	}
-	conn, err := dialRepeatedly(t.Context(), dial, 10*time.Millisecond)
+	conn, err := dialHedged(t.Context(), dial, 10*time.Millisecond)
 	require.NoError(t, err)
 	require.Equal(t, ours, conn)
 	require.Equal(t, int64(2), attempts.Load())
 }
 
-func TestRefusedConnectionIsReportedAtOnce(t *testing.T) {
+func TestDialReturnsRefusalWithoutDelay(t *testing.T) {
 	refused := errors.New("refused")
 	dial := func(context.Context) (net.Conn, error) { return nil, refused }
-	_, err := dialRepeatedly(t.Context(), dial, time.Hour)
+	_, err := dialHedged(t.Context(), dial, time.Hour)
 	require.ErrorIs(t, err, refused)
 }
 
-// TestLaterConnectionsAreClosed: of two that come, one is used.
-func TestLaterConnectionsAreClosed(t *testing.T) {
+// An attempt that connects after another has been returned must close its
+// connection, or the connection leaks.
+func TestDialClosesSurplusConnections(t *testing.T) {
 	first, second := make(chan net.Conn), make(chan net.Conn)
 	attempts := atomic.Int64{}
 	dial := func(context.Context) (net.Conn, error) {
@@ -51,7 +52,7 @@
 	b, farB := net.Pipe()
 	defer farA.Close()
 	go func() { second <- b }()
-	conn, err := dialRepeatedly(t.Context(), dial, 10*time.Millisecond)
+	conn, err := dialHedged(t.Context(), dial, 10*time.Millisecond)
 	require.NoError(t, err)
 	require.Equal(t, b, conn)
 	first <- a
--- a/internal/link/link_test.go
+++ b/internal/link/link_test.go
@@ -24,14 +24,14 @@
 	"github.com/verbenastep/verbenastep/internal/settings"
 )
 
-// authority issues certificates for loopback.
-type authority struct {
+// testCA issues certificates for the loopback address.
+type testCA struct {
 	cert *x509.Certificate
 	key  *ecdsa.PrivateKey
 	file string
 }
 
-func newAuthority(t *testing.T, folder string) *authority {
+func newTestCA(t *testing.T, folder string) *testCA {
 	t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	require.NoError(t, err)
@@ -41,7 +41,7 @@
 	}
 	der, err := x509.CreateCertificate(rand.Reader, cert, cert, &key.PublicKey, key)
 	require.NoError(t, err)
-	a := &authority{cert: cert, key: key, file: filepath.Join(folder, "ca.pem")}
+	a := &testCA{cert: cert, key: key, file: filepath.Join(folder, "ca.pem")}
 	writePEM(t, a.file, "CERTIFICATE", der)
 	return a
 }
@@ -51,8 +51,8 @@
 	require.NoError(t, os.WriteFile(file, pem.EncodeToMemory(&pem.Block{Type: kind, Bytes: der}), 0o600))
 }
 
-// issue returns TLS settings with a certificate of the authority.
-func (a *authority) issue(t *testing.T) settings.TLS {
+// issue returns TLS settings with a certificate signed by the CA.
+func (a *testCA) issue(t *testing.T) settings.TLS {
 	t.Helper()
 	folder := t.TempDir()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
@@ -72,7 +72,7 @@
 	return out
 }
 
-// echoAnswers answers each fetch with one frame.
+// echoAnswers answers each Fetch with one frame that contains the key.
 type echoAnswers struct {
 	rpc.DRPCAnswersUnimplementedServer
 }
@@ -81,7 +81,7 @@
 	return out.Send(&rpc.FetchFrame{Data: []byte(req.Key), End: true})
 }
 
-func newLink(t *testing.T, files settings.TLS, secret string) *Service {
+func startLink(t *testing.T, files settings.TLS, secret string) *Service {
 	t.Helper()
 	set := &settings.Settings{Addresses: settings.Addresses{Peers: "127.0.0.1:0"}, TLS: files}
 	if secret != "" {
@@ -110,33 +110,33 @@
 }
 
 func TestMutualTLS(t *testing.T) {
-	own := newAuthority(t, t.TempDir())
-	foreign := newAuthority(t, t.TempDir())
-	a, b := newLink(t, own.issue(t), ""), newLink(t, own.issue(t), "")
+	own := newTestCA(t, t.TempDir())
+	foreign := newTestCA(t, t.TempDir())
+	a, b := startLink(t, own.issue(t), ""), startLink(t, own.issue(t), "")
 	require.NoError(t, fetch(t, a, b))
-	require.Error(t, fetch(t, newLink(t, foreign.issue(t), ""), b), "a certificate of another authority")
-	require.Error(t, fetch(t, newLink(t, settings.TLS{}, ""), b), "no certificate")
-	half := own.issue(t)
-	half.CAFile = foreign.file
-	require.Error(t, fetch(t, newLink(t, half, ""), b), "a server of another authority")
+	require.Error(t, fetch(t, startLink(t, foreign.issue(t), ""), b), "the client certificate is signed by another CA")
+	require.Error(t, fetch(t, startLink(t, settings.TLS{}, ""), b), "the client has no certificate")
+	mixed := own.issue(t)
+	mixed.CAFile = foreign.file
+	require.Error(t, fetch(t, startLink(t, mixed, ""), b), "the server certificate is signed by another CA")
 }
 
 func TestPeerSecret(t *testing.T) {
-	a, b := newLink(t, settings.TLS{}, "one"), newLink(t, settings.TLS{}, "one")
+	a, b := startLink(t, settings.TLS{}, "one"), startLink(t, settings.TLS{}, "one")
 	require.NoError(t, fetch(t, a, b))
-	require.Error(t, fetch(t, newLink(t, settings.TLS{}, "two"), b))
+	require.Error(t, fetch(t, startLink(t, settings.TLS{}, "two"), b))
 }
 
-func TestBytesAreCountedByCall(t *testing.T) {
-	a, b := newLink(t, settings.TLS{}, ""), newLink(t, settings.TLS{}, "")
+func TestTrafficIsCountedByCall(t *testing.T) {
+	a, b := startLink(t, settings.TLS{}, ""), startLink(t, settings.TLS{}, "")
 	require.NoError(t, fetch(t, a, b))
 	const rpcName = "/verbenastep.v1.Answers/Fetch"
-	asked := testutil.ToFloat64(a.bytes.total.WithLabelValues(rpcName, "sent"))
-	require.Positive(t, asked)
-	require.InDelta(t, asked, testutil.ToFloat64(b.bytes.total.WithLabelValues(rpcName, "received")), 0)
-	answered := testutil.ToFloat64(b.bytes.total.WithLabelValues(rpcName, "sent"))
-	require.Positive(t, answered)
-	require.InDelta(t, answered, testutil.ToFloat64(a.bytes.total.WithLabelValues(rpcName, "received")), 0)
-	require.Equal(t, zap.Any("sent_bytes", map[string]int{rpcName: int(asked)}), a.bytes.fields()[0])
-	require.Equal(t, zap.Any("sent_bytes", map[string]int{}), a.bytes.fields()[0], "counted since the last line")
+	requestBytes := testutil.ToFloat64(a.traffic.total.WithLabelValues(rpcName, "sent"))
+	require.Positive(t, requestBytes)
+	require.InDelta(t, requestBytes, testutil.ToFloat64(b.traffic.total.WithLabelValues(rpcName, "received")), 0)
+	replyBytes := testutil.ToFloat64(b.traffic.total.WithLabelValues(rpcName, "sent"))
+	require.Positive(t, replyBytes)
+	require.InDelta(t, replyBytes, testutil.ToFloat64(a.traffic.total.WithLabelValues(rpcName, "received")), 0)
+	require.Equal(t, zap.Any("sent_bytes", map[string]int{rpcName: int(requestBytes)}), a.traffic.takeFields()[0])
+	require.Equal(t, zap.Any("sent_bytes", map[string]int{}), a.traffic.takeFields()[0], "takeFields resets the counts")
 }
--- a/internal/link/traffic.go
+++ b/internal/link/traffic.go
@@ -11,28 +11,30 @@
 	"storj.io/drpc/drpcenc"
 )
 
-// trafficEvery is how often the bytes by call are logged: often enough to place
-// a change within an incident, rare beside all other lines.
-const trafficEvery = 10 * time.Second
+// trafficLogInterval is the interval of the "link traffic" log message: short
+// enough to locate a change within an incident, long enough to add little to the
+// log.
+const trafficLogInterval = 10 * time.Second
 
-// traffic counts the bytes of messages by the call that they belong to. Framing
-// and what the network adds are not in it.
+// traffic counts message bytes per RPC, without DRPC framing and network
+// overhead. It is safe for concurrent use.
 type traffic struct {
 	total *prometheus.CounterVec
 
-	mu    sync.Mutex
-	calls map[string]*call
+	mu             sync.Mutex
+	countersByCall map[string]*callCounters
 }
 
-// call has one call's counters, and its bytes since they were logged last.
-type call struct {
-	sent, received           prometheus.Counter
-	sentSince, receivedSince atomic.Int64
+// callCounters holds the metrics of one RPC, and the bytes sent and received since
+// the last log message.
+type callCounters struct {
+	sent, received                 prometheus.Counter
+	sentSinceLog, receivedSinceLog atomic.Int64
 }
 
 func newTraffic() *traffic {
 	return &traffic{
-		calls: map[string]*call{},
+		countersByCall: map[string]*callCounters{},
 		total: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Namespace: "verbenastep", Subsystem: "link", Name: "bytes_total",
 			Help: "Bytes of messages between daemons by the call they belong to, without framing.",
@@ -40,82 +42,84 @@
 	}
 }
 
-// call returns the counters of a call.
-func (t *traffic) call(rpc string) *call {
+// counters returns the counters of an RPC, created on first use.
+func (t *traffic) counters(rpc string) *callCounters {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	c := t.calls[rpc]
+	c := t.countersByCall[rpc]
 	if c == nil {
-		c = &call{sent: t.total.WithLabelValues(rpc, "sent"), received: t.total.WithLabelValues(rpc, "received")}
-		t.calls[rpc] = c
+		c = &callCounters{sent: t.total.WithLabelValues(rpc, "sent"), received: t.total.WithLabelValues(rpc, "received")}
+		t.countersByCall[rpc] = c
 	}
 	return c
 }
 
-func (c *call) countSent(n int) {
+func (c *callCounters) countSent(n int) {
 	c.sent.Add(float64(n))
-	c.sentSince.Add(int64(n))
+	c.sentSinceLog.Add(int64(n))
 }
 
-func (c *call) countReceived(n int) {
+func (c *callCounters) countReceived(n int) {
 	c.received.Add(float64(n))
-	c.receivedSince.Add(int64(n))
+	c.receivedSinceLog.Add(int64(n))
 }
 
-// fields returns the bytes by call since the last time, and begins anew.
-func (t *traffic) fields() []zap.Field {
+// takeFields returns the log fields with the bytes per RPC since the previous call
+// and resets them. RPCs without traffic are left out.
+func (t *traffic) takeFields() []zap.Field {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	sent, received := map[string]int{}, map[string]int{}
-	for rpc, c := range t.calls {
-		if n := c.sentSince.Swap(0); n > 0 {
+	for rpc, c := range t.countersByCall {
+		if n := c.sentSinceLog.Swap(0); n > 0 {
 			sent[rpc] = int(n)
 		}
-		if n := c.receivedSince.Swap(0); n > 0 {
+		if n := c.receivedSinceLog.Swap(0); n > 0 {
 			received[rpc] = int(n)
 		}
 	}
 	return []zap.Field{zap.Any("sent_bytes", sent), zap.Any("received_bytes", received)}
 }
 
-// meteredEncoding counts the encoded bytes.
+// meteredEncoding counts the bytes of the messages it encodes and decodes.
 type meteredEncoding struct {
 	drpc.Encoding
-	call *call
+	counters *callCounters
 }
 
-// Marshal encodes a message that is sent.
+// Marshal implements drpc.Encoding and counts the result as sent.
 func (e meteredEncoding) Marshal(msg drpc.Message) ([]byte, error) {
 	data, err := e.Encoding.Marshal(msg)
-	e.call.countSent(len(data))
+	e.counters.countSent(len(data))
 	return data, err
 }
 
-// MarshalAppend encodes a message that is sent into a buffer that is used again.
+// MarshalAppend appends the encoded message to buf and counts it as sent. DRPC
+// calls it instead of Marshal to reuse its buffer.
 func (e meteredEncoding) MarshalAppend(buf []byte, msg drpc.Message) ([]byte, error) {
 	data, err := drpcenc.MarshalAppend(msg, e.Encoding, buf)
-	e.call.countSent(max(0, len(data)-len(buf)))
+	e.counters.countSent(max(0, len(data)-len(buf)))
 	return data, err
 }
 
-// Unmarshal decodes a message that arrived.
+// Unmarshal implements drpc.Encoding and counts data as received.
 func (e meteredEncoding) Unmarshal(data []byte, msg drpc.Message) error {
-	e.call.countReceived(len(data))
+	e.counters.countReceived(len(data))
 	return e.Encoding.Unmarshal(data, msg)
 }
 
-// meteredStream counts a stream that was opened here or by another daemon.
+// meteredStream counts the message bytes of an incoming or outgoing stream.
 type meteredStream struct {
 	drpc.Stream
-	call *call
+	counters *callCounters
 }
 
-// MsgSend sends a message.
+// MsgSend implements drpc.Stream.
 func (s meteredStream) MsgSend(msg drpc.Message, enc drpc.Encoding) error {
-	return s.Stream.MsgSend(msg, meteredEncoding{Encoding: enc, call: s.call})
+	return s.Stream.MsgSend(msg, meteredEncoding{Encoding: enc, counters: s.counters})
 }
 
-// MsgRecv receives a message.
+// MsgRecv implements drpc.Stream.
 func (s meteredStream) MsgRecv(msg drpc.Message, enc drpc.Encoding) error {
-	return s.Stream.MsgRecv(msg, meteredEncoding{Encoding: enc, call: s.call})
+	return s.Stream.MsgRecv(msg, meteredEncoding{Encoding: enc, counters: s.counters})
 }
