--- a/internal/replica/apply.go
+++ b/internal/replica/apply.go
@@ -8,130 +8,140 @@
 	"github.com/verbenastep/verbenastep/core/state"
 )
 
-// answer is a proposal's outcome, sent after the lock is free.
-type answer struct {
+// proposalResult is the outcome of a proposal, delivered after the lock has been
+// released.
+type proposalResult struct {
 	proposal *proposal
 	outcome  outcome
 }
 
-func (e *engine) applyAll(entries []consensus.Entry) {
+// applyCommitted applies committed entries and delivers the outcomes of the
+// proposals among them.
+func (e *engine) applyCommitted(entries []consensus.Entry) {
 	if len(entries) == 0 {
 		return
 	}
-	answers := e.applyLocked(entries)
-	e.g.meters.commits.Add(float64(len(entries)))
-	for _, a := range answers {
-		e.record(a)
-		a.proposal.done <- a.outcome
+	results := e.applyEntries(entries)
+	e.group.meters.commits.Add(float64(len(entries)))
+	for _, r := range results {
+		e.recordClaim(r)
+		r.proposal.done <- r.outcome
 	}
 }
 
-func (e *engine) applyLocked(entries []consensus.Entry) []answer {
-	answers := []answer{}
-	wake := false
-	decoded := DecodeAll(entries, e.proposed)
-	e.g.mu.Lock()
-	defer e.g.mu.Unlock()
+// applyEntries applies entries to the machine under the group's lock and
+// notifies watchers if one of them concerns them.
+func (e *engine) applyEntries(entries []consensus.Entry) []proposalResult {
+	results := []proposalResult{}
+	notify := false
+	decoded := DecodeAll(entries, e.proposedCommand)
+	e.group.mu.Lock()
+	defer e.group.mu.Unlock()
 	for i, entry := range entries {
-		p := e.waiting[entry.Index]
-		delete(e.waiting, entry.Index)
+		p := e.proposalsByIndex[entry.Index]
+		delete(e.proposalsByIndex, entry.Index)
 		if p != nil {
-			e.lessor.ended(p)
+			e.lessor.proposalEnded(p)
 		}
 		if p != nil && p.term != entry.Term {
-			// Another leader's entry stands here: this one never commits.
-			answers = append(answers, answer{proposal: p, outcome: outcome{refused: true, leader: e.leaderAddress()}})
+			// The entry at this index is of another leader, so the proposal can
+			// no longer commit.
+			results = append(results, proposalResult{proposal: p, outcome: outcome{refused: true, leaderAddress: e.leaderAddress()}})
 			p = nil
 		}
-		e.g.applied = entry.Index
+		e.group.applied = entry.Index
 		if !decoded[i].Is {
 			continue
 		}
 		c := decoded[i].Command
 		result := e.machine.Apply(c)
-		e.recordAccepted(c, result)
-		e.lessor.applied(c, result, e.g.now())
-		wake = e.noteChange(c, entry.Index) || wake
+		e.recordAcceptedConfig(c, result)
+		e.lessor.recordRenewal(c, result, e.group.now())
+		notify = e.markChanged(c, entry.Index) || notify
 		if p != nil {
-			answers = append(answers, answer{proposal: p, outcome: outcome{result: result, index: entry.Index}})
+			results = append(results, proposalResult{proposal: p, outcome: outcome{result: result, index: entry.Index}})
 		}
 	}
-	if wake {
-		e.g.wake()
+	if notify {
+		e.group.notifyWatchers()
 	}
-	return answers
+	return results
 }
 
-// proposed returns the command of an entry that was proposed here.
-func (e *engine) proposed(entry consensus.Entry) (state.Command, bool) {
-	p := e.waiting[entry.Index]
+// proposedCommand returns the command of an entry that this replica proposed,
+// which saves decoding it.
+func (e *engine) proposedCommand(entry consensus.Entry) (state.Command, bool) {
+	p := e.proposalsByIndex[entry.Index]
 	if p == nil || p.term != entry.Term {
 		return state.Command{}, false
 	}
 	return p.command, true
 }
 
-// noteChange tells whether watchers may want to know of a command.
-func (e *engine) noteChange(c state.Command, index uint64) bool {
+// markChanged stores the index of a change to leases or suspects. It reports
+// whether watchers must be notified of the command.
+func (e *engine) markChanged(c state.Command, index uint64) bool {
 	switch {
 	case c.Apply != nil, c.Publish != nil:
 		return true
 	case c.Acquire != nil:
-		e.g.leaseAt[c.Acquire.Name] = index
+		e.group.leaseChangedAt[c.Acquire.Name] = index
 		return true
 	case c.Expire != nil:
-		e.g.leaseAt[c.Expire.Name] = index
+		e.group.leaseChangedAt[c.Expire.Name] = index
 		return true
 	case c.Suspect != nil:
-		e.g.suspectAt = index
+		e.group.suspectsChangedAt = index
 		return true
 	}
 	return false
 }
 
-// recordAccepted tells of an accepted configuration, on every replica and
-// before any watcher hears of it: its proposer may be gone by then.
-func (e *engine) recordAccepted(c state.Command, r state.Result) {
+// recordAcceptedConfig records the event of an accepted configuration. Every
+// replica records it, because the proposer may have stopped by then, and does so
+// before any watcher receives the configuration.
+func (e *engine) recordAcceptedConfig(c state.Command, r state.Result) {
 	if c.Apply != nil && r.Status == state.OK {
-		e.g.events.Record(promise.Event{Kind: promise.Accepted, Version: r.Version, Digest: r.Digest})
+		e.group.events.Record(promise.Event{Kind: promise.Accepted, Version: r.Version, Digest: r.Digest})
 	}
 }
 
-// record tells of claims that were proposed here.
-func (e *engine) record(a answer) {
+// recordClaim records the event of a claim that this replica proposed.
+func (e *engine) recordClaim(a proposalResult) {
 	c, r := a.proposal.command, a.outcome.result
 	if r.Status != state.OK {
 		return
 	}
 	if c.Claim != nil {
-		e.g.events.Record(promise.Event{
+		e.group.events.Record(promise.Event{
 			Kind: promise.Claim, Workspace: c.Claim.Workspace, Key: c.Claim.Key, Stream: c.Claim.Stream,
 			Pool: c.Claim.Pool, Upstream: c.Claim.Upstream,
 		})
 	}
 }
 
-// noteRole follows changes of role, term and leader.
-func (e *engine) noteRole() {
+// updateRole checks whether role, term or leader have changed. If so, it resets
+// the lessor, publishes the status and notifies watchers.
+func (e *engine) updateRole() {
 	role, term, leader := e.node.Position()
 	if role == e.role && term == e.term && leader == e.leader {
 		return
 	}
 	e.role, e.term, e.leader = role, term, leader
-	e.lessor.reset(e.g.now(), term)
-	e.showStatus()
-	e.g.mu.Lock()
-	e.g.wake()
-	e.g.mu.Unlock()
-	e.g.log.Info("role changed", zap.Stringer("role", role), zap.Uint64("term", term))
+	e.lessor.reset(e.group.now(), term)
+	e.publishStatus()
+	e.group.mu.Lock()
+	e.group.notifyWatchers()
+	e.group.mu.Unlock()
+	e.group.log.Info("role changed", zap.Stringer("role", role), zap.Uint64("term", term))
 }
 
-// showStatus publishes the position for operators and metrics.
-func (e *engine) showStatus() {
+// publishStatus updates the status for operators and the metrics.
+func (e *engine) publishStatus() {
 	s := e.node.Status()
 	version, _, _ := e.machine.Config()
-	e.g.mu.Lock()
-	e.g.status = s
-	e.g.mu.Unlock()
-	e.g.meters.note(s, version)
+	e.group.mu.Lock()
+	e.group.status = s
+	e.group.mu.Unlock()
+	e.group.meters.update(s, version)
 }
--- a/internal/replica/calls.go
+++ b/internal/replica/calls.go
@@ -12,7 +12,8 @@
 	"github.com/verbenastep/verbenastep/internal/wal"
 )
 
-// Propose commits commands, in the order given where all are accepted.
+// Propose commits commands and returns their outcomes in the order of the
+// request. Commands that are accepted enter the log in that order.
 func (s *Service) Propose(ctx context.Context, req *rpc.ProposeRequest) (*rpc.ProposeReply, error) {
 	g, err := s.group(req.Group)
 	if err != nil {
@@ -32,8 +33,8 @@
 	reply := &rpc.ProposeReply{}
 	for _, out := range g.propose(ctx, batch) {
 		done := &rpc.Proposed{Index: out.index, Refused: out.refused, Unknown: out.err != nil}
-		if out.leader != "" {
-			reply.Leader = out.leader
+		if out.leaderAddress != "" {
+			reply.Leader = out.leaderAddress
 		}
 		if !out.refused && out.err == nil {
 			if done.Result, err = json.Marshal(out.result); err != nil {
@@ -45,7 +46,7 @@
 	return reply, nil
 }
 
-// Lookup reads a claim.
+// Lookup returns a claim by workspace and key. The read is linearizable.
 func (s *Service) Lookup(ctx context.Context, req *rpc.LookupRequest) (*rpc.LookupReply, error) {
 	g, err := s.group(req.Group)
 	if err != nil {
@@ -64,17 +65,18 @@
 	return &rpc.LookupReply{Found: true, Claim: data}, err
 }
 
-// Status tells this replica's position.
+// Status returns this replica's view of the group as JSON.
 func (s *Service) Status(_ context.Context, req *rpc.ReplicaStatusRequest) (*rpc.ReplicaStatusReply, error) {
 	g, err := s.group(req.Group)
 	if err != nil {
 		return nil, err
 	}
-	data, err := json.Marshal(g.report())
+	data, err := json.Marshal(g.statusReport())
 	return &rpc.ReplicaStatusReply{Status: data}, err
 }
 
-// Change adds or removes a replica.
+// Change adds a replica, updates its address, or removes it. The reply has Done
+// set once the change is committed; until then the caller repeats the request.
 func (s *Service) Change(ctx context.Context, req *rpc.ChangeRequest) (*rpc.ChangeReply, error) {
 	g, err := s.group(req.Group)
 	if err != nil {
@@ -82,7 +84,7 @@
 	}
 	replies := make(chan *rpc.ChangeReply, 1)
 	err = g.do(ctx, func(e *engine) {
-		done, err := e.change(consensus.Member{ID: consensus.ID(req.Id), Name: req.Name, Address: req.Address})
+		done, err := e.changeMember(consensus.Member{ID: consensus.ID(req.Id), Name: req.Name, Address: req.Address})
 		reply := &rpc.ChangeReply{Done: done}
 		notLeader := (*consensus.NotLeaderError)(nil)
 		if errors.As(err, &notLeader) {
@@ -105,7 +107,7 @@
 	}
 }
 
-// Backup streams a snapshot.
+// Backup streams a snapshot of the state after a linearizable read.
 func (s *Service) Backup(req *rpc.BackupRequest, stream rpc.DRPCLog_BackupStream) error {
 	g, err := s.group(req.Group)
 	if err != nil {
@@ -125,7 +127,7 @@
 	meta.Size = uint64(len(data))
 	b := wal.EncodeSnapshot(consensus.Snapshot{Meta: meta, Data: data})
 	for len(b) > 0 {
-		n := min(len(b), chunkBytes)
+		n := min(len(b), maxChunkBytes)
 		if err := stream.Send(&rpc.BackupChunk{Data: b[:n], End: n == len(b)}); err != nil {
 			return err
 		}
--- a/internal/replica/checks_test.go
+++ b/internal/replica/checks_test.go
@@ -9,36 +9,39 @@
 	"github.com/verbenastep/verbenastep/core/state"
 )
 
-// checks are what must hold in every schedule.
-type checks struct {
+// invariantChecker checks the invariants that must hold in every schedule.
+type invariantChecker struct {
 	violation string
 	leaders   map[uint64]consensus.ID
 	terms     map[uint64]uint64
-	// owners holds the stream that won each key, acknowledged or seen.
-	owners map[string]string
-	// digests holds the digest of each accepted version.
-	digests map[uint64]string
-	version uint64
-	// holder, its epoch and the true time until which it believes to hold.
-	holder string
-	epoch  uint64
-	until  time.Duration
-	acks   int
-	grants int
+	// claimStreams holds, by key, the stream whose claim was acknowledged.
+	claimStreams map[string]string
+	// digests holds the digest of each accepted configuration version.
+	digests    map[uint64]string
+	maxVersion uint64
+	// holder, leaseEpoch and heldUntil describe the last lease granted;
+	// heldUntil is the true time until which the holder relies on it.
+	holder     string
+	leaseEpoch uint64
+	heldUntil  time.Duration
+	acks       int
+	grants     int
 }
 
-func newChecks() *checks {
-	return &checks{leaders: map[uint64]consensus.ID{}, terms: map[uint64]uint64{}, owners: map[string]string{}, digests: map[uint64]string{}}
+func newInvariantChecker() *invariantChecker {
+	return &invariantChecker{leaders: map[uint64]consensus.ID{}, terms: map[uint64]uint64{}, claimStreams: map[string]string{}, digests: map[uint64]string{}}
 }
 
-func (c *checks) fail(format string, args ...any) {
+// fail records the first violation.
+func (c *invariantChecker) fail(format string, args ...any) {
 	if c.violation == "" {
 		c.violation = fmt.Sprintf(format, args...)
 	}
 }
 
-// look checks one replica after each of its steps.
-func (c *checks) look(s *site) {
+// checkReplica checks after each step of a replica that a term has only one
+// leader and that committed entries agree between replicas.
+func (c *invariantChecker) checkReplica(s *simReplica) {
 	st := s.engine.node.Status()
 	if st.Role == consensus.Leader {
 		if old, ok := c.leaders[st.Term]; ok && old != st.ID {
@@ -46,7 +49,7 @@
 		}
 		c.leaders[st.Term] = st.ID
 	}
-	for i := s.checked + 1; i <= st.CommitIndex; i++ {
+	for i := s.checkedIndex + 1; i <= st.CommitIndex; i++ {
 		term, ok := s.engine.node.Term(i)
 		if !ok {
 			continue
@@ -56,57 +59,61 @@
 		}
 		c.terms[i] = term
 	}
-	s.checked = max(s.checked, st.CommitIndex)
+	s.checkedIndex = max(s.checkedIndex, st.CommitIndex)
 }
 
-func (c *checks) claimed(key, stream string) {
-	if old, ok := c.owners[key]; ok && old != stream {
+// checkClaim checks that a key is claimed by one stream only.
+func (c *invariantChecker) checkClaim(key, stream string) {
+	if old, ok := c.claimStreams[key]; ok && old != stream {
 		c.fail("key %s belongs to %s and to %s", key, old, stream)
 	}
-	c.owners[key] = stream
+	c.claimStreams[key] = stream
 	c.acks++
 }
 
-func (c *checks) accepted(version uint64, digest string) {
+// checkVersion checks that a configuration version has one content only.
+func (c *invariantChecker) checkVersion(version uint64, digest string) {
 	if old, ok := c.digests[version]; ok && old != digest {
 		c.fail("version %d has two contents", version)
 	}
 	c.digests[version] = digest
-	c.version = max(c.version, version)
+	c.maxVersion = max(c.maxVersion, version)
 	c.acks++
 }
 
-// granted says that a holder believes to have the lease until a true time.
-func (c *checks) granted(now time.Duration, holder string, epoch uint64, until time.Duration) {
+// checkLease checks that a lease that holder relies on until a true time does
+// not overlap another holder's, and that epochs increase.
+func (c *invariantChecker) checkLease(now time.Duration, holder string, epoch uint64, until time.Duration) {
 	if until <= now {
 		return
 	}
-	if holder != c.holder && c.until > now {
+	if holder != c.holder && c.heldUntil > now {
 		c.fail("lease held by %s and %s at once", c.holder, holder)
 	}
-	if epoch < c.epoch || (holder != c.holder && epoch == c.epoch) {
-		c.fail("epoch %d of %s follows %d of %s", epoch, holder, c.epoch, c.holder)
+	if epoch < c.leaseEpoch || (holder != c.holder && epoch == c.leaseEpoch) {
+		c.fail("epoch %d of %s follows %d of %s", epoch, holder, c.leaseEpoch, c.holder)
 	}
-	c.holder, c.epoch, c.until = holder, epoch, max(until, c.until)
+	c.holder, c.leaseEpoch, c.heldUntil = holder, epoch, max(until, c.heldUntil)
 	c.grants++
 }
 
-// acknowledged is what a read that begins now must see.
-type acknowledged struct {
+// acknowledgedState is the state that a read which starts now must see.
+type acknowledgedState struct {
 	version uint64
 	owners  map[string]string
 }
 
-func (c *checks) acknowledged() acknowledged {
-	a := acknowledged{version: c.version, owners: map[string]string{}}
-	for k, v := range c.owners {
+func (c *invariantChecker) acknowledged() acknowledgedState {
+	a := acknowledgedState{version: c.maxVersion, owners: map[string]string{}}
+	for k, v := range c.claimStreams {
 		a.owners[k] = v
 	}
 	return a
 }
 
-// sees checks a state against what was acknowledged before it was read.
-func (c *checks) sees(where string, m *state.Machine, a acknowledged) {
+// checkRead checks that a machine includes the state acknowledged before the
+// read.
+func (c *invariantChecker) checkRead(where string, m *state.Machine, a acknowledgedState) {
 	if version, _, _ := m.Config(); version < a.version {
 		c.fail("%s reads version %d after %d was acknowledged", where, version, a.version)
 	}
@@ -118,19 +125,20 @@
 	}
 }
 
-// final checks that all replicas agree and nothing acknowledged is lost.
-func (c *checks) final(w *world) {
-	if w.leader() == nil {
+// checkFinalState checks that all replicas agree and have lost nothing
+// acknowledged.
+func (c *invariantChecker) checkFinalState(sim *simulation) {
+	if sim.leader() == nil {
 		c.fail("no leader after all faults ended")
 		return
 	}
 	first := ""
-	for _, s := range w.sites {
+	for _, s := range sim.replicas {
 		if s.engine == nil {
 			c.fail("%s is down after all faults ended", s.name())
 			return
 		}
-		c.sees(s.name(), s.engine.machine, c.acknowledged())
+		c.checkRead(s.name(), s.engine.machine, c.acknowledged())
 		summary := summarize(s.engine.machine)
 		if first == "" {
 			first = summary
--- a/internal/replica/decode.go
+++ b/internal/replica/decode.go
@@ -9,32 +9,34 @@
 	"github.com/verbenastep/verbenastep/core/state"
 )
 
-// decodeShare is the least number of entries worth a goroutine of its own.
-const decodeShare = 64
+// minEntriesPerWorker is the number of entries below which another goroutine
+// costs more than it saves.
+const minEntriesPerWorker = 64
 
-// Decoded is a log entry's command.
+// Decoded is the decoded command of a log entry.
 type Decoded struct {
 	Command state.Command
-	// Is says that the entry holds a command. One that is not readable is an
-	// empty command, which changes nothing on any replica.
+	// Is reports that the entry contains a command. A command that can't be
+	// decoded is empty, which has no effect on any replica.
 	Is bool
 }
 
-// DecodeAll reads the commands of log entries, in parallel where they are
-// many. Those for which known returns a command are not decoded again.
+// DecodeAll decodes the commands of log entries, in parallel if there are many.
+// An entry for which known returns a command is not decoded; known must be safe
+// for concurrent use.
 func DecodeAll(entries []consensus.Entry, known func(consensus.Entry) (state.Command, bool)) []Decoded {
 	out := make([]Decoded, len(entries))
-	share := max(decodeShare, (len(entries)+runtime.GOMAXPROCS(0)-1)/runtime.GOMAXPROCS(0))
-	if len(entries) <= share {
+	perWorker := max(minEntriesPerWorker, (len(entries)+runtime.GOMAXPROCS(0)-1)/runtime.GOMAXPROCS(0))
+	if len(entries) <= perWorker {
 		decodeInto(out, entries, known)
 		return out
 	}
-	all := sync.WaitGroup{}
-	for first := 0; first < len(entries); first += share {
-		last := min(first+share, len(entries))
-		all.Go(func() { decodeInto(out[first:last], entries[first:last], known) })
+	workers := sync.WaitGroup{}
+	for first := 0; first < len(entries); first += perWorker {
+		last := min(first+perWorker, len(entries))
+		workers.Go(func() { decodeInto(out[first:last], entries[first:last], known) })
 	}
-	all.Wait()
+	workers.Wait()
 	return out
 }
 
--- a/internal/replica/engine.go
+++ b/internal/replica/engine.go
@@ -12,29 +12,30 @@
 )
 
 const (
-	// tick is the consensus clock's unit.
-	tick = 30 * time.Millisecond
-	// electionTicks, heartbeatTicks, leaseTicks and resendTicks: see
-	// consensus.Options. Lease and election leave 10 % for the clocks' drift.
-	electionTicks  = 12
-	heartbeatTicks = 2
-	leaseTicks     = 9
-	resendTicks    = 6
+	// tickInterval is the duration of one tick of the consensus clock.
+	tickInterval = 30 * time.Millisecond
+	// See consensus.Options for the times in ticks. The lease is
+	// shorter than the election timeout by a margin for 10 % clock drift.
+	electionTimeoutTicks   = 12
+	heartbeatIntervalTicks = 2
+	leaseDurationTicks     = 9
+	resendDelayTicks       = 6
 
-	appendBytes      = 256 << 10
-	inflight         = 64
-	uncommittedBytes = 32 << 20
-	chunkBytes       = 256 << 10
-	segmentBytes     = 8 << 20
+	maxAppendBytes      = 256 << 10
+	maxInflightAppends  = 64
+	maxUncommittedBytes = 32 << 20
+	maxChunkBytes       = 256 << 10
+	maxSegmentBytes     = 8 << 20
 
-	// batchJobs bounds the jobs between two writes.
-	batchJobs = 2048
+	// maxJobsPerWrite bounds the jobs that run between two writes.
+	maxJobsPerWrite = 2048
 )
 
-// errRestart ends an engine so that the log is read anew.
+// errRestart ends an engine so that the log is reopened without delay.
 var errRestart = errors.New("the log is read anew")
 
-// proposal is a command on its way.
+// proposal is a command that was submitted on this replica and whose outcome is
+// not known yet.
 type proposal struct {
 	command state.Command
 	data    []byte
@@ -42,43 +43,45 @@
 	done    chan outcome
 }
 
-// readWaiter waits for the machine to reach an index.
+// readWaiter is a read that waits until the machine has applied index.
 type readWaiter struct {
 	index uint64
 	done  chan struct{}
 }
 
-// engine is one life of a group: from reading the log to closing it. It runs in
+// engine runs a group from opening the log to closing it. All its methods run in
 // one goroutine.
 type engine struct {
-	g     *group
-	log   *wal.Log
-	node  *consensus.Node
-	began time.Time
-	// machine is the group's; it is changed under the group's lock only.
+	group     *group
+	log       *wal.Log
+	node      *consensus.Node
+	startedAt time.Time
+	// machine is shared with the group; it is only modified under the group's
+	// lock.
 	machine *state.Machine
 
-	batch   []*proposal
-	waiting map[uint64]*proposal
-	asked   map[uint64]chan struct{}
-	readID  uint64
-	reads   []readWaiter
+	pendingProposals []*proposal
+	proposalsByIndex map[uint64]*proposal
+	readRequests     map[uint64]chan struct{}
+	lastReadID       uint64
+	readWaiters      []readWaiter
 
-	lessor   lessor
-	keeper   keeper
-	snapshot snapshotter
-	role     consensus.Role
-	term     uint64
-	leader   consensus.ID
-	restart  error
+	lessor      lessor
+	maintenance maintenance
+	snapshot    snapshotter
+	role        consensus.Role
+	term        uint64
+	leader      consensus.ID
+	restartErr  error
 }
 
+// openEngine opens the log and restores the machine from the newest snapshot.
 func openEngine(g *group) (*engine, error) {
 	l, saved, data, err := wal.Open(g.disk, g.name, g.set.Name, g.newID())
 	if err != nil {
 		return nil, err
 	}
-	l.SegmentBytes = g.limits.segmentBytes
+	l.SegmentBytes = g.limits.maxSegmentBytes
 	machine := state.New()
 	if data != nil {
 		err = machine.Restore(data)
@@ -87,85 +90,91 @@
 		_ = l.Close()
 		return nil, err
 	}
-	e := &engine{g: g, log: l, began: g.now(), machine: machine, waiting: map[uint64]*proposal{}, asked: map[uint64]chan struct{}{}}
-	e.snapshot.done = make(chan snapshotDone, 1)
+	e := &engine{group: g, log: l, startedAt: g.now(), machine: machine, proposalsByIndex: map[uint64]*proposal{}, readRequests: map[uint64]chan struct{}{}}
+	e.snapshot.done = make(chan snapshotResult, 1)
 	e.node = consensus.New(g.options(l.Identity().ID), saved, 0)
-	e.publish(saved.Meta.Index)
+	e.publishMachine(saved.Meta.Index)
 	return e, nil
 }
 
 func (g *group) options(id consensus.ID) consensus.Options {
 	return consensus.Options{
-		ID: id, ElectionTimeoutTicks: electionTicks, HeartbeatIntervalTicks: heartbeatTicks, LeaseDurationTicks: g.limits.leaseTicks,
-		ResendDelayTicks: resendTicks, MaxAppendBytes: g.limits.appendBytes, MaxInflightAppends: inflight,
-		MaxUncommittedBytes: uncommittedBytes, ChunkBytes: g.limits.chunkBytes, Random: g.random,
+		ID: id, ElectionTimeoutTicks: electionTimeoutTicks, HeartbeatIntervalTicks: heartbeatIntervalTicks, LeaseDurationTicks: g.limits.leaseDurationTicks,
+		ResendDelayTicks: resendDelayTicks, MaxAppendBytes: g.limits.maxAppendBytes, MaxInflightAppends: maxInflightAppends,
+		MaxUncommittedBytes: maxUncommittedBytes, ChunkBytes: g.limits.maxChunkBytes, Random: g.random,
 	}
 }
 
-// publish gives readers the machine of a new engine or of a snapshot.
-func (e *engine) publish(index uint64) {
-	e.g.mu.Lock()
-	defer e.g.mu.Unlock()
-	e.g.machine = e.machine
-	e.g.applied = index
+// publishMachine makes the machine visible to readers and watchers after an
+// engine has opened or a snapshot has been installed.
+func (e *engine) publishMachine(index uint64) {
+	e.group.mu.Lock()
+	defer e.group.mu.Unlock()
+	e.group.machine = e.machine
+	e.group.applied = index
 	for name := range e.machine.Leases() {
-		e.g.leaseAt[name] = index
+		e.group.leaseChangedAt[name] = index
 	}
-	e.g.suspectAt = index
-	e.g.status = e.node.Status()
-	e.g.wake()
+	e.group.suspectsChangedAt = index
+	e.group.status = e.node.Status()
+	e.group.notifyWatchers()
 }
 
-// wake tells watchers; the lock is held.
-func (g *group) wake() {
+// notifyWatchers wakes all watchers and pending reads. The caller holds the
+// lock.
+func (g *group) notifyWatchers() {
 	close(g.changed)
 	g.changed = make(chan struct{})
 }
 
+// advance tells the node the current time in ticks.
 func (e *engine) advance() {
-	e.node.Advance(uint64(e.g.now().Sub(e.began) / tick))
+	e.node.Advance(uint64(e.group.now().Sub(e.startedAt) / tickInterval))
 }
 
-// loop serves until the group stops or the disk fails. All that came in while
-// one batch was written makes the next: that is the group commit.
+// loop runs jobs and ticks until the group is closed or an error requires that
+// the log is reopened. Jobs that arrive during a write are handled together
+// before the next one (group commit).
 func (e *engine) loop() error {
-	ticker := time.NewTicker(tick)
+	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	for {
 		select {
-		case <-e.g.stop:
+		case <-e.group.stop:
 			return nil
-		case j := <-e.g.jobs:
+		case j := <-e.group.jobs:
 			e.runJob(j)
-			if !e.g.limits.syncEach {
-				e.drain()
+			if !e.group.limits.syncEachEntry {
+				e.runQueuedJobs()
 			}
 		case done := <-e.snapshot.done:
-			e.useSnapshot(done)
+			e.compactLog(done)
 		case <-ticker.C:
 			e.advance()
-			e.housekeep()
+			e.runMaintenance()
 		}
-		e.flush()
-		if err := e.settle(); err != nil {
+		e.proposePending()
+		if err := e.processEffects(); err != nil {
 			return err
 		}
-		if e.restart != nil {
-			return e.restart
+		if e.restartErr != nil {
+			return e.restartErr
 		}
 	}
 }
 
-// runJob tells the node the time first: what a job asks was sent before it.
+// runJob runs a job after advancing the clock, because the job was queued before
+// the present time.
 func (e *engine) runJob(j job) {
 	e.advance()
 	j(e)
 }
 
-func (e *engine) drain() {
-	for range batchJobs {
+// runQueuedJobs runs the jobs that are already queued, up to maxJobsPerWrite.
+func (e *engine) runQueuedJobs() {
+	for range maxJobsPerWrite {
 		select {
-		case j := <-e.g.jobs:
+		case j := <-e.group.jobs:
 			e.runJob(j)
 		default:
 			return
@@ -173,99 +182,104 @@
 	}
 }
 
-// flush proposes the batch.
-func (e *engine) flush() {
-	batch := e.batch
-	e.batch = nil
-	if len(batch) == 0 {
+// proposePending proposes the pending proposals to the node in one call.
+func (e *engine) proposePending() {
+	proposals := e.pendingProposals
+	e.pendingProposals = nil
+	if len(proposals) == 0 {
 		return
 	}
-	commands := make([][]byte, 0, len(batch))
-	for _, p := range batch {
+	commands := make([][]byte, 0, len(proposals))
+	for _, p := range proposals {
 		commands = append(commands, p.data)
 	}
 	index, term, err := e.node.Propose(commands)
-	for i, p := range batch {
+	for i, p := range proposals {
 		if err != nil {
-			e.lessor.ended(p)
-			p.done <- outcome{refused: true, leader: e.leaderAddress()}
+			e.lessor.proposalEnded(p)
+			p.done <- outcome{refused: true, leaderAddress: e.leaderAddress()}
 			continue
 		}
 		p.term = term
-		if old := e.waiting[index+uint64(i)]; old != nil {
-			// Its entry is gone from this log, but may live on in another.
-			e.lessor.ended(old)
-			old.done <- outcome{err: errReset}
+		if old := e.proposalsByIndex[index+uint64(i)]; old != nil {
+			// Its entry was truncated here, but another replica's log may still
+			// have it.
+			e.lessor.proposalEnded(old)
+			old.done <- outcome{err: errOutcomeLost}
 		}
-		e.waiting[index+uint64(i)] = p
+		e.proposalsByIndex[index+uint64(i)] = p
 	}
 }
 
-// settle carries out effects until there are none.
-func (e *engine) settle() error {
+// processEffects performs the effects of the node until there are none.
+func (e *engine) processEffects() error {
 	for e.node.HasEffects() {
-		eff := e.node.Effects()
-		if err := e.perform(eff); err != nil {
+		effects := e.node.Effects()
+		if err := e.performEffects(effects); err != nil {
 			return err
 		}
 		e.node.MarkPersisted()
 	}
-	e.noteRole()
+	e.updateRole()
 	return nil
 }
 
-func (e *engine) perform(eff consensus.Effects) error {
-	e.sendAll(eff.MessagesBeforeSync)
-	if eff.Snapshot != nil {
-		if err := wal.WriteSnapshot(e.g.disk, *eff.Snapshot); err != nil {
+// performEffects performs one set of effects in the order that consensus.Effects
+// requires. An error means that a write has failed.
+func (e *engine) performEffects(effects consensus.Effects) error {
+	e.sendAll(effects.MessagesBeforeSync)
+	if effects.Snapshot != nil {
+		if err := wal.WriteSnapshot(e.group.disk, *effects.Snapshot); err != nil {
 			return err
 		}
 	}
-	if eff.HasWrites() {
-		began := time.Now()
-		if err := e.log.Save(eff.Hard, eff.Entries); err != nil {
+	if effects.HasWrites() {
+		start := time.Now()
+		if err := e.log.Save(effects.Hard, effects.Entries); err != nil {
 			return err
 		}
-		e.g.meters.sync.Observe(time.Since(began).Seconds())
+		e.group.meters.sync.Observe(time.Since(start).Seconds())
 	}
-	if eff.Snapshot != nil {
-		e.log.UseSnapshot(eff.Snapshot.Meta, eff.Snapshot.Meta.Index)
-		if err := e.install(*eff.Snapshot); err != nil {
+	if effects.Snapshot != nil {
+		e.log.UseSnapshot(effects.Snapshot.Meta, effects.Snapshot.Meta.Index)
+		if err := e.installSnapshot(*effects.Snapshot); err != nil {
 			return err
 		}
 	}
-	e.sendAll(eff.MessagesAfterSync)
-	e.applyAll(eff.Committed)
-	for _, r := range eff.Reads {
-		if done := e.asked[r.ID]; done != nil {
-			delete(e.asked, r.ID)
-			e.reads = append(e.reads, readWaiter{index: r.Index, done: done})
+	e.sendAll(effects.MessagesAfterSync)
+	e.applyCommitted(effects.Committed)
+	for _, r := range effects.Reads {
+		if done := e.readRequests[r.ID]; done != nil {
+			delete(e.readRequests, r.ID)
+			e.readWaiters = append(e.readWaiters, readWaiter{index: r.Index, done: done})
 		}
 	}
-	e.answerReads()
+	e.completeReads()
 	return nil
 }
 
-// install replaces the machine; proposals that the snapshot covers end without
-// an answer.
-func (e *engine) install(s consensus.Snapshot) error {
+// installSnapshot replaces the machine by that of the leader's snapshot. The
+// outcome of proposals that the snapshot covers is unknown.
+func (e *engine) installSnapshot(s consensus.Snapshot) error {
 	machine := state.New()
 	if err := machine.Restore(s.Data); err != nil {
 		return err
 	}
 	e.machine = machine
-	e.publish(s.Meta.Index)
-	for index, p := range e.waiting {
+	e.publishMachine(s.Meta.Index)
+	for index, p := range e.proposalsByIndex {
 		if index <= s.Meta.Index {
-			delete(e.waiting, index)
-			e.lessor.ended(p)
-			p.done <- outcome{err: errReset}
+			delete(e.proposalsByIndex, index)
+			e.lessor.proposalEnded(p)
+			p.done <- outcome{err: errOutcomeLost}
 		}
 	}
-	e.g.log.Info("snapshot installed", zap.Uint64("index", s.Meta.Index))
+	e.group.log.Info("snapshot installed", zap.Uint64("index", s.Meta.Index))
 	return nil
 }
 
+// sendAll sends messages to the members that they address, or to the address
+// that another replica was last heard from.
 func (e *engine) sendAll(messages []consensus.Message) {
 	if len(messages) == 0 {
 		return
@@ -277,47 +291,52 @@
 	for _, m := range messages {
 		address := addresses[m.To]
 		if address == "" {
-			address = e.g.sender.address(m.To)
+			address = e.group.sender.address(m.To)
 		}
-		if m.Chunk != nil && !e.fill(m.Chunk) {
+		if m.Chunk != nil && !e.readChunk(m.Chunk) {
 			continue
 		}
 		if address != "" {
-			e.g.sender.send(e.g.name, address, m)
+			e.group.sender.send(e.group.name, address, m)
 		}
 	}
 }
 
-func (e *engine) fill(c *consensus.Chunk) bool {
+// readChunk reads the data of a snapshot chunk from disk. It returns false on
+// error.
+func (e *engine) readChunk(c *consensus.Chunk) bool {
 	data, err := e.log.ReadSnapshot(c.Meta, c.Offset, c.Length)
 	if err != nil {
-		e.g.log.Warn("snapshot chunk could not be read", zap.Error(err))
+		e.group.log.Warn("failed to read snapshot chunk", zap.Error(err))
 		return false
 	}
 	c.Data = data
 	return true
 }
 
-// take queues a command, or answers it without the log: the present holder's
-// Acquire renews its lease while no other leader can exist.
-func (e *engine) take(p *proposal) {
-	// The role may have changed in this very batch.
-	e.noteRole()
+// submit adds a proposal to the pending ones, or refuses it if this replica
+// does not lead. A lease renewal by the current holder is answered without a
+// log entry while this leader's own lease excludes any other leader.
+func (e *engine) submit(p *proposal) {
+	// An earlier job of the same batch may have changed the role.
+	e.updateRole()
 	a := p.command.Acquire
-	applied := e.g.applied == e.node.CommitIndex()
-	if a != nil && applied && e.node.HasLease() && e.lessor.renew(e.machine, a, e.g.now()) {
-		p.done <- outcome{result: e.machine.Apply(p.command), index: e.g.applied}
+	applied := e.group.applied == e.node.CommitIndex()
+	if a != nil && applied && e.node.HasLease() && e.lessor.renew(e.machine, a, e.group.now()) {
+		p.done <- outcome{result: e.machine.Apply(p.command), index: e.group.applied}
 		return
 	}
 	if role, _, _ := e.node.Position(); role != consensus.Leader {
-		p.done <- outcome{refused: true, leader: e.leaderAddress()}
+		p.done <- outcome{refused: true, leaderAddress: e.leaderAddress()}
 		return
 	}
 	p.term = e.term
-	e.lessor.began(p)
-	e.batch = append(e.batch, p)
+	e.lessor.proposalStarted(p)
+	e.pendingProposals = append(e.pendingProposals, p)
 }
 
+// leaderAddress returns the address of the leader, or "" if it is unknown or
+// this replica.
 func (e *engine) leaderAddress() string {
 	_, _, leader := e.node.Position()
 	for _, m := range e.node.Members() {
@@ -328,37 +347,42 @@
 	return ""
 }
 
+// read requests a linearizable read; done is closed once the machine may be
+// read.
 func (e *engine) read(done chan struct{}) {
-	e.readID++
-	if e.node.Read(e.readID) == nil {
-		e.asked[e.readID] = done
+	e.lastReadID++
+	if e.node.Read(e.lastReadID) == nil {
+		e.readRequests[e.lastReadID] = done
 	}
-	// Reads that were asked for long ago are lost, and their callers gone.
-	delete(e.asked, e.readID-queuedJobs)
+	// A request this old was lost in a leader change, and its caller has retried
+	// or given up.
+	delete(e.readRequests, e.lastReadID-maxQueuedJobs)
 }
 
-func (e *engine) answerReads() {
-	kept := e.reads[:0]
-	for _, r := range e.reads {
-		if r.index > e.g.applied {
-			kept = append(kept, r)
+// completeReads completes the reads whose index has been applied.
+func (e *engine) completeReads() {
+	remaining := e.readWaiters[:0]
+	for _, r := range e.readWaiters {
+		if r.index > e.group.applied {
+			remaining = append(remaining, r)
 			continue
 		}
 		close(r.done)
 	}
-	e.reads = kept
+	e.readWaiters = remaining
 }
 
-// close ends what still waits: nobody can tell here whether it will commit.
+// close closes the log and ends all proposals. Those that were already proposed
+// to the node may still be committed by other replicas.
 func (e *engine) close() {
-	if e.snapshot.busy {
+	if e.snapshot.inProgress {
 		<-e.snapshot.done
 	}
-	for _, p := range e.batch {
+	for _, p := range e.pendingProposals {
 		p.done <- outcome{refused: true}
 	}
-	for _, p := range e.waiting {
-		p.done <- outcome{err: errReset}
+	for _, p := range e.proposalsByIndex {
+		p.done <- outcome{err: errOutcomeLost}
 	}
 	_ = e.log.Close()
 }
--- a/internal/replica/fakedisk_test.go
+++ b/internal/replica/fakedisk_test.go
@@ -10,72 +10,74 @@
 	"github.com/verbenastep/verbenastep/internal/wal"
 )
 
-var errCrashed = errors.New("the fake disk has lost power")
+var errCrashed = errors.New("fake disk: power lost")
 
-// inode is a file's content: what is synced, and what is only written.
+// inode holds the content of a file: its synced bytes, followed by those that
+// are only written.
 type inode struct {
 	synced  []byte
 	written []byte
 }
 
-// fakeDisk keeps files in memory and forgets, at a crash, a random part of
-// what was not synced.
+// fakeDisk is an in-memory wal.Disk. A crash discards a random part of what was
+// not synced, and may corrupt a byte of the rest of it.
 type fakeDisk struct {
 	random *rand.Rand
-	// names is what the process sees; durable what is on the disk, changes
-	// what leads from there to names.
-	names   map[string]*inode
-	durable map[string]*inode
-	changes []func(map[string]*inode)
-	// crashIn counts down to a crash in the middle of an operation; zero means
-	// none.
-	crashIn int
-	crashed bool
-	// lies makes Sync of an appended file return without syncing.
-	lies bool
+	// names holds the folder as the process sees it, durable as a crash leaves
+	// it at least. Applying unsyncedChanges to durable yields names.
+	names           map[string]*inode
+	durable         map[string]*inode
+	unsyncedChanges []func(map[string]*inode)
+	// operationsUntilCrash counts down to a crash during an operation; 0 means
+	// no crash.
+	operationsUntilCrash int
+	crashed              bool
+	// skipsSync makes Sync of an appended file return without syncing.
+	skipsSync bool
 }
 
 func newFakeDisk(random *rand.Rand) *fakeDisk {
 	return &fakeDisk{random: random, names: map[string]*inode{}, durable: map[string]*inode{}}
 }
 
-// step counts one operation and tells whether the power fails during it.
-func (d *fakeDisk) step() bool {
-	if d.crashIn > 0 {
-		d.crashIn--
-		d.crashed = d.crashed || d.crashIn == 0
+// countOperation counts an operation and reports whether the power fails during
+// it.
+func (d *fakeDisk) countOperation() bool {
+	if d.operationsUntilCrash > 0 {
+		d.operationsUntilCrash--
+		d.crashed = d.crashed || d.operationsUntilCrash == 0
 	}
 	return d.crashed
 }
 
-func (d *fakeDisk) change(f func(map[string]*inode)) {
+func (d *fakeDisk) applyChange(f func(map[string]*inode)) {
 	f(d.names)
-	d.changes = append(d.changes, f)
+	d.unsyncedChanges = append(d.unsyncedChanges, f)
 }
 
-// crash forgets what is not durable and turns the power on again.
+// crash discards unsynced changes at random and restores power.
 func (d *fakeDisk) crash() {
-	for _, f := range d.changes[:d.random.IntN(len(d.changes)+1)] {
+	for _, f := range d.unsyncedChanges[:d.random.IntN(len(d.unsyncedChanges)+1)] {
 		f(d.durable)
 	}
-	d.changes = nil
+	d.unsyncedChanges = nil
 	d.names = map[string]*inode{}
 	for _, name := range slices.Sorted(maps.Keys(d.durable)) {
 		n := d.durable[name]
 		kept := n.written[:d.random.IntN(len(n.written)+1)]
-		if d.lies {
+		if d.skipsSync {
 			kept = nil
 		}
 		if len(kept) > 0 && d.random.IntN(2) == 0 {
 			kept = append([]byte{}, kept...)
 			kept[d.random.IntN(len(kept))] ^= 0x55
 		}
-		fresh := &inode{synced: append(append([]byte{}, n.synced...), kept...)}
-		d.durable[name] = fresh
-		d.names[name] = fresh
+		recovered := &inode{synced: append(append([]byte{}, n.synced...), kept...)}
+		d.durable[name] = recovered
+		d.names[name] = recovered
 	}
 	d.crashed = false
-	d.crashIn = 0
+	d.operationsUntilCrash = 0
 }
 
 func (d *fakeDisk) Path(name string) string { return "fake/" + name }
@@ -92,16 +94,16 @@
 }
 
 func (d *fakeDisk) Create(name string) (wal.File, error) {
-	if d.step() {
+	if d.countOperation() {
 		return nil, errCrashed
 	}
 	n := &inode{}
-	d.change(func(m map[string]*inode) { m[name] = n })
+	d.applyChange(func(m map[string]*inode) { m[name] = n })
 	return &fakeFile{disk: d, inode: n}, nil
 }
 
 func (d *fakeDisk) Append(name string) (wal.File, error) {
-	return &fakeFile{disk: d, inode: d.names[name], lies: d.lies}, nil
+	return &fakeFile{disk: d, inode: d.names[name], skipsSync: d.skipsSync}, nil
 }
 
 func (d *fakeDisk) Read(name string) ([]byte, error) {
@@ -115,17 +117,17 @@
 	}
 	b, _ := d.Read(name)
 	if offset+int64(size) > int64(len(b)) {
-		return nil, errors.New("the file is shorter")
+		return nil, errors.New("the file is too short")
 	}
 	return b[offset : offset+int64(size)], nil
 }
 
 func (d *fakeDisk) Rename(from, to string) error {
-	if d.step() {
+	if d.countOperation() {
 		return errCrashed
 	}
 	n := d.names[from]
-	d.change(func(m map[string]*inode) {
+	d.applyChange(func(m map[string]*inode) {
 		delete(m, from)
 		m[to] = n
 	})
@@ -133,40 +135,40 @@
 }
 
 func (d *fakeDisk) Remove(name string) error {
-	d.change(func(m map[string]*inode) { delete(m, name) })
+	d.applyChange(func(m map[string]*inode) { delete(m, name) })
 	return nil
 }
 
 func (d *fakeDisk) SyncFolder() error {
-	if d.step() {
+	if d.countOperation() {
 		return errCrashed
 	}
-	for _, f := range d.changes {
+	for _, f := range d.unsyncedChanges {
 		f(d.durable)
 	}
-	d.changes = nil
+	d.unsyncedChanges = nil
 	return nil
 }
 
 type fakeFile struct {
-	disk  *fakeDisk
-	inode *inode
-	lies  bool
+	disk      *fakeDisk
+	inode     *inode
+	skipsSync bool
 }
 
 func (f *fakeFile) Write(b []byte) (int, error) {
 	f.inode.written = append(f.inode.written, b...)
-	if f.disk.step() {
+	if f.disk.countOperation() {
 		return 0, errCrashed
 	}
 	return len(b), nil
 }
 
 func (f *fakeFile) Sync() error {
-	if f.disk.step() {
+	if f.disk.countOperation() {
 		return errCrashed
 	}
-	if f.lies {
+	if f.skipsSync {
 		return nil
 	}
 	f.inode.synced = append(f.inode.synced, f.inode.written...)
--- a/internal/replica/group.go
+++ b/internal/replica/group.go
@@ -19,31 +19,33 @@
 )
 
 const (
-	// queuedJobs bounds calls that wait for the group's loop.
-	queuedJobs = 4096
-	// reopenPause is the wait before a failed log is read anew.
-	reopenPause = time.Second
-	// handOverTime bounds a leadership transfer at shutdown.
-	handOverTime = 1500 * time.Millisecond
+	// maxQueuedJobs bounds the jobs that wait for the group's loop.
+	maxQueuedJobs = 4096
+	// reopenDelay is the delay before a failed log is reopened.
+	reopenDelay = time.Second
+	// leadershipTransferTimeout bounds the leadership transfer at shutdown.
+	leadershipTransferTimeout = 1500 * time.Millisecond
 )
 
 var (
-	errStopped = errors.New("the replica is stopping; ask another replica")
-	errReset   = errors.New("the replica's log was read anew meanwhile; look up what became of the command")
+	errStopped     = errors.New("the replica is stopping; ask another replica")
+	errOutcomeLost = errors.New("the replica reopened or replaced its log before the command was applied; look up whether it took effect")
 )
 
-// job runs in the group's loop.
+// job is a function that the group's loop runs.
 type job func(e *engine)
 
-// sender carries messages to other replicas; it must not block.
+// sender sends messages to other replicas. Its methods must not block.
 type sender interface {
 	send(group, address string, m consensus.Message)
-	learn(id consensus.ID, address string)
+	// recordAddress stores the address that a replica last sent a message from.
+	recordAddress(id consensus.ID, address string)
+	// address returns the address of a replica, or "" if it is not known.
 	address(id consensus.ID) string
 }
 
-// group is one replicated log. Its engine is made anew after a disk failure;
-// the state machine is what the last engine applied.
+// group is a replicated log and its state machine. Its engine is replaced after
+// a disk failure; until then, readers see the machine of the failed engine.
 type group struct {
 	name   string
 	set    *settings.Settings
@@ -52,48 +54,51 @@
 	sender sender
 	events port.Events
 	meters *groupMeters
-	// now, random, newID and spawn are the outside world, for tests to replace.
-	now    func() time.Time
-	random func(n uint64) uint64
-	newID  func() consensus.ID
-	spawn  func(func())
-	limits limits
-	jobs   chan job
-	stop   chan struct{}
-	once   sync.Once
-	done   sync.WaitGroup
+	// now, random, newID and spawn are replaced by tests to make runs
+	// deterministic.
+	now      func() time.Time
+	random   func(n uint64) uint64
+	newID    func() consensus.ID
+	spawn    func(func())
+	limits   limits
+	jobs     chan job
+	stop     chan struct{}
+	stopOnce sync.Once
+	wg       sync.WaitGroup
 
 	mu      sync.Mutex
 	machine *state.Machine
-	// applied is the log index that the machine has reached.
+	// applied is the index of the last entry applied to the machine.
 	applied uint64
-	// changed is closed at the next change that watchers may want.
+	// changed is closed and replaced by notifyWatchers.
 	changed chan struct{}
-	// leaseAt and suspectAt are the indexes of the last changes.
-	leaseAt   map[string]uint64
-	suspectAt uint64
-	status    consensus.Status
-	failure   error
+	// leaseChangedAt holds the index of the last change of each lease,
+	// suspectsChangedAt that of the suspects.
+	leaseChangedAt    map[string]uint64
+	suspectsChangedAt uint64
+	status            consensus.Status
+	failure           error
 }
 
-// limits are the sizes and times that tests make small.
+// limits holds the sizes and times that tests reduce.
 type limits struct {
-	segmentBytes    int
-	snapshotEntries uint64
-	snapshotBytes   int
-	tailEntries     uint64
-	chunkBytes      uint64
-	appendBytes     int
-	leaseTicks      uint64
-	// syncEach makes each entry wait for a write and sync of its own.
-	syncEach    bool
-	expireAfter time.Duration
+	maxSegmentBytes          int
+	snapshotThresholdEntries uint64
+	snapshotThresholdBytes   int
+	retainedEntries          uint64
+	maxChunkBytes            uint64
+	maxAppendBytes           int
+	leaseDurationTicks       uint64
+	// syncEachEntry writes and syncs each entry separately; see
+	// Service.SyncEach.
+	syncEachEntry      bool
+	leaseExpiryTimeout time.Duration
 }
 
 func defaultLimits() limits {
 	return limits{
-		segmentBytes: segmentBytes, snapshotEntries: snapshotEntries, snapshotBytes: snapshotBytes, tailEntries: tailEntries,
-		chunkBytes: chunkBytes, appendBytes: appendBytes, leaseTicks: leaseTicks, expireAfter: expireAfter,
+		maxSegmentBytes: maxSegmentBytes, snapshotThresholdEntries: snapshotThresholdEntries, snapshotThresholdBytes: snapshotThresholdBytes, retainedEntries: retainedEntries,
+		maxChunkBytes: maxChunkBytes, maxAppendBytes: maxAppendBytes, leaseDurationTicks: leaseDurationTicks, leaseExpiryTimeout: leaseExpiryTimeout,
 	}
 }
 
@@ -101,29 +106,30 @@
 	return &group{
 		name: name, set: set, disk: disk, sender: out, log: log.With(zap.String("group", name)),
 		now: time.Now, random: mathrand.Uint64N, newID: newID, spawn: func(f func()) { go f() }, limits: defaultLimits(),
-		jobs: make(chan job, queuedJobs), stop: make(chan struct{}),
-		machine: state.New(), changed: make(chan struct{}), leaseAt: map[string]uint64{},
+		jobs: make(chan job, maxQueuedJobs), stop: make(chan struct{}),
+		machine: state.New(), changed: make(chan struct{}), leaseChangedAt: map[string]uint64{},
 	}
 }
 
-// newID returns a random ID for a fresh data folder.
+// newID returns a random nonzero ID for a new data folder.
 func newID() consensus.ID {
 	b := [8]byte{}
 	_, _ = rand.Read(b[:])
 	return consensus.ID(binary.LittleEndian.Uint64(b[:]) | 1)
 }
 
-// start opens the log; what is wrong with the data folder shows at once.
+// start opens the log and starts the group's loop. It returns an error if the
+// data folder is unusable.
 func (g *group) start() error {
 	e, err := openEngine(g)
 	if err != nil {
 		return err
 	}
-	g.done.Go(func() { g.run(e) })
+	g.wg.Go(func() { g.run(e) })
 	return nil
 }
 
-// run keeps an engine going until the group is closed.
+// run runs engines, one after another, until the group is closed.
 func (g *group) run(e *engine) {
 	for {
 		err := e.loop()
@@ -131,42 +137,45 @@
 		if err == nil {
 			return
 		}
-		g.fail(err)
+		g.setFailure(err)
 		e = g.reopen(errors.Is(err, errRestart))
 		if e == nil {
 			return
 		}
-		g.fail(nil)
+		g.setFailure(nil)
 	}
 }
 
-// reopen reads the log anew, again and again until that works.
+// reopen opens the log and retries after reopenDelay until that succeeds. The
+// first attempt is made at once if now is set. It returns nil if the group is
+// closed.
 func (g *group) reopen(now bool) *engine {
 	for {
-		pause := reopenPause
+		delay := reopenDelay
 		if now {
-			pause = 0
+			delay = 0
 		}
 		now = false
 		select {
 		case <-g.stop:
 			return nil
-		case <-time.After(pause):
+		case <-time.After(delay):
 		}
 		e, err := openEngine(g)
 		if err == nil {
 			return e
 		}
-		g.fail(err)
+		g.setFailure(err)
 	}
 }
 
-func (g *group) fail(err error) {
+// setFailure stores the error that health and the status report; nil clears it.
+func (g *group) setFailure(err error) {
 	g.mu.Lock()
 	g.failure = err
 	g.mu.Unlock()
 	if err != nil && !errors.Is(err, errRestart) {
-		g.log.Error("log stands still", zap.Error(err))
+		g.log.Error("group stopped, reopening its log", zap.Error(err))
 	}
 }
 
@@ -176,7 +185,7 @@
 	return g.failure
 }
 
-// do runs a job in the loop.
+// do queues a job for the group's loop; it does not wait for the job to run.
 func (g *group) do(ctx context.Context, j job) error {
 	select {
 	case g.jobs <- j:
@@ -188,30 +197,32 @@
 	}
 }
 
-// outcome is how a proposal ended.
+// outcome is the result of a proposal.
 type outcome struct {
 	result state.Result
 	index  uint64
-	// refused says that the command was not and will not be committed by this
-	// call; leader is where to go instead.
-	refused bool
-	leader  string
-	err     error
+	// refused reports that this proposal has not been and will not be committed;
+	// leaderAddress names the leader, if it is known.
+	refused       bool
+	leaderAddress string
+	err           error
 }
 
-// propose commits commands and waits until they are applied here.
+// propose submits commands and waits until each is applied on this replica,
+// refused, or its outcome can't be known. The outcomes are in the order of the
+// batch.
 func (g *group) propose(ctx context.Context, batch []*proposal) []outcome {
 	out := make([]outcome, len(batch))
 	err := error(nil)
-	if !g.limits.syncEach {
+	if !g.limits.syncEachEntry {
 		err = g.do(ctx, func(e *engine) {
 			for _, p := range batch {
-				e.take(p)
+				e.submit(p)
 			}
 		})
 	}
-	if g.limits.syncEach {
-		err = g.each(ctx, batch)
+	if g.limits.syncEachEntry {
+		err = g.submitEach(ctx, batch)
 	}
 	for i, p := range batch {
 		if err != nil {
@@ -229,21 +240,22 @@
 	return out
 }
 
-// each gives the loop one command at a time.
-func (g *group) each(ctx context.Context, batch []*proposal) error {
+// submitEach submits each command in a job of its own, for limits.syncEachEntry.
+func (g *group) submitEach(ctx context.Context, batch []*proposal) error {
 	for _, p := range batch {
-		if err := g.do(ctx, func(e *engine) { e.take(p) }); err != nil {
+		if err := g.do(ctx, func(e *engine) { e.submit(p) }); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// readRetry is how long a read waits before it is asked for again, since reads
-// are lost when leadership changes.
-const readRetry = 300 * time.Millisecond
+// readRetryInterval is the time after which a read is requested again, since
+// reads in progress are lost when the leader changes.
+const readRetryInterval = 300 * time.Millisecond
 
-// read waits until the machine here has all that was committed before the call.
+// read waits until the machine has applied every entry that was committed before
+// the call.
 func (g *group) read(ctx context.Context) error {
 	for {
 		g.mu.Lock()
@@ -256,9 +268,10 @@
 		select {
 		case <-done:
 			return nil
-		case <-time.After(readRetry):
+		case <-time.After(readRetryInterval):
 		case <-changed:
-			// A new leader, or a commit that the read may have waited for.
+			// The leader may have changed, or the read may be ready: request it
+			// again.
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-g.stop:
@@ -267,30 +280,31 @@
 	}
 }
 
-// handOver passes leadership on before a shutdown.
-func (g *group) handOver(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, handOverTime)
+// transferLeadership waits until another replica leads, up to
+// leadershipTransferTimeout.
+func (g *group) transferLeadership(ctx context.Context) {
+	ctx, cancel := context.WithTimeout(ctx, leadershipTransferTimeout)
 	defer cancel()
-	_ = g.do(ctx, func(e *engine) { e.transfer() })
+	_ = g.do(ctx, func(e *engine) { e.transferLeadership() })
 	for ctx.Err() == nil {
 		g.mu.Lock()
-		leads := g.status.Role == consensus.Leader && len(g.status.Members) > 1
+		leading := g.status.Role == consensus.Leader && len(g.status.Members) > 1
 		g.mu.Unlock()
-		if !leads {
+		if !leading {
 			return
 		}
-		time.Sleep(tick)
+		time.Sleep(tickInterval)
 	}
 }
 
 func (g *group) close() error {
-	g.once.Do(func() { close(g.stop) })
-	g.done.Wait()
+	g.stopOnce.Do(func() { close(g.stop) })
+	g.wg.Wait()
 	return nil
 }
 
-// report gives the position for operators.
-func (g *group) report() port.ReplicaStatus {
+// statusReport returns the status for operators and other replicas.
+func (g *group) statusReport() port.ReplicaStatus {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	s := g.status
--- a/internal/replica/joiner.go
+++ b/internal/replica/joiner.go
@@ -20,27 +20,27 @@
 )
 
 const (
-	// joinEvery is the pause between tries to join.
-	joinEvery = 300 * time.Millisecond
-	// joinCall bounds one call meanwhile.
-	joinCall = time.Second
-	// checkEvery is the pause between two looks whether this replica is still a
-	// member: one that was away for long may have been replaced.
-	checkEvery = 2 * time.Second
+	// joinInterval is the interval between attempts to join.
+	joinInterval = 300 * time.Millisecond
+	// joinCallTimeout bounds each RPC of an attempt.
+	joinCallTimeout = time.Second
+	// membershipCheckInterval is the interval at which a member checks that it
+	// is still one: a replica that was down for long may have been replaced.
+	membershipCheckInterval = 2 * time.Second
 )
 
-// RestoreFile is where a backup waits, below the data folder, for the group's
-// first start.
+// RestoreFile returns the path, in the data folder, of the backup that a group
+// restores when it is bootstrapped.
 func RestoreFile(dataFolder, group string) string {
 	return filepath.Join(dataFolder, "restore-"+group+".snapshot")
 }
 
-// joiner brings a replica with an empty folder into its group.
+// joiner makes a replica with an empty data folder a member of its group.
 //
-// The group begins only once: the replica whose address sorts first does it,
-// and only when every replica in the settings answers that it is empty. In all
-// other cases the replica asks to become a learner. Replicas are known by their
-// addresses; a name is learned from its owner.
+// A group is bootstrapped only once, by the replica whose address sorts first,
+// and only after every replica in the settings has answered that it is empty.
+// In all other cases the replica asks to be added as a learner. The settings
+// identify replicas by address; their names come from the replicas themselves.
 type joiner struct {
 	group *group
 	set   *settings.Settings
@@ -50,41 +50,43 @@
 
 func (j *joiner) run(ctx context.Context) {
 	for ctx.Err() == nil {
-		pause := joinEvery
-		if j.settled(ctx) {
-			pause = checkEvery
+		delay := joinInterval
+		if j.ensureMember(ctx) {
+			delay = membershipCheckInterval
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(pause):
+		case <-time.After(delay):
 		}
 	}
 }
 
-// settled makes one try and tells whether this replica is a member under its
-// present address.
-func (j *joiner) settled(ctx context.Context) bool {
-	own := j.group.report()
-	if listed(own.Members, own) && !j.removed(ctx, own) {
+// ensureMember reports whether this replica is a member under its current
+// address. If it is not, ensureMember makes one attempt to join or to bootstrap
+// the group.
+func (j *joiner) ensureMember(ctx context.Context) bool {
+	own := j.group.statusReport()
+	if listsReplica(own.Members, own) && !j.wasRemoved(ctx, own) {
 		return true
 	}
-	began, members := j.ask(ctx, own)
+	address, members := j.findGroup(ctx, own)
 	switch {
-	case began != "":
-		j.join(ctx, began, own)
-	case members != nil && len(own.Members) == 0 && j.first():
-		j.begin(ctx, members)
+	case address != "":
+		j.requestJoin(ctx, address, own)
+	case members != nil && len(own.Members) == 0 && j.isBootstrapReplica():
+		j.bootstrap(ctx, members)
 	}
 	return false
 }
 
-func listed(members []port.ReplicaMember, own port.ReplicaStatus) bool {
+// listsReplica reports whether members contains the replica under its address.
+func listsReplica(members []port.ReplicaMember, own port.ReplicaStatus) bool {
 	return slices.ContainsFunc(members, func(m port.ReplicaMember) bool { return m.ID == own.ID && m.Address == own.Address })
 }
 
-// removed tells whether another replica, at least as far in the log, does not
-// list this one any more.
-func (j *joiner) removed(ctx context.Context, own port.ReplicaStatus) bool {
+// wasRemoved reports whether a replica whose term and commit index are not
+// behind this one's no longer lists it as a member.
+func (j *joiner) wasRemoved(ctx context.Context, own port.ReplicaStatus) bool {
 	if own.Role == consensus.Leader.String() {
 		return false
 	}
@@ -92,21 +94,22 @@
 		if m.ID == own.ID {
 			continue
 		}
-		st, err := j.status(ctx, m.Address)
+		st, err := j.fetchStatus(ctx, m.Address)
 		if err != nil || st.Term < own.Term || st.Committed < own.Committed || len(st.Members) == 0 {
 			continue
 		}
-		return !listed(st.Members, own)
+		return !listsReplica(st.Members, own)
 	}
 	return false
 }
 
-// ask returns the address of a replica that has begun, or else all members-to-be
-// where all of them answered.
-func (j *joiner) ask(ctx context.Context, own port.ReplicaStatus) (string, []consensus.Member) {
+// findGroup returns the address of a replica that already belongs to a group.
+// If there is none, it returns the members to bootstrap the group with, or nil
+// unless all replicas answered.
+func (j *joiner) findGroup(ctx context.Context, own port.ReplicaStatus) (string, []consensus.Member) {
 	members := []consensus.Member{{ID: consensus.ID(own.ID), Name: own.Name, Address: own.Address}}
-	for _, address := range j.others(own) {
-		st, err := j.status(ctx, address)
+	for _, address := range j.otherAddresses(own) {
+		st, err := j.fetchStatus(ctx, address)
 		if err != nil {
 			members = nil
 			continue
@@ -121,9 +124,9 @@
 	return "", members
 }
 
-// others lists where other replicas may be: those of the settings, and those
-// that this one knew as members.
-func (j *joiner) others(own port.ReplicaStatus) []string {
+// otherAddresses returns the sorted addresses of the other replicas: those in
+// the settings and those of the members that this replica knows.
+func (j *joiner) otherAddresses(own port.ReplicaStatus) []string {
 	out := []string{}
 	for _, p := range j.set.KnownReplicas() {
 		out = append(out, p.Address)
@@ -135,8 +138,8 @@
 	return slices.DeleteFunc(slices.Compact(out), func(a string) bool { return a == own.Address })
 }
 
-// first tells whether it is this replica's part to begin the group.
-func (j *joiner) first() bool {
+// isBootstrapReplica reports whether this replica has to bootstrap the group.
+func (j *joiner) isBootstrapReplica() bool {
 	if j.set.Routing != nil && !j.set.Routing.Found {
 		return false
 	}
@@ -147,8 +150,9 @@
 	return len(addresses) > 0 && slices.Min(addresses) == j.set.Addresses.Peers
 }
 
-func (j *joiner) status(ctx context.Context, address string) (port.ReplicaStatus, error) {
-	ctx, cancel := context.WithTimeout(ctx, joinCall)
+// fetchStatus queries the status of the replica at address.
+func (j *joiner) fetchStatus(ctx context.Context, address string) (port.ReplicaStatus, error) {
+	ctx, cancel := context.WithTimeout(ctx, joinCallTimeout)
 	defer cancel()
 	st := port.ReplicaStatus{}
 	reply, err := rpc.NewDRPCLogClient(j.link.Conn(address)).Status(ctx, &rpc.ReplicaStatusRequest{Group: j.group.name})
@@ -159,8 +163,10 @@
 	return st, err
 }
 
-func (j *joiner) join(ctx context.Context, address string, own port.ReplicaStatus) {
-	ctx, cancel := context.WithTimeout(ctx, joinCall)
+// requestJoin asks the replica at address, and then the leader that it names,
+// to add this replica to the group or to update its address.
+func (j *joiner) requestJoin(ctx context.Context, address string, own port.ReplicaStatus) {
+	ctx, cancel := context.WithTimeout(ctx, joinCallTimeout)
 	defer cancel()
 	req := &rpc.ChangeRequest{Group: j.group.name, Id: own.ID, Name: own.Name, Address: own.Address}
 	reply, err := rpc.NewDRPCLogClient(j.link.Conn(address)).Change(ctx, req)
@@ -168,31 +174,33 @@
 		reply, err = rpc.NewDRPCLogClient(j.link.Conn(reply.Leader)).Change(ctx, req)
 	}
 	if err != nil {
-		j.log.Debug("join is not answered yet", zap.Error(err))
+		j.log.Debug("join request failed", zap.Error(err))
 		return
 	}
 	if _, err := os.Stat(RestoreFile(j.set.DataFolder, j.group.name)); err == nil {
-		j.log.Warn("backup is not used: the group has begun already; see docs/operations/replicas.md")
+		j.log.Warn("backup file ignored: the group already exists; see docs/operations/replicas.md")
 	}
-	j.log.Info("asked to join", zap.Bool("done", reply.Done), zap.String("why", reply.Why))
+	j.log.Info("join requested", zap.Bool("done", reply.Done), zap.String("why", reply.Why))
 }
 
-// begin starts the group with all replicas as voters.
-func (j *joiner) begin(ctx context.Context, members []consensus.Member) {
+// bootstrap starts the group with the members as voters, from the backup in
+// RestoreFile if there is one.
+func (j *joiner) bootstrap(ctx context.Context, members []consensus.Member) {
 	machine := state.New()
 	restore := RestoreFile(j.set.DataFolder, j.group.name)
-	err := readBackup(restore, machine)
+	err := restoreBackup(restore, machine)
 	if err == nil {
-		err = j.group.do(ctx, func(e *engine) { e.begin(machine, members) })
+		err = j.group.do(ctx, func(e *engine) { e.bootstrap(machine, members) })
 	}
 	if err != nil {
-		j.log.Error("group could not begin", zap.Error(err))
+		j.log.Error("failed to bootstrap the group", zap.Error(err))
 		return
 	}
 	_ = os.Remove(restore)
 }
 
-func readBackup(path string, machine *state.Machine) error {
+// restoreBackup restores machine from the file at path, if it exists.
+func restoreBackup(path string, machine *state.Machine) error {
 	b, err := os.ReadFile(path)
 	if errors.Is(err, os.ErrNotExist) {
 		return nil
@@ -207,32 +215,35 @@
 	return machine.Restore(s.Data)
 }
 
-// firstTerm and firstIndex are of the snapshot that a group begins with.
+// initialTerm and initialIndex are the term and index of a group's first
+// snapshot.
 const (
-	firstTerm  = 1
-	firstIndex = 1
+	initialTerm  = 1
+	initialIndex = 1
 )
 
-// begin writes the group's first snapshot; the engine then starts anew from it.
-func (e *engine) begin(machine *state.Machine, members []consensus.Member) {
+// bootstrap writes the first snapshot of the group and restarts the engine from
+// it. It does nothing if this replica already has members or log entries.
+func (e *engine) bootstrap(machine *state.Machine, members []consensus.Member) {
 	s := e.node.Status()
 	if len(s.Members) > 0 || s.LastIndex > 0 {
 		return
 	}
 	data, err := machine.Snapshot()
 	if err != nil {
-		e.restart = err
+		e.restartErr = err
 		return
 	}
-	// A new term, so that no vote of an earlier one is forgotten.
-	hard := consensus.HardState{Term: max(s.Term+1, firstTerm)}
-	meta := consensus.SnapshotMeta{Index: firstIndex, Term: firstTerm, Members: members, Size: uint64(len(data))}
+	// The new HardState holds no vote, so it needs a new term: a vote cast in
+	// the current term must not be lost.
+	hard := consensus.HardState{Term: max(s.Term+1, initialTerm)}
+	meta := consensus.SnapshotMeta{Index: initialIndex, Term: initialTerm, Members: members, Size: uint64(len(data))}
 	err = e.log.Save(&hard, nil)
 	if err == nil {
-		err = wal.WriteSnapshot(e.g.disk, consensus.Snapshot{Meta: meta, Data: data})
+		err = wal.WriteSnapshot(e.group.disk, consensus.Snapshot{Meta: meta, Data: data})
 	}
 	if err == nil {
 		err = errRestart
 	}
-	e.restart = err
+	e.restartErr = err
 }
--- a/internal/replica/keeper.go
+++ b/internal/replica/keeper.go
@@ -13,102 +13,113 @@
 )
 
 const (
-	// keepEvery is the pause between the leader's rounds of upkeep.
-	keepEvery = 250 * time.Millisecond
-	// goneTicks is how long a voter may be silent before another may take its
-	// place: longer than a restart, much shorter than the time within which a
-	// second loss must be borne.
-	goneTicks = 100
-	// lostTicks is how long a learner may be silent before it is removed.
-	lostTicks = 600
-	// leastVoters is the fewest voters that bear the loss of one.
-	leastVoters = 3
-	// trimStep is how far past their retention claims may get, so that one
-	// entry trims many.
-	trimStep = 10 * time.Second
-	// answerBytes bounds the recorded answers; beyond it the oldest go.
-	answerBytes = 64 << 20
+	// maintenanceInterval is the interval of the leader's maintenance of members
+	// and claims.
+	maintenanceInterval = 250 * time.Millisecond
+	// voterReplacementTicks is the time without replies after which a voter may
+	// be replaced: longer than a restart, and much shorter than the time within
+	// which a second loss must be tolerated.
+	voterReplacementTicks = 100
+	// learnerRemovalTicks is the time without replies after which a learner is
+	// removed.
+	learnerRemovalTicks = 600
+	// minFaultTolerantVoters is the smallest number of voters that tolerates the
+	// loss of one.
+	minFaultTolerantVoters = 3
+	// claimTrimDelay is how far beyond its retention a claim may get, so that
+	// one log entry trims many claims.
+	claimTrimDelay = 10 * time.Second
+	// maxAnswerBytes bounds the stored answers; beyond it the oldest are
+	// dropped.
+	maxAnswerBytes = 64 << 20
 )
 
-// keeper is the leader's upkeep of members and claims.
-type keeper struct {
-	next      time.Time
-	version   uint64
-	retention time.Duration
+// maintenance holds the state of the leader's periodic maintenance. The
+// retention is cached for the configuration version that it comes from.
+type maintenance struct {
+	nextRun       time.Time
+	configVersion uint64
+	retention     time.Duration
 }
 
-// housekeep runs at each tick.
-func (e *engine) housekeep() {
-	e.maybeSnapshot()
-	e.showStatus()
+// runMaintenance is called at each tick. The leader proposes the expiry of
+// leases and, at maintenanceInterval, changes of members and the trimming of
+// claims.
+func (e *engine) runMaintenance() {
+	e.startSnapshotIfDue()
+	e.publishStatus()
 	if e.role != consensus.Leader {
 		return
 	}
-	now := e.g.now()
+	now := e.group.now()
 	if !e.node.HasCommittedInTerm() {
 		return
 	}
-	for _, l := range e.lessor.lapsed(e.machine, now, e.g.limits.expireAfter) {
-		e.g.log.Info("lease ran out", zap.String("lease", l.Name), zap.String("holder", l.Holder))
-		e.order(state.Command{Expire: &state.Expire{Name: l.Name, Epoch: l.Epoch}})
+	for _, l := range e.lessor.expiredLeases(e.machine, now, e.group.limits.leaseExpiryTimeout) {
+		e.group.log.Info("lease expired", zap.String("lease", l.Name), zap.String("holder", l.Holder))
+		e.submitOwn(state.Command{Expire: &state.Expire{Name: l.Name, Epoch: l.Epoch}})
 	}
-	if now.Before(e.keeper.next) {
+	if now.Before(e.maintenance.nextRun) {
 		return
 	}
-	e.keeper.next = now.Add(keepEvery)
-	e.promote()
-	e.retire()
-	e.trim(now)
+	e.maintenance.nextRun = now.Add(maintenanceInterval)
+	e.promoteLearner()
+	e.removeUnresponsiveReplica()
+	e.trimClaims(now)
 }
 
-// order proposes a command of the leader's own.
-func (e *engine) order(c state.Command) {
+// submitOwn submits a command of this replica; its outcome is ignored.
+func (e *engine) submitOwn(c state.Command) {
 	data, err := json.Marshal(c)
 	if err == nil {
-		e.take(&proposal{command: c, data: data, done: make(chan outcome, 1)})
+		e.submit(&proposal{command: c, data: data, done: make(chan outcome, 1)})
 	}
 }
 
-// promote makes a learner that has caught up a voter. Where it takes the place
-// of a lost disk of the same name, the lost one's vote goes first.
-func (e *engine) promote() {
+// promoteLearner makes a learner that has caught up a voter. If an older member
+// of the same name or an unresponsive voter has to be replaced, that one is
+// removed first and the learner is promoted by a later call.
+func (e *engine) promoteLearner() {
 	s := e.node.Status()
 	for _, p := range s.Peers {
-		if !p.Member.Learner || p.MatchIndex < s.CommitIndex || p.TicksSinceReply > electionTicks {
+		if !p.Member.Learner || p.MatchIndex < s.CommitIndex || p.TicksSinceReply > electionTimeoutTicks {
 			continue
 		}
-		list := slices.Clone(s.Members)
-		old := slices.IndexFunc(list, func(m consensus.Member) bool {
+		members := slices.Clone(s.Members)
+		replaced := slices.IndexFunc(members, func(m consensus.Member) bool {
 			return m.Name == p.Member.Name && m.ID != p.Member.ID
 		})
-		if old < 0 {
-			old = silentVoter(s)
+		if replaced < 0 {
+			replaced = unresponsiveVoter(s)
 		}
-		if old >= 0 {
-			list = slices.Delete(list, old, old+1)
+		if replaced >= 0 {
+			members = slices.Delete(members, replaced, replaced+1)
 		} else {
-			i := slices.IndexFunc(list, func(m consensus.Member) bool { return m.ID == p.Member.ID })
-			list[i].Learner = false
+			i := slices.IndexFunc(members, func(m consensus.Member) bool { return m.ID == p.Member.ID })
+			members[i].Learner = false
 		}
-		_, err := e.node.ProposeMembers(list)
-		e.g.log.Info("learner has caught up", zap.String("replica", p.Member.Name), zap.Bool("replaces", old >= 0), zap.Error(err))
+		_, err := e.node.ProposeMembers(members)
+		e.group.log.Info("learner has caught up", zap.String("replica", p.Member.Name), zap.Bool("replaces", replaced >= 0), zap.Error(err))
 		return
 	}
 }
 
-// silentVoter returns the place of a voter that has been silent for long, or -1.
-func silentVoter(s consensus.Status) int {
+// unresponsiveVoter returns the index in s.Members of a voter that has not
+// replied for voterReplacementTicks, or -1.
+func unresponsiveVoter(s consensus.Status) int {
 	return slices.IndexFunc(s.Members, func(m consensus.Member) bool {
 		return !m.Learner && slices.ContainsFunc(s.Peers, func(p consensus.PeerStatus) bool {
-			return p.Member.ID == m.ID && p.TicksSinceReply > goneTicks
+			return p.Member.ID == m.ID && p.TicksSinceReply > voterReplacementTicks
 		})
 	})
 }
 
-// retire removes a silent voter where the voters are of an even number, and
-// learners that never came back. An even number bears no more losses than one
-// fewer, so the removal costs no tolerance and makes the quorum smaller.
-func (e *engine) retire() {
+// removeUnresponsiveReplica removes an unresponsive voter if the number of
+// voters is even, or else a learner that has not replied for
+// learnerRemovalTicks. An even number of voters tolerates no more losses than
+// one fewer, so the removal does not reduce fault tolerance and makes the
+// quorum smaller.
+func (e *engine) removeUnresponsiveReplica() {
 	s := e.node.Status()
 	voters := 0
 	for _, m := range s.Members {
@@ -116,39 +127,42 @@
 			voters++
 		}
 	}
-	at := -1
-	if voters > leastVoters && voters%2 == 0 {
-		at = silentVoter(s)
+	index := -1
+	if voters > minFaultTolerantVoters && voters%2 == 0 {
+		index = unresponsiveVoter(s)
 	}
 	for _, p := range s.Peers {
-		if at < 0 && p.Member.Learner && p.TicksSinceReply > lostTicks {
-			at = slices.IndexFunc(s.Members, func(m consensus.Member) bool { return m.ID == p.Member.ID })
+		if index < 0 && p.Member.Learner && p.TicksSinceReply > learnerRemovalTicks {
+			index = slices.IndexFunc(s.Members, func(m consensus.Member) bool { return m.ID == p.Member.ID })
 		}
 	}
-	if at < 0 {
+	if index < 0 {
 		return
 	}
-	gone := s.Members[at]
-	_, err := e.node.ProposeMembers(slices.Delete(slices.Clone(s.Members), at, at+1))
-	e.g.log.Info("silent replica removed", zap.String("replica", gone.Name), zap.String("address", gone.Address), zap.Error(err))
+	removed := s.Members[index]
+	_, err := e.node.ProposeMembers(slices.Delete(slices.Clone(s.Members), index, index+1))
+	e.group.log.Info("unresponsive replica removed", zap.String("replica", removed.Name), zap.String("address", removed.Address), zap.Error(err))
 }
 
-// trim drops claims past their retention and answers past their bound.
-func (e *engine) trim(now time.Time) {
+// trimClaims proposes to drop claims beyond their retention, and the oldest
+// answers beyond maxAnswerBytes.
+func (e *engine) trimClaims(now time.Time) {
 	version, _, files := e.machine.Config()
-	if e.keeper.retention == 0 || e.keeper.version != version {
-		e.keeper.version = version
-		e.keeper.retention = retention(files)
+	if e.maintenance.retention == 0 || e.maintenance.configVersion != version {
+		e.maintenance.configVersion = version
+		e.maintenance.retention = claimRetention(files)
 	}
-	keepFrom := now.Add(-e.keeper.retention)
+	keepFrom := now.Add(-e.maintenance.retention)
 	oldest, any := e.machine.OldestClaim()
-	old := any && oldest < keepFrom.Add(-trimStep).UnixMilli()
-	if old || e.machine.AnswerBytes() > answerBytes {
-		e.order(state.Command{Trim: &state.Trim{BeforeMS: keepFrom.UnixMilli(), AnswerBytes: answerBytes}})
+	overdue := any && oldest < keepFrom.Add(-claimTrimDelay).UnixMilli()
+	if overdue || e.machine.AnswerBytes() > maxAnswerBytes {
+		e.submitOwn(state.Command{Trim: &state.Trim{BeforeMS: keepFrom.UnixMilli(), AnswerBytes: maxAnswerBytes}})
 	}
 }
 
-func retention(files config.Files) time.Duration {
+// claimRetention returns the retention that the configuration declares, or the
+// default if the files are invalid.
+func claimRetention(files config.Files) time.Duration {
 	c, err := config.Merge(files)
 	if err != nil {
 		c = &config.Config{}
@@ -156,39 +170,42 @@
 	return time.Duration(c.EffectiveTimeouts().RetentionMS) * time.Millisecond
 }
 
-// change adds or moves a replica, or removes one where the ID is zero. It
-// returns true once the members are as asked for.
-func (e *engine) change(m consensus.Member) (bool, error) {
+// changeMember adds a replica as a learner, updates its address, or, if the ID
+// is zero, removes the replica of that name. It returns true once the members
+// are as requested, and consensus.NotLeaderError on a replica that does not
+// lead.
+func (e *engine) changeMember(m consensus.Member) (bool, error) {
 	s := e.node.Status()
 	if s.Role != consensus.Leader {
 		return false, &consensus.NotLeaderError{Leader: s.Leader}
 	}
-	list := slices.Clone(s.Members)
-	at := slices.IndexFunc(list, func(x consensus.Member) bool {
+	members := slices.Clone(s.Members)
+	index := slices.IndexFunc(members, func(x consensus.Member) bool {
 		return x.ID == m.ID || (m.ID == 0 && x.Name == m.Name)
 	})
 	switch {
-	case m.ID == 0 && at < 0:
+	case m.ID == 0 && index < 0:
 		return true, nil
 	case m.ID == 0:
-		list = slices.Delete(list, at, at+1)
-	case at < 0:
+		members = slices.Delete(members, index, index+1)
+	case index < 0:
 		m.Learner = true
-		list = append(list, m)
-	case list[at].Address == m.Address:
+		members = append(members, m)
+	case members[index].Address == m.Address:
 		return true, nil
 	default:
-		list[at].Address = m.Address
+		members[index].Address = m.Address
 	}
-	_, err := e.node.ProposeMembers(list)
+	_, err := e.node.ProposeMembers(members)
 	return false, err
 }
 
-// transfer hands leadership to the voter that lacks least.
-func (e *engine) transfer() {
+// transferLeadership starts a transfer to the responsive voter whose log is most
+// complete.
+func (e *engine) transferLeadership() {
 	best := consensus.PeerStatus{}
 	for _, p := range e.node.Status().Peers {
-		if !p.Member.Learner && p.TicksSinceReply <= electionTicks && p.MatchIndex >= best.MatchIndex {
+		if !p.Member.Learner && p.TicksSinceReply <= electionTimeoutTicks && p.MatchIndex >= best.MatchIndex {
 			best = p
 		}
 	}
--- a/internal/replica/lessor.go
+++ b/internal/replica/lessor.go
@@ -9,72 +9,80 @@
 	"github.com/verbenastep/verbenastep/internal/port"
 )
 
-// expireAfter is when the leader ends a lease that was not renewed: a third
-// more than its holder may count on.
-const expireAfter = port.LeaseTTL * 4 / 3
+// leaseExpiryTimeout is the time since the last renewal after which the leader
+// expires a lease. It is a third longer than the time for which the holder may
+// act on the lease.
+const leaseExpiryTimeout = port.LeaseTTL * 4 / 3
 
-// lessor knows, on the leader, when leases were renewed. A new leader does not
-// know: it extends all of them.
+// lessor tracks on the leader when leases were renewed. Renewal times are not
+// replicated, so a new leader treats all leases as renewed when its term began.
 type lessor struct {
-	term    uint64
-	since   time.Time
-	renewed map[string]time.Time
-	// expiring and acquiring count this term's commands on their way, by lease.
-	// While a lease may be about to expire, renewals go through the log, behind
-	// the Expire; while a renewal is in the log, the lease does not lapse, or
-	// the Expire behind it would end what the holder was just granted.
-	expiring  map[string]int
-	acquiring map[string]int
+	term      uint64
+	startedAt time.Time
+	renewedAt map[string]time.Time
+	// pendingExpires and pendingAcquires count the uncommitted commands of this
+	// term by lease. While an Expire is pending, renewals go through the log,
+	// so that they are ordered after it. While an Acquire is pending, the lease
+	// does not expire, because the Expire would follow the Acquire in the log
+	// and end the lease that the holder was just granted.
+	pendingExpires  map[string]int
+	pendingAcquires map[string]int
 }
 
+// reset discards all state at the start of a term.
 func (l *lessor) reset(now time.Time, term uint64) {
-	*l = lessor{term: term, since: now, renewed: map[string]time.Time{}, expiring: map[string]int{}, acquiring: map[string]int{}}
+	*l = lessor{term: term, startedAt: now, renewedAt: map[string]time.Time{}, pendingExpires: map[string]int{}, pendingAcquires: map[string]int{}}
 }
 
-// renew extends the lease of its present holder; it returns false where the
-// log must decide.
+// renew renews the lease if its current holder asks. It returns false if the
+// command has to go through the log.
 func (l *lessor) renew(m *state.Machine, a *state.Acquire, now time.Time) bool {
-	if l.expiring[a.Name] > 0 || a.Holder == "" || m.Lease(a.Name).Holder != a.Holder {
+	if l.pendingExpires[a.Name] > 0 || a.Holder == "" || m.Lease(a.Name).Holder != a.Holder {
 		return false
 	}
-	l.renewed[a.Name] = now
+	l.renewedAt[a.Name] = now
 	return true
 }
 
-// count adds to the commands on their way.
-func (l *lessor) count(p *proposal, by int) {
-	if p.term != l.term || l.renewed == nil {
+// addPending adjusts the counts of pending commands; proposals of other terms
+// are ignored.
+func (l *lessor) addPending(p *proposal, by int) {
+	if p.term != l.term || l.renewedAt == nil {
 		return
 	}
 	if c := p.command.Expire; c != nil {
-		l.expiring[c.Name] += by
+		l.pendingExpires[c.Name] += by
 	}
 	if c := p.command.Acquire; c != nil {
-		l.acquiring[c.Name] += by
+		l.pendingAcquires[c.Name] += by
 	}
 }
 
-// began notes a command that goes into the log, ended one that is applied or
-// never will be.
-func (l *lessor) began(p *proposal) { l.count(p, 1) }
-func (l *lessor) ended(p *proposal) { l.count(p, -1) }
+// proposalStarted counts a proposal as pending.
+func (l *lessor) proposalStarted(p *proposal) { l.addPending(p, 1) }
 
-func (l *lessor) applied(c state.Command, r state.Result, now time.Time) {
-	if c.Acquire != nil && r.Status == state.OK && l.renewed != nil {
-		l.renewed[c.Acquire.Name] = now
+// proposalEnded removes a proposal from the count once it is applied or can no
+// longer be.
+func (l *lessor) proposalEnded(p *proposal) { l.addPending(p, -1) }
+
+// recordRenewal stores the renewal time of an applied Acquire.
+func (l *lessor) recordRenewal(c state.Command, r state.Result, now time.Time) {
+	if c.Acquire != nil && r.Status == state.OK && l.renewedAt != nil {
+		l.renewedAt[c.Acquire.Name] = now
 	}
 }
 
-// lapsed lists the leases to end.
-func (l *lessor) lapsed(m *state.Machine, now time.Time, after time.Duration) []state.Lease {
+// expiredLeases returns the leases not renewed for longer than the timeout,
+// sorted by name.
+func (l *lessor) expiredLeases(m *state.Machine, now time.Time, timeout time.Duration) []state.Lease {
 	out := []state.Lease{}
 	for name, lease := range m.Leases() {
-		last := l.since
-		if at := l.renewed[name]; at.After(last) {
+		last := l.startedAt
+		if at := l.renewedAt[name]; at.After(last) {
 			last = at
 		}
-		idle := l.expiring[name] == 0 && l.acquiring[name] == 0
-		if lease.Holder != "" && idle && now.Sub(last) > after {
+		idle := l.pendingExpires[name] == 0 && l.pendingAcquires[name] == 0
+		if lease.Holder != "" && idle && now.Sub(last) > timeout {
 			out = append(out, lease)
 		}
 	}
--- a/internal/replica/lessor_test.go
+++ b/internal/replica/lessor_test.go
@@ -11,8 +11,8 @@
 
 const testTerm = 3
 
-// heldLease returns a lessor and a machine on which a holder has the lease.
-func heldLease(t *testing.T, now time.Time) (*lessor, *state.Machine) {
+// newHeldLease returns a lessor and a machine in which "h" holds the lease.
+func newHeldLease(t *testing.T, now time.Time) (*lessor, *state.Machine) {
 	t.Helper()
 	m := state.New()
 	result := m.Apply(state.Command{Acquire: &state.Acquire{Name: leaseName, Holder: "h"}})
@@ -22,37 +22,41 @@
 	return l, m
 }
 
-func TestLeaseWaitsForARenewalInTheLog(t *testing.T) {
-	now := epoch
-	l, m := heldLease(t, now)
+// An Expire proposed while an Acquire is in the log would follow it and end the
+// lease that the Acquire has just renewed.
+func TestLeaseDoesNotExpireWhileRenewalIsInLog(t *testing.T) {
+	now := simulationStart
+	l, m := newHeldLease(t, now)
 	acquire := &state.Acquire{Name: leaseName, Holder: "h"}
 	p := &proposal{command: state.Command{Acquire: acquire}, term: testTerm}
-	late := now.Add(expireAfter + time.Millisecond)
-	require.Len(t, l.lapsed(m, late, expireAfter), 1)
-	l.began(p)
-	require.Empty(t, l.lapsed(m, late, expireAfter), "the Expire would follow a renewal that is about to be granted")
-	l.ended(p)
-	l.applied(p.command, m.Apply(p.command), late)
-	require.Empty(t, l.lapsed(m, late, expireAfter))
-	require.Len(t, l.lapsed(m, late.Add(expireAfter+time.Millisecond), expireAfter), 1)
+	late := now.Add(leaseExpiryTimeout + time.Millisecond)
+	require.Len(t, l.expiredLeases(m, late, leaseExpiryTimeout), 1)
+	l.proposalStarted(p)
+	require.Empty(t, l.expiredLeases(m, late, leaseExpiryTimeout), "an Expire would follow the pending renewal in the log")
+	l.proposalEnded(p)
+	l.recordRenewal(p.command, m.Apply(p.command), late)
+	require.Empty(t, l.expiredLeases(m, late, leaseExpiryTimeout))
+	require.Len(t, l.expiredLeases(m, late.Add(leaseExpiryTimeout+time.Millisecond), leaseExpiryTimeout), 1)
 }
 
-func TestRenewalWaitsForAnExpireInTheLog(t *testing.T) {
-	l, m := heldLease(t, epoch)
+// A renewal answered without the log while an Expire is pending would confirm a
+// lease that is about to end.
+func TestRenewalGoesThroughLogWhileExpireIsPending(t *testing.T) {
+	l, m := newHeldLease(t, simulationStart)
 	acquire := &state.Acquire{Name: leaseName, Holder: "h"}
-	require.True(t, l.renew(m, acquire, epoch))
+	require.True(t, l.renew(m, acquire, simulationStart))
 	p := &proposal{command: state.Command{Expire: &state.Expire{Name: leaseName, Epoch: 1}}, term: testTerm}
-	l.began(p)
-	require.False(t, l.renew(m, acquire, epoch))
-	l.ended(&proposal{command: p.command, term: testTerm - 1})
-	require.False(t, l.renew(m, acquire, epoch), "an earlier term's Expire ends no wait of this term")
-	l.ended(p)
-	require.True(t, l.renew(m, acquire, epoch))
+	l.proposalStarted(p)
+	require.False(t, l.renew(m, acquire, simulationStart))
+	l.proposalEnded(&proposal{command: p.command, term: testTerm - 1})
+	require.False(t, l.renew(m, acquire, simulationStart), "an Expire of an earlier term is not counted")
+	l.proposalEnded(p)
+	require.True(t, l.renew(m, acquire, simulationStart))
 }
 
 func TestNewLeaderExtendsAllLeases(t *testing.T) {
-	l, m := heldLease(t, epoch)
-	late := epoch.Add(expireAfter + time.Millisecond)
+	l, m := newHeldLease(t, simulationStart)
+	late := simulationStart.Add(leaseExpiryTimeout + time.Millisecond)
 	l.reset(late, testTerm+1)
-	require.Empty(t, l.lapsed(m, late, expireAfter))
+	require.Empty(t, l.expiredLeases(m, late, leaseExpiryTimeout))
 }
--- a/internal/replica/meters.go
+++ b/internal/replica/meters.go
@@ -11,7 +11,7 @@
 	subsystem = "log"
 )
 
-// meters are the metrics of all groups.
+// meters holds the metrics of all groups, labelled by group.
 type meters struct {
 	commits *prometheus.CounterVec
 	sync    *prometheus.HistogramVec
@@ -40,7 +40,7 @@
 	return m
 }
 
-// groupMeters are one group's.
+// groupMeters holds the metrics of one group.
 type groupMeters struct {
 	name    string
 	commits prometheus.Counter
@@ -59,8 +59,8 @@
 	}
 }
 
-// note takes the present position.
-func (m *groupMeters) note(s consensus.Status, version uint64) {
+// update sets the gauges from the status and the configuration version.
+func (m *groupMeters) update(s consensus.Status, version uint64) {
 	m.term.Set(float64(s.Term))
 	m.version.Set(float64(version))
 	m.leader.Set(0)
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -1,9 +1,11 @@
-// Package replica is the shell around a replica's share of the replicated log:
-// it gives ticks, messages and a disk to core/consensus, applies what is
-// committed, and answers the other daemons.
+// Package replica provides the log.replica service, which runs a replica of the
+// replicated log. It drives core/consensus with ticks, messages and a disk,
+// applies committed commands to the state machine of core/state, and serves the
+// RPCs of the log to other daemons.
 //
-// Invariants: nothing is acknowledged before it is committed and applied; after
-// a failed write the group stands still until its log is read from disk anew.
+// A command is acknowledged only after it has been committed and applied. After
+// a failed write a group serves nothing until its log has been reopened from
+// disk.
 package replica
 
 import (
@@ -21,39 +23,40 @@
 	"github.com/verbenastep/verbenastep/internal/wal"
 )
 
-// Service is the "log.replica" service.
+// Service implements the "log.replica" service. It is safe for concurrent use.
 type Service struct {
 	rpc.DRPCLogUnimplementedServer
-	set    *settings.Settings
-	log    *zap.Logger
-	link   port.Link
-	router *router
-	groups map[string]*group
-	cancel context.CancelFunc
-	// SyncEach makes each entry wait for a write and sync of its own, to
-	// measure what batching gains. It must be set before Start.
+	set       *settings.Settings
+	log       *zap.Logger
+	link      port.Link
+	transport *transport
+	groups    map[string]*group
+	cancel    context.CancelFunc
+	// SyncEach writes and syncs each entry separately, to measure the gain of
+	// batching. It must be set before Start.
 	SyncEach bool
 }
 
-// LogFolder is where a group's log lies below the data folder.
+// LogFolder returns the path of a group's log in the data folder.
 func LogFolder(dataFolder, group string) string {
 	return filepath.Join(dataFolder, "log-"+group)
 }
 
-// New returns the service.
+// New returns a replica that keeps its logs in the data folder of the settings.
 func New(set *settings.Settings, log *zap.Logger) *Service {
 	return &Service{set: set, log: log.Named("replica"), groups: map[string]*group{}}
 }
 
-// Name returns the service's name.
+// Name implements kernel.Service.
 func (s *Service) Name() string { return port.NameReplica }
 
-// Needs returns the link, and who takes events and metrics.
+// Needs implements kernel.Service.
 func (s *Service) Needs() []string {
 	return []string{port.NameLink, port.NameEvents, port.NameMetrics}
 }
 
-// Start opens the groups' logs and begins to take part.
+// Start opens the logs of all groups, starts their loops and registers the RPCs
+// of the log. An unusable data folder is returned as an error.
 func (s *Service) Start(_ context.Context, k *kernel.Kernel) error {
 	err := error(nil)
 	if s.link, err = kernel.Find[port.Link](k, port.NameLink); err != nil {
@@ -69,7 +72,7 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	s.cancel = cancel
-	s.router = newRouter(ctx, s.link, s.set, s.log)
+	s.transport = newTransport(ctx, s.link, s.set, s.log)
 	meters := newMeters(metrics.Registerer())
 	for _, name := range []string{port.GroupMain} {
 		if err := s.open(ctx, name, events, meters); err != nil {
@@ -85,11 +88,11 @@
 	if err != nil {
 		return err
 	}
-	g := newGroup(name, s.set, folder, s.router, s.log)
+	g := newGroup(name, s.set, folder, s.transport, s.log)
 	g.events = events
 	if s.SyncEach {
-		g.limits.syncEach = true
-		g.limits.appendBytes = 1
+		g.limits.syncEachEntry = true
+		g.limits.maxAppendBytes = 1
 	}
 	g.meters = meters.group(name)
 	if err := g.start(); err != nil {
@@ -97,14 +100,14 @@
 	}
 	s.groups[name] = g
 	j := joiner{group: g, set: s.set, link: s.link, log: s.log}
-	g.done.Go(func() { j.run(ctx) })
+	g.wg.Go(func() { j.run(ctx) })
 	return nil
 }
 
-// UnknownGroupError says that a daemon does not hold a group.
+// UnknownGroupError reports that a daemon has no replica of a group.
 type UnknownGroupError struct{ Group string }
 
-// Error names the remedy.
+// Error implements error.
 func (e *UnknownGroupError) Error() string {
 	return fmt.Sprintf("no group %q is held here; ask a replica of that group", e.Group)
 }
@@ -116,21 +119,23 @@
 	return nil, &UnknownGroupError{Group: name}
 }
 
-// Stop hands leadership over and closes the logs.
+// Stop transfers leadership to other replicas where possible and closes the
+// logs.
 func (s *Service) Stop(ctx context.Context) error {
-	failed := error(nil)
+	err := error(nil)
 	for _, g := range s.groups {
-		g.handOver(ctx)
+		g.transferLeadership(ctx)
 	}
 	s.cancel()
 	for _, g := range s.groups {
-		failed = errors.Join(failed, g.close())
+		err = errors.Join(err, g.close())
 	}
-	s.router.wait()
-	return failed
+	s.transport.wait()
+	return err
 }
 
-// Health returns why a group stands still.
+// Health implements kernel.Service. It returns the error that stopped a group,
+// until the group's log has been reopened.
 func (s *Service) Health() error {
 	for _, g := range s.groups {
 		if err := g.health(); err != nil {
@@ -140,11 +145,11 @@
 	return nil
 }
 
-// Dump shows each group's position.
+// Dump returns the status of each group.
 func (s *Service) Dump() any {
 	out := []port.ReplicaStatus{}
 	for _, g := range s.groups {
-		out = append(out, g.report())
+		out = append(out, g.statusReport())
 	}
 	return out
 }
--- a/internal/replica/router.go
+++ b/internal/replica/router.go
@@ -14,105 +14,112 @@
 )
 
 const (
-	// queuedMessages bounds messages to one replica; beyond it they are lost,
-	// as on a broken connection.
-	queuedMessages = 1024
-	// batchBytes bounds one batch of messages.
-	batchBytes = 1 << 20
-	// signEvery is the pause between a receiver's signs of life.
-	signEvery = 300 * time.Millisecond
-	// silence is how long a stream may go without one while messages are sent.
-	silence = 1500 * time.Millisecond
-	// redialPause is the wait before a broken stream is opened anew.
-	redialPause = 100 * time.Millisecond
+	// maxQueuedMessages bounds the queue to one replica. Messages beyond it are
+	// dropped, which consensus tolerates like a broken connection.
+	maxQueuedMessages = 1024
+	// maxBatchBytes is the size at which a batch of messages is complete.
+	maxBatchBytes = 1 << 20
+	// ackInterval is the shortest interval between the acknowledgements that a
+	// receiver sends.
+	ackInterval = 300 * time.Millisecond
+	// streamTimeout is the time without an acknowledgement after which a stream
+	// is closed.
+	streamTimeout = 1500 * time.Millisecond
+	// reconnectDelay is the delay before another stream is opened.
+	reconnectDelay = 100 * time.Millisecond
 )
 
-// outgoing is a message for another replica.
-type outgoing struct {
+// outgoingMessage is a message to another replica.
+type outgoingMessage struct {
 	group   string
 	message consensus.Message
 }
 
-// router keeps one stream to each other replica, shared by all groups.
-type router struct {
+// transport sends messages over one stream per replica, shared by all groups.
+// It is safe for concurrent use.
+type transport struct {
 	ctx  context.Context
 	link port.Link
 	set  *settings.Settings
 	log  *zap.Logger
-	done sync.WaitGroup
+	wg   sync.WaitGroup
 
-	mu     sync.Mutex
-	queues map[string]chan outgoing
-	known  map[consensus.ID]string
+	mu        sync.Mutex
+	queues    map[string]chan outgoingMessage
+	addresses map[consensus.ID]string
 }
 
-func newRouter(ctx context.Context, link port.Link, set *settings.Settings, log *zap.Logger) *router {
-	return &router{ctx: ctx, link: link, set: set, log: log, queues: map[string]chan outgoing{}, known: map[consensus.ID]string{}}
+func newTransport(ctx context.Context, link port.Link, set *settings.Settings, log *zap.Logger) *transport {
+	return &transport{ctx: ctx, link: link, set: set, log: log, queues: map[string]chan outgoingMessage{}, addresses: map[consensus.ID]string{}}
 }
 
-// learn notes where a replica was heard from.
-func (r *router) learn(id consensus.ID, address string) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.known[id] = address
+// recordAddress implements sender.
+func (t *transport) recordAddress(id consensus.ID, address string) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.addresses[id] = address
 }
 
-// address returns where a replica was last heard from, empty where it was not.
-func (r *router) address(id consensus.ID) string {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return r.known[id]
+// address implements sender.
+func (t *transport) address(id consensus.ID) string {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.addresses[id]
 }
 
-// send queues a message.
-func (r *router) send(group, address string, m consensus.Message) {
+// send implements sender. It drops the message if the queue is full.
+func (t *transport) send(group, address string, m consensus.Message) {
 	select {
-	case r.queue(address) <- outgoing{group: group, message: m}:
+	case t.queueFor(address) <- outgoingMessage{group: group, message: m}:
 	default:
 	}
 }
 
-func (r *router) queue(address string) chan outgoing {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	q := r.queues[address]
+// queueFor returns the queue to an address and starts its sender on first use.
+func (t *transport) queueFor(address string) chan outgoingMessage {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	q := t.queues[address]
 	if q == nil {
-		q = make(chan outgoing, queuedMessages)
-		r.queues[address] = q
-		r.done.Go(func() { r.feed(address, q) })
+		q = make(chan outgoingMessage, maxQueuedMessages)
+		t.queues[address] = q
+		t.wg.Go(func() { t.sendLoop(address, q) })
 	}
 	return q
 }
 
-// feed keeps a stream open while there is something to send.
-func (r *router) feed(address string, q chan outgoing) {
-	for r.ctx.Err() == nil {
+// sendLoop opens a stream whenever there are messages to send, until the context
+// ends.
+func (t *transport) sendLoop(address string, q chan outgoingMessage) {
+	for t.ctx.Err() == nil {
 		select {
-		case <-r.ctx.Done():
+		case <-t.ctx.Done():
 			return
 		case m := <-q:
-			if err := r.stream(address, q, m); err != nil {
-				r.log.Debug("stream to replica ended", zap.String("address", address), zap.Error(err))
+			if err := t.sendStream(address, q, m); err != nil {
+				t.log.Debug("stream to replica ended", zap.String("address", address), zap.Error(err))
 			}
 		}
 		select {
-		case <-r.ctx.Done():
-		case <-time.After(redialPause):
+		case <-t.ctx.Done():
+		case <-time.After(reconnectDelay):
 		}
 	}
 }
 
-func (r *router) stream(address string, q chan outgoing, first outgoing) error {
-	ctx, cancel := context.WithCancel(r.ctx)
+// sendStream opens a stream and sends first and all queued messages. It returns
+// nil once nothing has been queued for half of streamTimeout.
+func (t *transport) sendStream(address string, q chan outgoingMessage, first outgoingMessage) error {
+	ctx, cancel := context.WithCancel(t.ctx)
 	defer cancel()
-	stream, err := rpc.NewDRPCLogClient(r.link.Conn(address)).Step(ctx)
+	stream, err := rpc.NewDRPCLogClient(t.link.Conn(address)).Step(ctx)
 	if err != nil {
 		return err
 	}
 	defer stream.Close()
-	// A stream on which nothing comes back is cut: the watchdog also ends a
-	// Send that blocks.
-	watchdog := time.AfterFunc(silence, cancel)
+	// The watchdog closes a stream without acknowledgements, which also unblocks
+	// a Send in progress.
+	watchdog := time.AfterFunc(streamTimeout, cancel)
 	defer watchdog.Stop()
 	go func() {
 		for {
@@ -120,17 +127,17 @@
 				cancel()
 				return
 			}
-			watchdog.Reset(silence)
+			watchdog.Reset(streamTimeout)
 		}
 	}()
-	idle := time.NewTimer(silence)
+	idle := time.NewTimer(streamTimeout)
 	defer idle.Stop()
 	next := first
 	for {
-		if err := r.sendBatch(stream, q, next); err != nil {
+		if err := t.sendBatch(stream, q, next); err != nil {
 			return err
 		}
-		idle.Reset(silence / 2)
+		idle.Reset(streamTimeout / 2)
 		select {
 		case next = <-q:
 		case <-idle.C:
@@ -141,16 +148,17 @@
 	}
 }
 
-// sendBatch sends the message and what waits behind it for the same group.
-func (r *router) sendBatch(stream rpc.DRPCLog_StepClient, q chan outgoing, next outgoing) error {
+// sendBatch sends next and the queued messages of the same group in one batch,
+// and repeats this until the queue is empty.
+func (t *transport) sendBatch(stream rpc.DRPCLog_StepClient, q chan outgoingMessage, next outgoingMessage) error {
 	for {
-		batch := &rpc.StepBatch{Group: next.group, From: r.set.Name, FromAddress: r.set.Addresses.Peers}
+		batch := &rpc.StepBatch{Group: next.group, From: t.set.Name, FromAddress: t.set.Addresses.Peers}
 		size, more := 0, false
 		for {
 			b := consensus.EncodeMessage(next.message)
 			batch.Messages = append(batch.Messages, b)
 			size += len(b)
-			if next, more = poll(q); !more || next.group != batch.Group || size > batchBytes {
+			if next, more = tryReceive(q); !more || next.group != batch.Group || size > maxBatchBytes {
 				break
 			}
 		}
@@ -160,22 +168,23 @@
 	}
 }
 
-func poll(q chan outgoing) (outgoing, bool) {
+// tryReceive returns the next queued message without blocking.
+func tryReceive(q chan outgoingMessage) (outgoingMessage, bool) {
 	select {
 	case m := <-q:
 		return m, true
 	default:
-		return outgoing{}, false
+		return outgoingMessage{}, false
 	}
 }
 
-func (r *router) wait() { r.done.Wait() }
+func (t *transport) wait() { t.wg.Wait() }
 
-// step gives messages to the loop.
+// step passes messages to the node in the group's loop.
 func (g *group) step(ctx context.Context, messages []consensus.Message) error {
 	for len(messages) > 0 {
 		n := len(messages)
-		if g.limits.syncEach {
+		if g.limits.syncEachEntry {
 			n = 1
 		}
 		part := messages[:n]
@@ -192,9 +201,10 @@
 	return nil
 }
 
-// Step takes another replica's messages.
+// Step receives the messages of another replica, and acknowledges them at most
+// once per ackInterval.
 func (s *Service) Step(stream rpc.DRPCLog_StepStream) error {
-	signed := time.Time{}
+	lastAck := time.Time{}
 	for {
 		batch, err := stream.Recv()
 		if err != nil {
@@ -210,14 +220,14 @@
 			if err != nil {
 				return err
 			}
-			s.router.learn(m.From, batch.FromAddress)
+			s.transport.recordAddress(m.From, batch.FromAddress)
 			messages = append(messages, m)
 		}
 		if err := g.step(stream.Context(), messages); err != nil {
 			return err
 		}
-		if time.Since(signed) > signEvery {
-			signed = time.Now()
+		if time.Since(lastAck) > ackInterval {
+			lastAck = time.Now()
 			if err := stream.Send(&rpc.StepBatch{Group: batch.Group, From: s.set.Name}); err != nil {
 				return err
 			}
--- a/internal/replica/schedule_test.go
+++ b/internal/replica/schedule_test.go
@@ -19,18 +19,19 @@
 )
 
 const (
-	schedules   = 1000
-	shards      = 8
-	workspace   = "workspace"
-	leaseName   = "lease"
-	faultsEnd   = 7 * time.Second
-	scheduleEnd = 12 * time.Second
+	scheduleCount = 1000
+	shardCount    = 8
+	workspace     = "workspace"
+	leaseName     = "lease"
+	faultsEnd     = 7 * time.Second
+	scheduleEnd   = 12 * time.Second
 )
 
-// lastEntries is how long the last entries may take to reach all replicas.
-const lastEntries = time.Second
+// replicationTimeout is the time within which the last entries must reach all
+// replicas.
+const replicationTimeout = time.Second
 
-// gcPercent lets garbage grow: the schedules keep little and allocate much.
+// gcPercent is high because the schedules allocate much and retain little.
 const gcPercent = 800
 
 func TestMain(m *testing.M) {
@@ -38,168 +39,176 @@
 	os.Exit(m.Run())
 }
 
-// ask sends a command to a random replica until it is answered.
-func (w *world) ask(c state.Command, tries int, answered func(state.Result)) {
+// sendCommand sends a command to the leader or a random replica, and repeats it
+// up to tries times until it is answered.
+func (sim *simulation) sendCommand(c state.Command, tries int, answered func(state.Result)) {
 	data, err := json.Marshal(c)
 	if err != nil {
-		w.check.fail("%v", err)
+		sim.checker.fail("%v", err)
 		return
 	}
 	p := &proposal{command: c, data: data, done: make(chan outcome, 1)}
-	to := w.sites[w.random.IntN(len(w.sites))]
-	if l := w.leader(); l != nil && w.chance(0.7) {
+	to := sim.replicas[sim.random.IntN(len(sim.replicas))]
+	if l := sim.leader(); l != nil && sim.chance(0.7) {
 		to = l
 	}
-	w.after(w.between(0, 5*time.Millisecond), func() {
-		to.handle(func(e *engine) { e.take(p) })
-		deadline := w.now + time.Second
-		w.waiting = append(w.waiting, func() bool {
+	sim.schedule(sim.randomDuration(0, 5*time.Millisecond), func() {
+		to.handle(func(e *engine) { e.submit(p) })
+		deadline := sim.now + time.Second
+		sim.pollers = append(sim.pollers, func() bool {
 			select {
 			case out := <-p.done:
-				w.after(w.between(0, 5*time.Millisecond), func() { w.answer(c, tries, out, answered) })
+				sim.schedule(sim.randomDuration(0, 5*time.Millisecond), func() { sim.handleOutcome(c, tries, out, answered) })
 				return true
 			default:
 			}
-			if w.now >= deadline {
-				w.answer(c, tries, outcome{refused: true}, answered)
+			if sim.now >= deadline {
+				sim.handleOutcome(c, tries, outcome{refused: true}, answered)
 			}
-			return w.now >= deadline
+			return sim.now >= deadline
 		})
 	})
 }
 
-func (w *world) answer(c state.Command, tries int, out outcome, answered func(state.Result)) {
+// handleOutcome passes a result to answered, or sends the command again.
+func (sim *simulation) handleOutcome(c state.Command, tries int, out outcome, answered func(state.Result)) {
 	switch {
 	case !out.refused && out.err == nil:
 		answered(out.result)
-	case tries > 1 && !w.quiet:
-		w.ask(c, tries-1, answered)
+	case tries > 1 && !sim.faultsEnded:
+		sim.sendCommand(c, tries-1, answered)
 	}
 }
 
-func (w *world) claims() {
-	if w.quiet {
+// claimRepeatedly claims random keys until the faults end.
+func (sim *simulation) claimRepeatedly() {
+	if sim.faultsEnded {
 		return
 	}
-	key := fmt.Sprintf("key-%d", w.random.IntN(60))
-	stream := fmt.Sprintf("stream-%d", w.random.Uint64())
-	c := &state.Claim{Workspace: workspace, Key: key, Digest: "digest", Stream: stream, AtMS: epoch.Add(w.now).UnixMilli()}
-	w.ask(state.Command{Claim: c}, 6, func(r state.Result) {
+	key := fmt.Sprintf("key-%d", sim.random.IntN(60))
+	stream := fmt.Sprintf("stream-%d", sim.random.Uint64())
+	c := &state.Claim{Workspace: workspace, Key: key, Digest: "digest", Stream: stream, AtMS: simulationStart.Add(sim.now).UnixMilli()}
+	sim.sendCommand(state.Command{Claim: c}, 6, func(r state.Result) {
 		if r.Status == state.OK || r.Status == state.Exists {
-			w.check.claimed(key, r.Claim.Stream)
+			sim.checker.checkClaim(key, r.Claim.Stream)
 		}
 	})
-	w.after(w.between(10*time.Millisecond, 120*time.Millisecond), w.claims)
+	sim.schedule(sim.randomDuration(10*time.Millisecond, 120*time.Millisecond), sim.claimRepeatedly)
 }
 
-func (w *world) applies() {
-	if w.quiet {
+// applyRepeatedly applies configurations, some of them twice, until the faults
+// end.
+func (sim *simulation) applyRepeatedly() {
+	if sim.faultsEnded {
 		return
 	}
-	files := config.Files{"a.json": json.RawMessage(fmt.Sprintf(`{"n":%d}`, w.random.Uint64()))}
-	a := &state.Apply{Base: w.check.version, Files: files, Operator: "operator"}
+	files := config.Files{"a.json": json.RawMessage(fmt.Sprintf(`{"n":%d}`, sim.random.Uint64()))}
+	a := &state.Apply{Base: sim.checker.maxVersion, Files: files, Operator: "operator"}
 	first := uint64(0)
 	answered := func(r state.Result) {
 		if r.Status != state.OK {
 			return
 		}
 		if first != 0 && r.Version != first {
-			w.check.fail("a resent change became version %d after %d", r.Version, first)
+			sim.checker.fail("a repeated change became version %d after %d", r.Version, first)
 		}
 		first = r.Version
-		w.check.accepted(r.Version, r.Digest)
+		sim.checker.checkVersion(r.Version, r.Digest)
 	}
-	for range 1 + w.random.IntN(2) {
-		w.ask(state.Command{Apply: a}, 6, answered)
+	for range 1 + sim.random.IntN(2) {
+		sim.sendCommand(state.Command{Apply: a}, 6, answered)
 	}
-	w.after(w.between(100*time.Millisecond, 600*time.Millisecond), w.applies)
+	sim.schedule(sim.randomDuration(100*time.Millisecond, 600*time.Millisecond), sim.applyRepeatedly)
 }
 
-// reads checks that a read on any replica sees what was acknowledged before.
-func (w *world) reads() {
-	s := w.sites[w.random.IntN(len(w.sites))]
-	before := w.check.acknowledged()
+// readRepeatedly checks that a read on any replica sees what was acknowledged
+// before it started.
+func (sim *simulation) readRepeatedly() {
+	s := sim.replicas[sim.random.IntN(len(sim.replicas))]
+	before := sim.checker.acknowledged()
 	done := make(chan struct{})
-	life := s.life
+	generation := s.generation
 	s.handle(func(e *engine) { e.read(done) })
-	deadline := w.now + 2*time.Second
-	w.waiting = append(w.waiting, func() bool {
-		if s.life != life || s.engine == nil {
+	deadline := sim.now + 2*time.Second
+	sim.pollers = append(sim.pollers, func() bool {
+		if s.generation != generation || s.engine == nil {
 			return true
 		}
 		select {
 		case <-done:
-			w.check.sees("a read on "+s.name(), s.engine.machine, before)
+			sim.checker.checkRead("a read on "+s.name(), s.engine.machine, before)
 			return true
 		default:
-			return w.now > deadline
+			return sim.now > deadline
 		}
 	})
-	w.after(w.between(50*time.Millisecond, 200*time.Millisecond), w.reads)
+	sim.schedule(sim.randomDuration(50*time.Millisecond, 200*time.Millisecond), sim.readRepeatedly)
 }
 
-// holder renews the lease by a clock of its own, and is silent at times.
-func (w *world) holder(name string, rate float64) {
-	if w.quiet {
+// renewLeaseRepeatedly renews the lease by a drifting clock, with occasional
+// pauses longer than the lease.
+func (sim *simulation) renewLeaseRepeatedly(name string, rate float64) {
+	if sim.faultsEnded {
 		return
 	}
-	sent := w.now
-	holds := time.Duration(float64(port.LeaseTTL) / rate)
-	w.ask(state.Command{Acquire: &state.Acquire{Name: leaseName, Holder: name}}, 1, func(r state.Result) {
+	sent := sim.now
+	duration := time.Duration(float64(port.LeaseTTL) / rate)
+	sim.sendCommand(state.Command{Acquire: &state.Acquire{Name: leaseName, Holder: name}}, 1, func(r state.Result) {
 		if r.Status == state.OK {
-			w.check.granted(w.now, name, r.Lease.Epoch, sent+holds)
+			sim.checker.checkLease(sim.now, name, r.Lease.Epoch, sent+duration)
 		}
 	})
-	pause := w.between(200*time.Millisecond, 500*time.Millisecond)
-	if w.chance(0.05) {
-		pause = w.between(time.Second, 4*time.Second)
+	pause := sim.randomDuration(200*time.Millisecond, 500*time.Millisecond)
+	if sim.chance(0.05) {
+		pause = sim.randomDuration(time.Second, 4*time.Second)
 	}
-	w.after(pause, func() { w.holder(name, rate) })
+	sim.schedule(pause, func() { sim.renewLeaseRepeatedly(name, rate) })
 }
 
-// faults brings about one fault after the other.
-func (w *world) faults() {
-	if w.quiet {
+// injectFaults injects one random fault after another until the faults end.
+func (sim *simulation) injectFaults() {
+	if sim.faultsEnded {
 		return
 	}
-	s := w.sites[w.random.IntN(len(w.sites))]
-	if l := w.leader(); l != nil && w.chance(0.4) {
+	s := sim.replicas[sim.random.IntN(len(sim.replicas))]
+	if l := sim.leader(); l != nil && sim.chance(0.4) {
 		s = l
 	}
-	switch w.random.IntN(6) {
+	switch sim.random.IntN(6) {
 	case 0:
 		if s.engine != nil {
 			s.crash()
 		}
 	case 1, 2:
-		s.disk.crashIn = 1 + w.random.IntN(12)
+		s.disk.operationsUntilCrash = 1 + sim.random.IntN(12)
 	case 3:
-		w.partition()
+		sim.partition()
 	case 4:
-		s.handle(func(e *engine) { e.transfer() })
+		s.handle(func(e *engine) { e.transferLeadership() })
 	case 5:
-		w.loseDisk(s)
+		sim.loseDisk(s)
 	}
-	w.after(w.between(50*time.Millisecond, time.Second), w.faults)
+	sim.schedule(sim.randomDuration(50*time.Millisecond, time.Second), sim.injectFaults)
 }
 
-// partition cuts one replica off, one way or both, for a while.
-func (w *world) partition() {
-	one := w.random.IntN(len(w.sites))
-	ways := 1 + w.random.IntN(3)
-	for i := range w.sites {
+// partition blocks the messages of one replica for a while, in one or both
+// directions.
+func (sim *simulation) partition() {
+	one := sim.random.IntN(len(sim.replicas))
+	ways := 1 + sim.random.IntN(3)
+	for i := range sim.replicas {
 		if i != one {
-			w.cut[[2]int{one, i}] = ways&1 != 0
-			w.cut[[2]int{i, one}] = ways&2 != 0
+			sim.blocked[[2]int{one, i}] = ways&1 != 0
+			sim.blocked[[2]int{i, one}] = ways&2 != 0
 		}
 	}
-	w.after(w.between(100*time.Millisecond, 3*time.Second), func() { clear(w.cut) })
+	sim.schedule(sim.randomDuration(100*time.Millisecond, 3*time.Second), func() { clear(sim.blocked) })
 }
 
-// loseDisk empties one replica's disk once the repair before has ended: all
-// replicas vote, by the leader's committed membership.
-func (w *world) loseDisk(s *site) {
-	l := w.leader()
+// loseDisk loses the disk of a replica, unless a previous loss is still being
+// repaired: all replicas must be voters in the leader's committed membership.
+func (sim *simulation) loseDisk(s *simReplica) {
+	l := sim.leader()
 	if l == nil || l.engine.node.Status().CommitIndex < l.engine.node.Status().LastIndex {
 		return
 	}
@@ -211,33 +220,34 @@
 		}
 		known = known || m.ID == s.id
 	}
-	if len(members) != len(w.sites) || !known || w.diskless() {
+	if len(members) != len(sim.replicas) || !known || sim.isDiskMissing() {
 		return
 	}
-	w.lost++
-	s.wipe()
+	sim.lostDisks++
+	s.loseDisk()
 }
 
-// diskless tells whether some replica's present disk does not vote: a majority
-// of disks must outlive every moment.
-func (w *world) diskless() bool {
-	l := w.leader()
+// isDiskMissing reports whether the current disk of some replica is not a
+// member. A further loss could then take the majority.
+func (sim *simulation) isDiskMissing() bool {
+	l := sim.leader()
 	members := map[consensus.ID]bool{}
 	for _, m := range l.engine.node.Status().Members {
 		members[m.ID] = true
 	}
-	for _, s := range w.sites {
-		if s.emptied || !members[s.id] {
+	for _, s := range sim.replicas {
+		if s.diskLost || !members[s.id] {
 			return true
 		}
 	}
 	return false
 }
 
-// level tells whether all replicas have applied the leader's whole log.
-func (w *world) level() bool {
-	l := w.leader()
-	for _, s := range w.sites {
+// haveAllApplied reports whether all replicas have applied the leader's whole
+// log.
+func (sim *simulation) haveAllApplied() bool {
+	l := sim.leader()
+	for _, s := range sim.replicas {
 		if l == nil || s.engine == nil || s.group.applied < l.engine.node.Status().LastIndex {
 			return false
 		}
@@ -245,86 +255,88 @@
 	return true
 }
 
-// play runs one schedule and returns the world at its end.
-func play(seed uint64, d defect) *world {
+// runSchedule runs the schedule of a seed and returns the simulation at its end.
+func runSchedule(seed uint64, d injectedDefect) *simulation {
 	size := 3
 	if seed%5 == 0 {
 		size = 5
 	}
-	w := newWorld(seed, size, d)
-	w.after(time.Second, w.claims)
-	w.after(time.Second, w.applies)
-	w.after(time.Second, w.reads)
-	w.after(2*time.Second, w.faults)
+	sim := newSimulation(seed, size, d)
+	sim.schedule(time.Second, sim.claimRepeatedly)
+	sim.schedule(time.Second, sim.applyRepeatedly)
+	sim.schedule(time.Second, sim.readRepeatedly)
+	sim.schedule(2*time.Second, sim.injectFaults)
 	for i := range 3 {
-		rate := 1 + drift*(2*w.random.Float64()-1)
-		w.after(time.Second, func() { w.holder(fmt.Sprintf("holder-%d", i), rate) })
+		rate := 1 + maxClockDrift*(2*sim.random.Float64()-1)
+		sim.schedule(time.Second, func() { sim.renewLeaseRepeatedly(fmt.Sprintf("holder-%d", i), rate) })
 	}
-	w.run(faultsEnd)
-	w.quiet = true
-	clear(w.cut)
-	for _, s := range w.sites {
-		s.disk.crashIn = 0
+	sim.run(faultsEnd)
+	sim.faultsEnded = true
+	clear(sim.blocked)
+	for _, s := range sim.replicas {
+		s.disk.operationsUntilCrash = 0
 	}
-	w.run(scheduleEnd)
-	for end := scheduleEnd + lastEntries; w.now < end && !w.level(); {
-		w.run(w.now + tick)
+	sim.run(scheduleEnd)
+	for end := scheduleEnd + replicationTimeout; sim.now < end && !sim.haveAllApplied(); {
+		sim.run(sim.now + tickInterval)
 	}
-	w.check.final(w)
-	return w
+	sim.checker.checkFinalState(sim)
+	return sim
 }
 
-// TestSchedules plays seeded schedules of crash, torn write, lost disk,
-// partition, delay, loss, repetition and leadership transfer.
+// TestSchedules runs seeded schedules of crashes, torn writes, lost disks,
+// partitions, delayed, lost and duplicated messages, and leadership transfers.
 func TestSchedules(t *testing.T) {
 	mu := sync.Mutex{}
 	acks, grants, lost := 0, 0, 0
 	t.Run("shards", func(t *testing.T) {
-		for shard := range shards {
+		for shard := range shardCount {
 			t.Run(fmt.Sprint(shard), func(t *testing.T) {
 				t.Parallel()
-				for seed := uint64(shard); seed < schedules; seed += shards {
-					w := play(seed, defect{})
-					require.Empty(t, w.check.violation, "seed %d at %v", seed, w.now)
+				for seed := uint64(shard); seed < scheduleCount; seed += shardCount {
+					sim := runSchedule(seed, injectedDefect{})
+					require.Empty(t, sim.checker.violation, "seed %d at %v", seed, sim.now)
 					mu.Lock()
-					acks += w.check.acks
-					grants += w.check.grants
-					lost += w.lost
+					acks += sim.checker.acks
+					grants += sim.checker.grants
+					lost += sim.lostDisks
 					mu.Unlock()
 				}
 			})
 		}
 	})
-	t.Logf("%d schedules: %d acknowledged writes, %d lease grants, %d lost disks", schedules, acks, grants, lost)
-	require.Greater(t, acks, schedules*10)
-	require.Greater(t, grants, schedules)
-	require.Greater(t, lost, schedules/10)
+	t.Logf("%d schedules: %d acknowledged writes, %d lease grants, %d lost disks", scheduleCount, acks, grants, lost)
+	require.Greater(t, acks, scheduleCount*10)
+	require.Greater(t, grants, scheduleCount)
+	require.Greater(t, lost, scheduleCount/10)
 }
 
-// TestSchedulesFindDefects shows that the checks see what they are for.
+// TestSchedulesFindDefects verifies that the invariant checks detect the
+// defects they are meant for, so that TestSchedules can't pass because of a
+// blind check.
 func TestSchedulesFindDefects(t *testing.T) {
 	cases := map[string]struct {
-		defect defect
-		// from is the first seed to try, shows a part of the violation that the
-		// defect leads to.
+		defect injectedDefect
+		// from is the first seed to try; shows is a part of the expected
+		// violation.
 		from  uint64
 		shows string
 	}{
-		"sync does not sync":             {defect: defect{lyingSync: true}, from: 1300, shows: "committed with terms"},
-		"emptied replica keeps its vote": {defect: defect{keepsID: true}, shows: "committed with terms"},
-		"clocks drift beyond the bound":  {defect: defect{wildClocks: true}, from: 100, shows: "lease held by"},
-		"lease ends before its holder":   {defect: defect{earlyLapse: true}, shows: "lease held by"},
+		"sync does not write to disk":    {defect: injectedDefect{skipsSync: true}, from: 1300, shows: "committed with terms"},
+		"emptied replica keeps its vote": {defect: injectedDefect{reusesID: true}, shows: "committed with terms"},
+		"clock drift exceeds the bound":  {defect: injectedDefect{excessiveDrift: true}, from: 100, shows: "lease held by"},
+		"lease expires too early":        {defect: injectedDefect{earlyExpiry: true}, shows: "lease held by"},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			for seed := c.from; seed < c.from+300; seed++ {
-				if w := play(seed, c.defect); strings.Contains(w.check.violation, c.shows) {
-					t.Logf("seed %d: %s", seed, w.check.violation)
+				if sim := runSchedule(seed, c.defect); strings.Contains(sim.checker.violation, c.shows) {
+					t.Logf("seed %d: %s", seed, sim.checker.violation)
 					return
 				}
 			}
-			require.Fail(t, "no schedule showed the defect")
+			require.Fail(t, "no schedule detected the defect")
 		})
 	}
 }
--- a/internal/replica/snapshot.go
+++ b/internal/replica/snapshot.go
@@ -9,66 +9,69 @@
 )
 
 const (
-	// snapshotEntries and snapshotBytes of log since the last snapshot lead to
-	// the next.
-	snapshotEntries = 50_000
-	snapshotBytes   = 32 << 20
-	// tailEntries stay in the log behind a snapshot, for replicas that lag a
-	// little.
-	tailEntries = 5_000
+	// snapshotThresholdEntries and snapshotThresholdBytes are the amounts of log
+	// after the last snapshot above which the next one is taken.
+	snapshotThresholdEntries = 50_000
+	snapshotThresholdBytes   = 32 << 20
+	// retainedEntries is the number of entries before a snapshot that stay in
+	// the log, so that a replica that lags slightly needs no snapshot.
+	retainedEntries = 5_000
 )
 
-// snapshotDone says that a snapshot is on disk, or why not.
-type snapshotDone struct {
+// snapshotResult is the result of writing a snapshot.
+type snapshotResult struct {
 	meta consensus.SnapshotMeta
 	err  error
 }
 
-// snapshotter writes snapshots beside the loop.
+// snapshotter holds the state of the snapshot that is written outside the
+// group's loop.
 type snapshotter struct {
-	busy bool
-	done chan snapshotDone
-	// bytes is the log's size after the last snapshot.
-	bytes int
+	inProgress bool
+	done       chan snapshotResult
+	// logBytes is the size of the log after the last compaction.
+	logBytes int
 }
 
-// maybeSnapshot begins a snapshot where the log has grown long.
-func (e *engine) maybeSnapshot() {
+// startSnapshotIfDue starts a snapshot if the log exceeds one of the thresholds
+// and no other snapshot is being written.
+func (e *engine) startSnapshotIfDue() {
 	base := e.node.SnapshotIndex()
-	long := e.g.applied-base > e.g.limits.snapshotEntries || e.log.Bytes()-e.snapshot.bytes > e.g.limits.snapshotBytes
-	if e.snapshot.busy || e.g.applied <= base || !long {
+	due := e.group.applied-base > e.group.limits.snapshotThresholdEntries || e.log.Bytes()-e.snapshot.logBytes > e.group.limits.snapshotThresholdBytes
+	if e.snapshot.inProgress || e.group.applied <= base || !due {
 		return
 	}
-	term, _ := e.node.Term(e.g.applied)
-	meta := consensus.SnapshotMeta{Index: e.g.applied, Term: term, Members: e.node.MembersAt(e.g.applied)}
+	term, _ := e.node.Term(e.group.applied)
+	meta := consensus.SnapshotMeta{Index: e.group.applied, Term: term, Members: e.node.MembersAt(e.group.applied)}
 	frozen := e.machine.Freeze()
-	e.snapshot.busy = true
-	e.g.spawn(func() { e.snapshot.done <- writeSnapshot(e.g.disk, meta, frozen) })
+	e.snapshot.inProgress = true
+	e.group.spawn(func() { e.snapshot.done <- writeSnapshot(e.group.disk, meta, frozen) })
 }
 
-func writeSnapshot(disk wal.Disk, meta consensus.SnapshotMeta, frozen state.Frozen) snapshotDone {
+func writeSnapshot(disk wal.Disk, meta consensus.SnapshotMeta, frozen state.Frozen) snapshotResult {
 	data, err := frozen.Encode()
 	if err != nil {
-		return snapshotDone{err: err}
+		return snapshotResult{err: err}
 	}
 	meta.Size = uint64(len(data))
-	return snapshotDone{meta: meta, err: wal.WriteSnapshot(disk, consensus.Snapshot{Meta: meta, Data: data})}
+	return snapshotResult{meta: meta, err: wal.WriteSnapshot(disk, consensus.Snapshot{Meta: meta, Data: data})}
 }
 
-// useSnapshot compacts the log. A snapshot that the leader's has overtaken
-// meanwhile is not used; the next start drops its file.
-func (e *engine) useSnapshot(done snapshotDone) {
-	e.snapshot.busy = false
+// compactLog removes the entries that a finished snapshot covers, except for
+// retainedEntries. A snapshot older than one installed from the leader meanwhile
+// is ignored; its file is removed when the log is next opened.
+func (e *engine) compactLog(done snapshotResult) {
+	e.snapshot.inProgress = false
 	if done.err != nil {
-		e.g.log.Warn("snapshot could not be written", zap.Error(done.err))
+		e.group.log.Warn("failed to write snapshot", zap.Error(done.err))
 		return
 	}
 	if done.meta.Index <= e.node.SnapshotIndex() {
 		return
 	}
-	tail := min(e.g.limits.tailEntries, done.meta.Index)
-	e.node.Compact(done.meta, tail)
-	e.log.UseSnapshot(done.meta, done.meta.Index-tail)
-	e.snapshot.bytes = e.log.Bytes()
-	e.g.log.Info("snapshot written", zap.Uint64("index", done.meta.Index), zap.Uint64("bytes", done.meta.Size))
+	retained := min(e.group.limits.retainedEntries, done.meta.Index)
+	e.node.Compact(done.meta, retained)
+	e.log.UseSnapshot(done.meta, done.meta.Index-retained)
+	e.snapshot.logBytes = e.log.Bytes()
+	e.group.log.Info("snapshot written", zap.Uint64("index", done.meta.Index), zap.Uint64("bytes", done.meta.Size))
 }
--- a/internal/replica/table.go
+++ b/internal/replica/table.go
@@ -8,8 +8,9 @@
 	"github.com/verbenastep/verbenastep/internal/port"
 )
 
-// ReadTable returns the route table after all that was committed before the
-// call. It fails where this replica can't be sure of that.
+// ReadTable returns the route table. The read is linearizable: it sees every
+// command committed before the call, and fails if ctx ends before the replica
+// can guarantee that.
 func (s *Service) ReadTable(ctx context.Context) (state.Publish, error) {
 	g, err := s.group(port.GroupMain)
 	if err != nil {
@@ -23,8 +24,8 @@
 	return g.machine.Table(), nil
 }
 
-// Leadership tells whether this replica leads the main group, and where the
-// leader is; the address is empty where none is known.
+// Leadership reports whether this replica leads the main group, and returns the
+// leader. The leader's address is empty if none is known.
 func (s *Service) Leadership() (leads bool, leader port.Leader) {
 	g, err := s.group(port.GroupMain)
 	if err != nil {
@@ -40,7 +41,8 @@
 	return g.status.Role == consensus.Leader, leader
 }
 
-// MemberAddresses lists the peers' addresses of the group's members, learners included.
+// MemberAddresses returns the peer addresses of the main group's members,
+// including learners.
 func (s *Service) MemberAddresses() []string {
 	g, err := s.group(port.GroupMain)
 	if err != nil {
--- a/internal/replica/watch.go
+++ b/internal/replica/watch.go
@@ -12,55 +12,58 @@
 )
 
 const (
-	// keepaliveEvery is the longest pause between updates of a watch.
-	keepaliveEvery = 300 * time.Millisecond
-	// lostKeepalives in a row without a leader end a watch, so that the daemon
-	// turns to a replica that is not cut off; together they outlast an election.
-	lostKeepalives = 5
-	// watchRead bounds the read that a watch begins with.
-	watchRead = 1500 * time.Millisecond
+	// keepaliveInterval is the longest time between two updates of a watch.
+	keepaliveInterval = 300 * time.Millisecond
+	// maxLeaderlessKeepalives is the number of consecutive keepalives without a
+	// leader after which a watch ends, so that the daemon turns to a replica
+	// that is not partitioned. Together they are longer than an election.
+	maxLeaderlessKeepalives = 5
+	// initialReadTimeout bounds the read at the start of a watch.
+	initialReadTimeout = 1500 * time.Millisecond
 )
 
 var errNoQuorum = errors.New("this replica has lost the leader; watch another one")
 
-// watcher is one daemon's position.
+// watcher holds what a watching daemon has received so far.
 type watcher struct {
 	version uint64
 	digest  string
-	// index is the log position up to which leases and suspects were sent.
-	index uint64
-	begun bool
-	// lost counts keepalives in a row without a leader.
-	lost int
-	// table is the version of the route table that was sent.
-	table uint64
+	// index is the log index up to which leases and suspects have been sent.
+	index   uint64
+	started bool
+	// leaderlessKeepalives counts consecutive keepalives without a leader.
+	leaderlessKeepalives int
+	// tableVersion is the version of the last route table sent.
+	tableVersion uint64
 }
 
-// changes is what a watcher lacks.
+// changes holds what a watcher has not received yet.
 type changes struct {
-	delta    config.Delta
-	config   bool
-	leases   []state.Lease
-	suspects []state.Suspect
-	// allSuspects says that suspects is set.
-	allSuspects bool
-	// table is set where the watcher's is older.
+	delta         config.Delta
+	configChanged bool
+	leases        []state.Lease
+	suspects      []state.Suspect
+	// suspectsChanged reports that suspects holds the complete list.
+	suspectsChanged bool
+	// table is nil if the watcher has the current one.
 	table *state.Publish
 }
 
-// Watch streams changes until the caller goes away. The first update has all
-// that was committed before the watch began.
+// Watch streams changes of configuration, leases, suspects and route table
+// until the caller cancels. The first update includes every command committed
+// before the call; later ones only what changed. The stream ends with an error
+// if this replica loses the leader.
 func (s *Service) Watch(req *rpc.WatchRequest, stream rpc.DRPCLog_WatchStream) error {
 	group := req.Group
 	g, err := s.group(group)
 	if err != nil {
 		return err
 	}
-	if err := g.readWithin(stream.Context(), watchRead); err != nil {
+	if err := g.readWithin(stream.Context(), initialReadTimeout); err != nil {
 		return err
 	}
-	w := &watcher{version: req.Version, digest: req.Digest, table: req.TableVersion}
-	keepalive := time.NewTicker(keepaliveEvery)
+	w := &watcher{version: req.Version, digest: req.Digest, tableVersion: req.TableVersion}
+	keepalive := time.NewTicker(keepaliveInterval)
 	defer keepalive.Stop()
 	for {
 		update, changed, err := g.update(w)
@@ -73,7 +76,7 @@
 		select {
 		case <-changed:
 		case <-keepalive.C:
-			if w.lost = g.leaderless(w.lost); w.lost >= lostKeepalives {
+			if w.leaderlessKeepalives = g.countLeaderless(w.leaderlessKeepalives); w.leaderlessKeepalives >= maxLeaderlessKeepalives {
 				return errNoQuorum
 			}
 		case <-stream.Context().Done():
@@ -84,7 +87,7 @@
 	}
 }
 
-// readWithin is a bounded read.
+// readWithin calls read with a timeout; its error includes errNoQuorum.
 func (g *group) readWithin(ctx context.Context, bound time.Duration) error {
 	ctx, cancel := context.WithTimeout(ctx, bound)
 	defer cancel()
@@ -94,8 +97,9 @@
 	return nil
 }
 
-// leaderless counts one more keepalive without a leader, or none.
-func (g *group) leaderless(before int) int {
+// countLeaderless returns the number of consecutive keepalives without a leader,
+// given the count before this one.
+func (g *group) countLeaderless(before int) int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.status.Leader != 0 {
@@ -104,12 +108,12 @@
 	return before + 1
 }
 
-// update returns what the watcher lacks, and a channel that is closed at the
-// next change.
+// update returns the watcher's next update and records it as sent. The channel
+// is closed at the next change.
 func (g *group) update(w *watcher) (*rpc.WatchUpdate, <-chan struct{}, error) {
 	g.mu.Lock()
-	c := g.since(w)
-	u := &rpc.WatchUpdate{Full: !w.begun, Index: g.applied, SuspectsFull: c.allSuspects}
+	c := g.changesSince(w)
+	u := &rpc.WatchUpdate{Full: !w.started, Index: g.applied, SuspectsFull: c.suspectsChanged}
 	for _, m := range g.status.Members {
 		if m.ID == g.status.Leader {
 			u.Leader, u.LeaderAddress, u.LeaderTerm = m.Name, m.Address, g.status.Term
@@ -117,14 +121,14 @@
 	}
 	if c.table != nil {
 		u.Table, u.TableVersion = c.table.Table, c.table.Version
-		w.table = c.table.Version
+		w.tableVersion = c.table.Version
 	}
 	changed := g.changed
 	w.index = g.applied
 	g.mu.Unlock()
-	w.begun = true
+	w.started = true
 	err := error(nil)
-	if c.config {
+	if c.configChanged {
 		w.version, w.digest = c.delta.Version, c.delta.Digest
 		if u.Config, err = json.Marshal(c.delta); err != nil {
 			return nil, nil, err
@@ -137,20 +141,21 @@
 	return u, changed, err
 }
 
-// since collects what the watcher lacks; the lock is held.
-func (g *group) since(w *watcher) changes {
+// changesSince returns what the watcher has not received yet. The caller holds
+// the lock.
+func (g *group) changesSince(w *watcher) changes {
 	c := changes{}
-	c.delta, c.config = g.machine.DeltaSince(w.version, w.digest)
-	for name, at := range g.leaseAt {
-		if !w.begun || at > w.index {
+	c.delta, c.configChanged = g.machine.DeltaSince(w.version, w.digest)
+	for name, at := range g.leaseChangedAt {
+		if !w.started || at > w.index {
 			c.leases = append(c.leases, g.machine.Lease(name))
 		}
 	}
-	if !w.begun || g.suspectAt > w.index {
+	if !w.started || g.suspectsChangedAt > w.index {
 		c.suspects = g.machine.Suspects()
-		c.allSuspects = true
+		c.suspectsChanged = true
 	}
-	if table := g.machine.Table(); table.Version > w.table {
+	if table := g.machine.Table(); table.Version > w.tableVersion {
 		c.table = &table
 	}
 	return c
--- a/internal/replica/watch_test.go
+++ b/internal/replica/watch_test.go
@@ -12,11 +12,11 @@
 	"github.com/verbenastep/verbenastep/internal/settings"
 )
 
-func TestWatchSendsOnlyWhatChanged(t *testing.T) {
+func TestWatchSendsOnlyChanges(t *testing.T) {
 	g := newGroup(port.GroupMain, &settings.Settings{}, nil, nil, zap.NewNop())
 	for _, name := range []string{"a", "b"} {
 		g.machine.Apply(state.Command{Acquire: &state.Acquire{Name: name, Holder: "h"}})
-		g.leaseAt[name] = 1
+		g.leaseChangedAt[name] = 1
 	}
 	g.applied = 1
 	w := &watcher{}
@@ -24,22 +24,22 @@
 	require.NoError(t, err)
 	require.True(t, first.Full)
 	require.Len(t, first.Leases, 2)
-	idle, _, err := g.update(w)
+	unchanged, _, err := g.update(w)
 	require.NoError(t, err)
-	require.Empty(t, idle.Leases)
-	require.False(t, idle.SuspectsFull)
+	require.Empty(t, unchanged.Leases)
+	require.False(t, unchanged.SuspectsFull)
 	g.machine.Apply(state.Command{Expire: &state.Expire{Name: "b", Epoch: 1}})
-	g.applied, g.leaseAt["b"] = 2, 2
-	next, _, err := g.update(w)
+	g.applied, g.leaseChangedAt["b"] = 2, 2
+	changed, _, err := g.update(w)
 	require.NoError(t, err)
-	require.Len(t, next.Leases, 1)
-	require.False(t, next.Full)
+	require.Len(t, changed.Leases, 1)
+	require.False(t, changed.Full)
 }
 
-func TestWatchEndsWithoutALeader(t *testing.T) {
+func TestLeaderlessKeepalivesAreCounted(t *testing.T) {
 	g := newGroup(port.GroupMain, &settings.Settings{}, nil, nil, zap.NewNop())
 	g.status = consensus.Status{Leader: 3}
-	require.Equal(t, 0, g.leaderless(1))
+	require.Equal(t, 0, g.countLeaderless(1))
 	g.status.Leader = 0
-	require.Equal(t, lostKeepalives, g.leaderless(lostKeepalives-1))
+	require.Equal(t, maxLeaderlessKeepalives, g.countLeaderless(maxLeaderlessKeepalives-1))
 }
--- a/internal/replica/world_test.go
+++ b/internal/replica/world_test.go
@@ -16,296 +16,303 @@
 	"github.com/verbenastep/verbenastep/internal/settings"
 )
 
-// defect is a fault put into the code under test, to show that the checks see
-// it.
-type defect struct {
-	lyingSync  bool
-	keepsID    bool
-	wildClocks bool
-	earlyLapse bool
+// injectedDefect is a fault injected into the code under test to verify that the
+// invariant checks detect it.
+type injectedDefect struct {
+	skipsSync      bool
+	reusesID       bool
+	excessiveDrift bool
+	earlyExpiry    bool
 }
 
-// world drives engines over fake disks and a fake network in virtual time.
-type world struct {
-	random *rand.Rand
-	defect defect
-	now    time.Duration
-	queue  events
-	order  int
-	sites  []*site
-	cut    map[[2]int]bool
-	quiet  bool
-	check  *checks
-	meters *groupMeters
-	lost   int
-	// waiting are looked at after each step of a replica, until they return
-	// true.
-	waiting []func() bool
-	spare   []func() bool
+// simulation runs engines on fake disks and a fake network in virtual time.
+type simulation struct {
+	random      *rand.Rand
+	defect      injectedDefect
+	now         time.Duration
+	queue       eventQueue
+	eventCount  int
+	replicas    []*simReplica
+	blocked     map[[2]int]bool
+	faultsEnded bool
+	checker     *invariantChecker
+	meters      *groupMeters
+	lostDisks   int
+	// pollers are called after each tick of a replica until they return true.
+	// sparePollers is a reused buffer.
+	pollers      []func() bool
+	sparePollers []func() bool
 }
 
-// event is something due.
+// event is a function scheduled at a virtual time. Events of the same time run
+// in the order in which they were scheduled.
 type event struct {
 	at    time.Duration
 	order int
 	do    func()
 }
 
-type events []*event
+type eventQueue []*event
 
-func (q events) Len() int { return len(q) }
-func (q events) Less(i, j int) bool {
+func (q eventQueue) Len() int { return len(q) }
+func (q eventQueue) Less(i, j int) bool {
 	return q[i].at < q[j].at || (q[i].at == q[j].at && q[i].order < q[j].order)
 }
-func (q events) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
-func (q *events) Push(x any)   { *q = append(*q, x.(*event)) }
-func (q *events) Pop() any {
+func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
+func (q *eventQueue) Push(x any)   { *q = append(*q, x.(*event)) }
+func (q *eventQueue) Pop() any {
 	old := *q
 	last := old[len(old)-1]
 	*q = old[:len(old)-1]
 	return last
 }
 
-// site is one replica's process and disk.
-type site struct {
-	w      *world
-	number int
-	label  string
-	disk   *fakeDisk
-	group  *group
-	engine *engine
-	rate   float64
-	id     consensus.ID
-	life   int
-	// emptied says that the disk was lost and no new one is in use yet.
-	emptied bool
-	checked uint64
+// simReplica is the process and the disk of a replica.
+type simReplica struct {
+	sim        *simulation
+	number     int
+	label      string
+	disk       *fakeDisk
+	group      *group
+	engine     *engine
+	clockRate  float64
+	id         consensus.ID
+	generation int
+	// diskLost reports that the disk was lost and its replacement is not in use
+	// yet.
+	diskLost     bool
+	checkedIndex uint64
 }
 
 var sharedMeters = newMeters(prometheus.NewRegistry()).group("test")
 
-// epoch is when virtual time begins.
-var epoch = time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
+// simulationStart is the start of virtual time.
+var simulationStart = time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// drift is how far each clock's rate is from the true one, at most. Two clocks
-// then differ by less than the 10 % that leases allow for.
-const drift = 0.045
+// maxClockDrift bounds the deviation of each clock's rate, as a fraction. Two
+// clocks then differ by less than the 10 % that leases allow for.
+const maxClockDrift = 0.045
 
-func newWorld(seed uint64, size int, d defect) *world {
-	w := &world{random: rand.New(rand.NewPCG(seed, 5)), defect: d, cut: map[[2]int]bool{}, check: newChecks(), meters: sharedMeters}
-	off := drift
-	if d.wildClocks {
-		off = 0.8
+func newSimulation(seed uint64, size int, d injectedDefect) *simulation {
+	sim := &simulation{random: rand.New(rand.NewPCG(seed, 5)), defect: d, blocked: map[[2]int]bool{}, checker: newInvariantChecker(), meters: sharedMeters}
+	drift := maxClockDrift
+	if d.excessiveDrift {
+		drift = 0.8
 	}
 	for i := range size {
-		s := &site{w: w, number: i, label: fmt.Sprintf("replica-%d", i), rate: 1 + off*(2*w.random.Float64()-1)}
-		s.disk = newFakeDisk(w.random)
-		s.disk.lies = d.lyingSync
-		w.sites = append(w.sites, s)
+		s := &simReplica{sim: sim, number: i, label: fmt.Sprintf("replica-%d", i), clockRate: 1 + drift*(2*sim.random.Float64()-1)}
+		s.disk = newFakeDisk(sim.random)
+		s.disk.skipsSync = d.skipsSync
+		sim.replicas = append(sim.replicas, s)
 		s.start()
 		s.tick()
 	}
 	members := []consensus.Member{}
-	for _, s := range w.sites {
+	for _, s := range sim.replicas {
 		members = append(members, s.member())
 	}
-	w.sites[0].handle(func(e *engine) { e.begin(state.New(), members) })
-	return w
+	sim.replicas[0].handle(func(e *engine) { e.bootstrap(state.New(), members) })
+	return sim
 }
 
-func (w *world) after(d time.Duration, f func()) {
-	w.order++
-	heap.Push(&w.queue, &event{at: w.now + d, order: w.order, do: f})
+func (sim *simulation) schedule(d time.Duration, f func()) {
+	sim.eventCount++
+	heap.Push(&sim.queue, &event{at: sim.now + d, order: sim.eventCount, do: f})
 }
 
-func (w *world) between(lo, hi time.Duration) time.Duration {
-	return lo + time.Duration(w.random.Int64N(int64(hi-lo)))
+func (sim *simulation) randomDuration(lo, hi time.Duration) time.Duration {
+	return lo + time.Duration(sim.random.Int64N(int64(hi-lo)))
 }
 
-func (w *world) chance(p float64) bool { return w.random.Float64() < p }
+func (sim *simulation) chance(p float64) bool { return sim.random.Float64() < p }
 
-// run goes on until a time or the first violation.
-func (w *world) run(until time.Duration) {
-	for len(w.queue) > 0 && w.queue[0].at <= until && w.check.violation == "" {
-		next := heap.Pop(&w.queue).(*event)
-		w.now = next.at
+// run processes events until a virtual time or the first violation.
+func (sim *simulation) run(until time.Duration) {
+	for len(sim.queue) > 0 && sim.queue[0].at <= until && sim.checker.violation == "" {
+		next := heap.Pop(&sim.queue).(*event)
+		sim.now = next.at
 		next.do()
 	}
-	w.now = until
+	sim.now = until
 }
 
-func (s *site) name() string { return s.label }
+func (s *simReplica) name() string { return s.label }
 
-func (s *site) member() consensus.Member {
+func (s *simReplica) member() consensus.Member {
 	return consensus.Member{ID: s.id, Name: s.name(), Address: s.name()}
 }
 
-// clock is the site's own, which drifts.
-func (s *site) clock() time.Time { return epoch.Add(time.Duration(float64(s.w.now) * s.rate)) }
+// clock returns the time by the replica's drifting clock.
+func (s *simReplica) clock() time.Time {
+	return simulationStart.Add(time.Duration(float64(s.sim.now) * s.clockRate))
+}
 
-// start opens the log; it tries again later where that fails.
-func (s *site) start() {
-	s.life++
+// start starts the process by opening the log; after a failure it restarts
+// later.
+func (s *simReplica) start() {
+	s.generation++
 	set := &settings.Settings{Name: s.name(), Addresses: settings.Addresses{Peers: s.name()}}
 	g := newGroup(port.GroupMain, set, s.disk, s, zap.NewNop())
 	g.now = s.clock
-	g.random = s.w.random.Uint64N
-	g.newID = func() consensus.ID { return consensus.ID(s.w.random.Uint64() | 1) }
-	if s.w.defect.keepsID && s.id != 0 {
+	g.random = s.sim.random.Uint64N
+	g.newID = func() consensus.ID { return consensus.ID(s.sim.random.Uint64() | 1) }
+	if s.sim.defect.reusesID && s.id != 0 {
 		g.newID = func() consensus.ID { return s.id }
 	}
 	g.spawn = func(f func()) { f() }
 	g.events = s
-	g.meters = s.w.meters
+	g.meters = s.sim.meters
 	g.limits = limits{
-		segmentBytes: 2000, snapshotEntries: 60, snapshotBytes: 1 << 20, tailEntries: 10,
-		chunkBytes: 700, appendBytes: 300, leaseTicks: leaseTicks, expireAfter: expireAfter,
+		maxSegmentBytes: 2000, snapshotThresholdEntries: 60, snapshotThresholdBytes: 1 << 20, retainedEntries: 10,
+		maxChunkBytes: 700, maxAppendBytes: 300, leaseDurationTicks: leaseDurationTicks, leaseExpiryTimeout: leaseExpiryTimeout,
 	}
-	if s.w.defect.earlyLapse {
-		g.limits.expireAfter = port.LeaseTTL / 3
+	if s.sim.defect.earlyExpiry {
+		g.limits.leaseExpiryTimeout = port.LeaseTTL / 3
 	}
 	s.group = g
 	e, err := openEngine(g)
 	if err != nil {
-		s.stopped(err)
+		s.handleStop(err)
 		return
 	}
 	s.engine = e
 	s.id = e.log.Identity().ID
-	s.emptied = false
-	s.checked = e.node.Status().CommitIndex
+	s.diskLost = false
+	s.checkedIndex = e.node.Status().CommitIndex
 }
 
-// stopped ends a life of the process; a crash takes the disk's unsynced bytes.
-func (s *site) stopped(err error) {
+// handleStop ends the process and schedules its restart. After a crash the disk
+// discards unsynced data; any other error except errRestart is a violation.
+func (s *simReplica) handleStop(err error) {
 	s.engine = nil
-	s.life++
-	pause := s.w.between(50*time.Millisecond, 2*time.Second)
+	s.generation++
+	delay := s.sim.randomDuration(50*time.Millisecond, 2*time.Second)
 	if err == errRestart {
-		pause = time.Millisecond
+		delay = time.Millisecond
 	}
 	if s.disk.crashed {
 		s.disk.crash()
 	} else if err != errRestart && err != errCrashed {
-		s.w.check.fail("%s does not start: %v", s.name(), err)
+		s.sim.checker.fail("%s does not start: %v", s.name(), err)
 	}
-	life := s.life
-	s.w.after(pause, func() {
-		if s.life == life {
+	generation := s.generation
+	s.sim.schedule(delay, func() {
+		if s.generation == generation {
 			s.start()
 		}
 	})
 }
 
-func (s *site) crash() {
+func (s *simReplica) crash() {
 	s.disk.crashed = true
-	s.stopped(errCrashed)
+	s.handleStop(errCrashed)
 }
 
-// wipe loses the disk.
-func (s *site) wipe() {
-	s.emptied = true
-	lies := s.disk.lies
-	s.disk = newFakeDisk(s.w.random)
-	s.disk.lies = lies
+// loseDisk replaces the disk by an empty one and crashes the process.
+func (s *simReplica) loseDisk() {
+	s.diskLost = true
+	skipsSync := s.disk.skipsSync
+	s.disk = newFakeDisk(s.sim.random)
+	s.disk.skipsSync = skipsSync
 	s.disk.crashed = true
-	s.stopped(errCrashed)
+	s.handleStop(errCrashed)
 }
 
-// handle runs a job as the loop does.
-func (s *site) handle(j job) {
+// handle runs a job like the engine's loop.
+func (s *simReplica) handle(j job) {
 	if s.engine == nil {
 		return
 	}
 	e := s.engine
 	e.runJob(j)
-	e.flush()
-	err := e.settle()
+	e.proposePending()
+	err := e.processEffects()
 	select {
 	case done := <-e.snapshot.done:
 		if done.err == nil {
-			e.useSnapshot(done)
+			e.compactLog(done)
 		}
 	default:
 	}
 	if err == nil {
-		err = e.restart
+		err = e.restartErr
 	}
 	if s.disk.crashed {
 		err = errCrashed
 	}
 	if err != nil {
-		s.stopped(err)
+		s.handleStop(err)
 		return
 	}
-	s.w.check.look(s)
+	s.sim.checker.checkReplica(s)
 }
 
-func (w *world) sweep() {
-	waiting := w.waiting
-	w.waiting = w.spare[:0]
-	for _, f := range waiting {
+// runPollers calls the pollers and keeps those that are not done.
+func (sim *simulation) runPollers() {
+	pollers := sim.pollers
+	sim.pollers = sim.sparePollers[:0]
+	for _, f := range pollers {
 		if !f() {
-			w.waiting = append(w.waiting, f)
+			sim.pollers = append(sim.pollers, f)
 		}
 	}
-	w.spare = waiting
+	sim.sparePollers = pollers
 }
 
-func (s *site) tick() {
-	s.handle(func(e *engine) { e.housekeep() })
-	s.w.sweep()
+func (s *simReplica) tick() {
+	s.handle(func(e *engine) { e.runMaintenance() })
+	s.sim.runPollers()
 	if s.engine != nil && len(s.engine.node.Members()) == 0 {
 		s.join()
 	}
-	s.w.after(tick+s.w.between(0, 3*time.Millisecond), s.tick)
+	s.sim.schedule(tickInterval+s.sim.randomDuration(0, 3*time.Millisecond), s.tick)
 }
 
-// join asks the leader, as the joiner does.
-func (s *site) join() {
-	for _, other := range s.w.sites {
-		if other != s && !s.w.cut[[2]int{s.number, other.number}] {
+// join asks the other replicas to add this one, like joiner.
+func (s *simReplica) join() {
+	for _, other := range s.sim.replicas {
+		if other != s && !s.sim.blocked[[2]int{s.number, other.number}] {
 			m := s.member()
-			other.handle(func(e *engine) { _, _ = e.change(m) })
+			other.handle(func(e *engine) { _, _ = e.changeMember(m) })
 		}
 	}
 }
 
-// send is the network: it delays, loses, repeats and reorders.
-func (s *site) send(_, address string, m consensus.Message) {
+// send implements sender. It delays, drops, duplicates and reorders messages.
+func (s *simReplica) send(_, address string, m consensus.Message) {
 	b := consensus.EncodeMessage(m)
 	copies := 1
-	if !s.w.quiet && s.w.chance(0.03) {
-		copies = s.w.random.IntN(3)
+	if !s.sim.faultsEnded && s.sim.chance(0.03) {
+		copies = s.sim.random.IntN(3)
 	}
 	for range copies {
-		delay := s.w.between(time.Millisecond, 15*time.Millisecond)
-		if !s.w.quiet && s.w.chance(0.02) {
-			delay = s.w.between(0, 900*time.Millisecond)
+		delay := s.sim.randomDuration(time.Millisecond, 15*time.Millisecond)
+		if !s.sim.faultsEnded && s.sim.chance(0.02) {
+			delay = s.sim.randomDuration(0, 900*time.Millisecond)
 		}
-		s.w.after(delay, func() { s.w.deliver(s.number, address, b) })
+		s.sim.schedule(delay, func() { s.sim.deliver(s.number, address, b) })
 	}
 }
 
-func (w *world) deliver(from int, address string, b []byte) {
-	for _, to := range w.sites {
-		if to.name() != address || w.cut[[2]int{from, to.number}] {
+func (sim *simulation) deliver(from int, address string, b []byte) {
+	for _, to := range sim.replicas {
+		if to.name() != address || sim.blocked[[2]int{from, to.number}] {
 			continue
 		}
 		m, err := consensus.DecodeMessage(b)
 		if err != nil {
-			w.check.fail("message is not readable: %v", err)
+			sim.checker.fail("message can't be decoded: %v", err)
 			return
 		}
 		to.handle(func(e *engine) { e.node.Step(m) })
 	}
 }
 
-func (s *site) learn(consensus.ID, string) {}
+func (s *simReplica) recordAddress(consensus.ID, string) {}
 
-// address finds a replica that is no member yet.
-func (s *site) address(id consensus.ID) string {
-	for _, other := range s.w.sites {
+// address implements sender; it also finds replicas that are not members yet.
+func (s *simReplica) address(id consensus.ID) string {
+	for _, other := range s.sim.replicas {
 		if other.id == id {
 			return other.name()
 		}
@@ -313,13 +320,13 @@
 	return ""
 }
 
-// Record takes no event.
-func (s *site) Record(promise.Event) {}
+// Record implements port.Events.
+func (s *simReplica) Record(promise.Event) {}
 
-// leader returns the site that leads the newest term.
-func (w *world) leader() *site {
-	best := (*site)(nil)
-	for _, s := range w.sites {
+// leader returns the leader of the newest term, or nil.
+func (sim *simulation) leader() *simReplica {
+	best := (*simReplica)(nil)
+	for _, s := range sim.replicas {
 		if s.engine == nil || s.engine.node.Status().Role != consensus.Leader {
 			continue
 		}
