--- a/internal/brokerclient/client.go
+++ b/internal/brokerclient/client.go
@@ -114,7 +114,7 @@
 }
 
 // Name returns the service's name.
-func (s *Service) Name() string { return port.NameWork }
+func (s *Service) Name() string { return port.NameBrokerClient }
 
 // Needs returns the services that Start looks up; the view knows the leader.
 func (s *Service) Needs() []string { return []string{port.NameLink, port.NameView, port.NameMetrics} }
@@ -146,32 +146,32 @@
 // Acquire offers a request and waits for a grant. It returns a *fault.Error if the request
 // is refused, or the context's error if that ends first. The caller must call End of the
 // ticket once the request has ended; further calls have no effect.
-func (s *Service) Acquire(ctx context.Context, o port.WorkOffer) (port.WorkTicket, error) {
+func (s *Service) Acquire(ctx context.Context, o port.BrokerOffer) (port.BrokerTicket, error) {
 	a := s.offer(o)
 	select {
 	case <-a.settled:
 	case <-ctx.Done():
 		if s.cancelOffer(a) {
-			return port.WorkTicket{}, ctx.Err()
+			return port.BrokerTicket{}, ctx.Err()
 		}
 		<-a.settled
 	}
 	if a.failure != nil {
-		return port.WorkTicket{}, a.failure
+		return port.BrokerTicket{}, a.failure
 	}
 	end := sync.Once{}
-	return port.WorkTicket{Grant: a.grant, By: a.by, End: func(e broker.End) { end.Do(func() { s.end(a, e) }) }}, nil
+	return port.BrokerTicket{Grant: a.grant, GrantedBy: a.by, End: func(e broker.End) { end.Do(func() { s.end(a, e) }) }}, nil
 }
 
 // offer offers a request to the broker of the session, or to the local broker without one.
-func (s *Service) offer(o port.WorkOffer) *acquisition {
+func (s *Service) offer(o port.BrokerOffer) *acquisition {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.lastNumber++
 	a := &acquisition{offer: o.Offer, settled: make(chan struct{})}
 	a.offer.ID = broker.ID{Entry: s.self, Number: s.lastNumber}
-	a.offer.Aim = o.AimAt.Sub(s.started)
-	a.offer.Latest = a.offer.Aim + o.Late
+	a.offer.Aim = o.LatencyTargetAt.Sub(s.started)
+	a.offer.Latest = a.offer.Aim + o.LatencyGrace
 	a.offer.Deadline = o.DeadlineAt.Sub(s.started)
 	s.waiting[s.lastNumber] = a
 	if s.attached {
--- a/internal/brokerclient/session_test.go
+++ b/internal/brokerclient/session_test.go
@@ -154,11 +154,11 @@
 }
 
 // acquire acquires an upstream of the only pool.
-func acquire(s *Service) (port.WorkTicket, error) {
+func acquire(s *Service) (port.BrokerTicket, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	at := time.Now().Add(testTimeout)
-	return s.Acquire(ctx, port.WorkOffer{Offer: broker.Offer{Pool: "p"}, AimAt: at, DeadlineAt: at})
+	return s.Acquire(ctx, port.BrokerOffer{Offer: broker.Offer{Pool: "p"}, LatencyTargetAt: at, DeadlineAt: at})
 }
 
 func (s *Service) isAttached() bool {
@@ -173,7 +173,7 @@
 	s, c := newEntry(t, 1)
 	ticket, err := acquire(s)
 	require.NoError(t, err, "without a broker the local broker grants")
-	require.Equal(t, byEntry, ticket.By)
+	require.Equal(t, byEntry, ticket.GrantedBy)
 	require.Eventually(t, func() bool { return c[0].check(func(c *control) bool { return c.sessions > 0 }) }, testTimeout, time.Millisecond)
 	c[0].set(func(c *control) { c.leads, c.leader = true, c.address })
 	require.Eventually(t, func() bool {
@@ -207,7 +207,7 @@
 	require.Eventually(t, func() bool { return !s.isAttached() }, testTimeout, time.Millisecond)
 	ticket, err := acquire(s)
 	require.NoError(t, err)
-	require.Equal(t, byEntry, ticket.By)
+	require.Equal(t, byEntry, ticket.GrantedBy)
 	c[1].set(func(x *control) { x.leads, x.leader = true, x.address })
 	require.Eventually(t, s.isAttached, testTimeout, time.Millisecond)
 	require.Eventually(t, func() bool { return c[1].check(func(x *control) bool { return x.offered[ticket.ID.Number] }) }, testTimeout, time.Millisecond)
@@ -222,7 +222,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 50*time.Millisecond)
 	defer cancel()
 	at := time.Now().Add(testTimeout)
-	_, err := s.Acquire(ctx, port.WorkOffer{Offer: broker.Offer{Pool: "p"}, AimAt: at, DeadlineAt: at})
+	_, err := s.Acquire(ctx, port.BrokerOffer{Offer: broker.Offer{Pool: "p"}, LatencyTargetAt: at, DeadlineAt: at})
 	require.ErrorIs(t, err, context.DeadlineExceeded)
 	s.mu.Lock()
 	s.handleGrant(broker.Grant{ID: broker.ID{Number: 1}, Upstream: "u", Address: "a"})
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -139,7 +139,7 @@
 // localLoad returns the entry's load in units of 1/loadScale, zero until the
 // entry, which starts after this service, is registered.
 func (s *Service) localLoad() uint32 {
-	l, err := kernel.Find[port.Loader](s.kernel, port.NameEntry)
+	l, err := kernel.Find[port.LoadReporter](s.kernel, port.NameEntry)
 	if err != nil {
 		return 0
 	}
@@ -254,9 +254,9 @@
 	return toPortMember(m), ok && m.Status.IsLive()
 }
 
-// Announce tells the other daemons that this one drains and accepts no new
+// AnnounceDrain tells the other daemons that this one drains and accepts no new
 // callers.
-func (s *Service) Announce() {
+func (s *Service) AnnounceDrain() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.isLeaving = true
--- a/internal/replica/joiner.go
+++ b/internal/replica/joiner.go
@@ -140,7 +140,7 @@
 
 // isBootstrapReplica reports whether this replica has to bootstrap the group.
 func (j *joiner) isBootstrapReplica() bool {
-	if j.set.Routing != nil && !j.set.Routing.Found {
+	if j.set.Routing != nil && !j.set.Routing.BootstrapLog {
 		return false
 	}
 	addresses := []string{}
