--- a/internal/link/link.go
+++ b/internal/link/link.go
@@ -75,8 +75,8 @@
 // register on its mux, and Serve is called after all of them have started.
 func (s *Service) Needs() []string { return nil }
 
-// Start loads the peer secret and the TLS files and opens the listener. Calls are
-// answered only after Serve.
+// Start loads the peer secret and the TLS files and opens the listener. Calls
+// are answered only after Serve.
 func (s *Service) Start(context.Context, *kernel.Kernel) error {
 	if err := s.loadSecret(); err != nil {
 		return err
@@ -169,8 +169,8 @@
 	traffic *traffic
 }
 
-// HandleRPC implements drpc.Handler. It compares the secrets in constant time and
-// passes the call to the next handler.
+// HandleRPC implements drpc.Handler. It compares the secrets in constant time
+// and passes the call to the next handler.
 func (h authHandler) HandleRPC(stream drpc.Stream, rpc string) error {
 	pairs, _ := drpcmetadata.Get(stream.Context())
 	given := sha256.Sum256([]byte(pairs[peerSecretKey]))
--- a/internal/link/traffic.go
+++ b/internal/link/traffic.go
@@ -25,8 +25,8 @@
 	countersByCall map[string]*callCounters
 }
 
-// callCounters holds the metrics of one RPC, and the bytes sent and received since
-// the last log message.
+// callCounters holds the metrics of one RPC, and the bytes sent and received
+// since the last log message.
 type callCounters struct {
 	sent, received                 prometheus.Counter
 	sentSinceLog, receivedSinceLog atomic.Int64
@@ -64,8 +64,8 @@
 	c.receivedSinceLog.Add(int64(n))
 }
 
-// takeFields returns the log fields with the bytes per RPC since the previous call
-// and resets them. RPCs without traffic are left out.
+// takeFields returns the log fields with the bytes per RPC since the previous
+// call and resets them. RPCs without traffic are left out.
 func (t *traffic) takeFields() []zap.Field {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/logclient/logclient.go
+++ b/internal/logclient/logclient.go
@@ -24,7 +24,8 @@
 const (
 	// attemptTimeout bounds one attempt at one replica.
 	attemptTimeout = 800 * time.Millisecond
-	// callTimeout bounds all attempts of one call; it is longer than an election.
+	// callTimeout bounds all attempts of one call; it is longer than an
+	// election.
 	callTimeout = 5 * time.Second
 	// initialBackoff and maxBackoff bound the exponential backoff between
 	// attempts.
@@ -171,8 +172,8 @@
 // Stop implements kernel.Service; it does nothing.
 func (s *Service) Stop(context.Context) error { return nil }
 
-// Health implements kernel.Service. It always returns nil; the state of the log is
-// reported by the replicas.
+// Health implements kernel.Service. It always returns nil; the state of the log
+// is reported by the replicas.
 func (s *Service) Health() error { return nil }
 
 // Dump returns the known replicas and the last known leader of each group.
--- a/internal/logclient/propose.go
+++ b/internal/logclient/propose.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	// maxCallsInFlight bounds the concurrent Propose calls to one group; commands
-	// that arrive meanwhile are batched into the next call.
+	// maxCallsInFlight bounds the concurrent Propose calls to one group;
+	// commands that arrive meanwhile are batched into the next call.
 	maxCallsInFlight = 4
 	// maxBatchCommands and maxBatchBytes bound the commands of one call.
 	maxBatchCommands = 512
@@ -44,15 +44,17 @@
 	callsInFlight int
 }
 
-// idempotent reports whether committing the command twice has the same effect and
-// result as committing it once. A Suspect command counts crashes, so it is not.
+// idempotent reports whether committing the command twice has the same effect
+// and result as committing it once. A Suspect command counts crashes, so it is
+// not.
 func idempotent(c state.Command) bool {
 	return c.Suspect == nil
 }
 
-// Propose commits a command through the leader and returns its result. It returns
-// fault.Unavailable if the command was certainly not committed, fault.Unknown if
-// it may have been, and fault.TooLarge if it exceeds port.MaxCommandBytes.
+// Propose commits a command through the leader and returns its result. It
+// returns fault.Unavailable if the command was certainly not committed,
+// fault.Unknown if it may have been, and fault.TooLarge if it exceeds
+// port.MaxCommandBytes.
 func (s *Service) Propose(ctx context.Context, group string, c state.Command) (state.Result, error) {
 	data, err := json.Marshal(c)
 	if err != nil {
@@ -106,8 +108,8 @@
 	}
 }
 
-// nextBatch removes the next batch from the queue. An empty batch ends the sender,
-// whose call is no longer counted.
+// nextBatch removes the next batch from the queue. An empty batch ends the
+// sender, whose call is no longer counted.
 func (s *Service) nextBatch(q *queue) []*pendingCommand {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -144,8 +146,8 @@
 	}
 }
 
-// settleBatch delivers the results of an attempt and returns the commands to send
-// again.
+// settleBatch delivers the results of an attempt and returns the commands to
+// send again.
 func settleBatch(batch []*pendingCommand, reply *rpc.ProposeReply, err error) []*pendingCommand {
 	remaining := []*pendingCommand{}
 	for i, c := range batch {
--- a/internal/logclient/replicas.go
+++ b/internal/logclient/replicas.go
@@ -39,14 +39,16 @@
 	return st
 }
 
-// Remove removes the named replica from the group and returns once the change has
-// committed. It returns fault.Unavailable if that takes longer than callTimeout.
+// Remove removes the named replica from the group and returns once the change
+// has committed. It returns fault.Unavailable if that takes longer than
+// callTimeout.
 func (s *Service) Remove(ctx context.Context, group, name string) error {
 	reason := ""
 	_, err := s.callLeader(ctx, group, true, func(ctx context.Context, log rpc.DRPCLogClient) (attemptResult, error) {
 		reply, err := log.Change(ctx, &rpc.ChangeRequest{Group: group, Name: name})
 		reason = reply.GetWhy()
-		// The change is asynchronous: the leader is asked again until it is done.
+		// The change is asynchronous: the leader is asked again until it is
+		// done.
 		return attemptResult{refused: !reply.GetDone(), leader: reply.GetLeader()}, err
 	})
 	if err != nil {
