--- a/internal/logbench/measure.go
+++ b/internal/logbench/measure.go
@@ -132,7 +132,7 @@
 	}
 	none := func(consensus.Entry) (state.Command, bool) { return state.Command{}, false }
 	for part := range slices.Chunk(saved.Entries, entriesApplied) {
-		for _, d := range replica.DecodeAll(part, none) {
+		for _, d := range replica.DecodeCommands(part, none) {
 			machine.Apply(d.Command)
 		}
 	}
--- a/internal/replica/apply.go
+++ b/internal/replica/apply.go
@@ -34,7 +34,7 @@
 func (e *engine) applyEntries(entries []consensus.Entry) []proposalResult {
 	results := []proposalResult{}
 	notify := false
-	decoded := DecodeAll(entries, e.proposedCommand)
+	decoded := DecodeCommands(entries, e.proposedCommand)
 	e.group.mu.Lock()
 	defer e.group.mu.Unlock()
 	for i, entry := range entries {
@@ -50,7 +50,7 @@
 			p = nil
 		}
 		e.group.applied = entry.Index
-		if !decoded[i].Is {
+		if !decoded[i].IsCommand {
 			continue
 		}
 		c := decoded[i].Command
--- a/internal/replica/decode.go
+++ b/internal/replica/decode.go
@@ -13,19 +13,19 @@
 // costs more than it saves.
 const minEntriesPerWorker = 64
 
-// Decoded is the decoded command of a log entry.
-type Decoded struct {
+// DecodedEntry is the decoded command of a log entry.
+type DecodedEntry struct {
 	Command state.Command
-	// Is reports that the entry contains a command. A command that can't be
+	// IsCommand reports that the entry contains a command. A command that can't be
 	// decoded is empty, which has no effect on any replica.
-	Is bool
+	IsCommand bool
 }
 
-// DecodeAll decodes the commands of log entries, in parallel if there are many.
+// DecodeCommands decodes the commands of log entries, in parallel if there are many.
 // An entry for which known returns a command is not decoded; known must be safe
 // for concurrent use.
-func DecodeAll(entries []consensus.Entry, known func(consensus.Entry) (state.Command, bool)) []Decoded {
-	out := make([]Decoded, len(entries))
+func DecodeCommands(entries []consensus.Entry, known func(consensus.Entry) (state.Command, bool)) []DecodedEntry {
+	out := make([]DecodedEntry, len(entries))
 	perWorker := max(minEntriesPerWorker, (len(entries)+runtime.GOMAXPROCS(0)-1)/runtime.GOMAXPROCS(0))
 	if len(entries) <= perWorker {
 		decodeInto(out, entries, known)
@@ -40,12 +40,12 @@
 	return out
 }
 
-func decodeInto(out []Decoded, entries []consensus.Entry, known func(consensus.Entry) (state.Command, bool)) {
+func decodeInto(out []DecodedEntry, entries []consensus.Entry, known func(consensus.Entry) (state.Command, bool)) {
 	for i, e := range entries {
 		if e.Kind != consensus.EntryCommand {
 			continue
 		}
-		out[i].Is = true
+		out[i].IsCommand = true
 		c, ok := known(e)
 		if !ok && json.Unmarshal(e.Data, &c) != nil {
 			c = state.Command{}
