--- a/internal/capacity/membership.go
+++ b/internal/capacity/membership.go
@@ -40,10 +40,10 @@
 	for i := range n {
 		address := fmt.Sprintf("10.0.%d.%d:7200", i/256, i%256)
 		self := detector.State{Name: fmt.Sprintf("daemon-%04d", i), Incarnation: 1_790_000_000_000_000_000, Info: detector.Info{
-			Region: "region-1", DataCentre: "region-1-a", Peers: address,
-			Callers: fmt.Sprintf("10.0.%d.%d:7100", i/256, i%256), Upstreams: fmt.Sprintf("10.0.%d.%d:7300", i/256, i%256), Version: 41_000,
+			Region: "region-1", DataCentre: "region-1-a", PeerAddress: address,
+			CallerAddress: fmt.Sprintf("10.0.%d.%d:7100", i/256, i%256), UpstreamAddress: fmt.Sprintf("10.0.%d.%d:7300", i/256, i%256), ConfigVersion: 41_000,
 		}}
-		f.machines[address] = detector.New(self, []string{"10.0.0.0:7200"}, detector.Defaults(), rand.New(rand.NewPCG(memberSeed, uint64(i))))
+		f.machines[address] = detector.New(self, []string{"10.0.0.0:7200"}, detector.DefaultOptions(), rand.New(rand.NewPCG(memberSeed, uint64(i))))
 		f.addresses = append(f.addresses, address)
 	}
 	return f
@@ -63,15 +63,15 @@
 // counts both.
 func (f *fleet) deliver(from *detector.Machine, requests []detector.Request) {
 	for _, r := range requests {
-		to, ok := f.machines[r.To]
+		to, ok := f.machines[r.Address]
 		if !ok {
-			f.deliver(from, from.Failed(f.now, r.ID))
+			f.deliver(from, from.HandleFailure(f.now, r.ID))
 			continue
 		}
-		reply, _ := to.Receive(f.now, r)
+		reply, _ := to.HandleRequest(f.now, r)
 		f.messageCount += 2
 		f.messageBytes += proto.Size(member.EncodeRequest(from.Self().Name, r)) + proto.Size(member.EncodeReply(reply))
-		f.deliver(from, from.Acked(f.now, r.ID, reply))
+		f.deliver(from, from.HandleReply(f.now, r.ID, reply))
 	}
 }
 
--- a/internal/logbench/measure.go
+++ b/internal/logbench/measure.go
@@ -137,7 +137,7 @@
 	}
 	noCache := func(consensus.Entry) (state.Command, bool) { return state.Command{}, false }
 	for batch := range slices.Chunk(stored.Entries, entriesPerApply) {
-		for _, d := range replica.DecodeAll(batch, noCache) {
+		for _, d := range replica.DecodeCommands(batch, noCache) {
 			machine.Apply(d.Command)
 		}
 	}
@@ -164,7 +164,7 @@
 	if err != nil {
 		return err
 	}
-	meta := consensus.Meta{Index: claimsInSnapshot, Term: 1, Size: uint64(len(data))}
+	meta := consensus.SnapshotMeta{Index: claimsInSnapshot, Term: 1, Size: uint64(len(data))}
 	if err := wal.WriteSnapshot(disk, consensus.Snapshot{Meta: meta, Data: data}); err != nil {
 		return err
 	}
@@ -177,7 +177,7 @@
 			}
 			entries = append(entries, consensus.Entry{Term: 1, Index: uint64(i) + 1, Data: data})
 		}
-		if err := log.Save(&consensus.Hard{Term: 1}, entries); err != nil {
+		if err := log.Save(&consensus.HardState{Term: 1}, entries); err != nil {
 			return err
 		}
 	}
