--- a/internal/matrix/apply.go
+++ b/internal/matrix/apply.go
@@ -10,171 +10,178 @@
 	"github.com/verbenastep/verbenastep/core/state"
 )
 
-// Steps of an apply.
+// Steps of an apply of a configuration.
 const (
-	atSent       step = "sent"
-	atCommitted  step = "committed"
-	atAnswered   step = "answered"
-	atSpread     step = "in force on one"
-	atEverywhere step = "in force everywhere"
+	stepSent              step = "sent"
+	stepCommitted         step = "committed"
+	stepAnswered          step = "answered"
+	stepInForceOnOne      step = "in force on one"
+	stepInForceEverywhere step = "in force everywhere"
 )
 
 func applySteps() []step {
-	return []step{atSent, atCommitted, atAnswered, atSpread, atEverywhere}
+	return []step{stepSent, stepCommitted, stepAnswered, stepInForceOnOne, stepInForceEverywhere}
 }
 
 const (
-	// forceBound is the target for an accepted configuration.
-	forceBound = 5 * time.Second
-	watchTick  = 50 * time.Millisecond
-	// watchPause is the wait before the next replica is watched, watchSilence
-	// ends a watch that carries not even keepalives.
-	watchPause   = 200 * time.Millisecond
-	watchSilence = 3 * time.Second
-	// quorumLost is when a replica that is cut off from the others ends its
-	// watches: the longest election timeout and two keepalives.
-	quorumLost = 3300 * time.Millisecond
-	// manyChanges pass a daemon by while it is down; more than the log keeps.
-	manyChanges = 300
+	// inForceBound is the target for an accepted configuration to be in force on
+	// all daemons.
+	inForceBound  = 5 * time.Second
+	watchInterval = 50 * time.Millisecond
+	// watchRetryDelay is the wait before a follower watches the next replica;
+	// watchIdleTimeout ends a watch that receives not even keepalives.
+	watchRetryDelay  = 200 * time.Millisecond
+	watchIdleTimeout = 3 * time.Second
+	// quorumLossTimeout is when a replica without a quorum ends its watches: the
+	// longest election timeout and two keepalives.
+	quorumLossTimeout = 3300 * time.Millisecond
+	// missedChangeCount is how many changes a daemon misses while it is down; it
+	// is more than the log retains.
+	missedChangeCount = 300
 )
 
-// site is the configuration's side of a world: replicas, daemons that follow
-// them, and operators.
-type site struct {
-	world     *world
-	committed []state.Command
-	replicas  []*copyOf
-	followers []*follower
-	operators []*operator
-	reached   func(step)
-	damage    damage
+// configSite is the configuration's part of a simulation: replicas, daemons
+// that follow them, and operators.
+type configSite struct {
+	sim           *simulation
+	committed     []state.Command
+	replicas      []*configReplica
+	followers     []*follower
+	operators     []*operator
+	onStep        func(step)
+	pendingDamage damage
 }
 
-// copyOf is one replica's applied state. A replica in the minority serves its
-// watches for a while, but begins none: that takes a read through the quorum.
-type copyOf struct {
+// configReplica is the applied state of one replica. A replica in the minority
+// continues its watches for a while but starts none, as that takes a read
+// through the quorum.
+type configReplica struct {
 	process
-	machine  *state.Machine
-	applied  int
-	minority time.Duration
+	machine       *state.Machine
+	appliedCount  int
+	minorityUntil time.Duration
 }
 
-// gaveUp tells whether the replica has been in the minority for so long that it
-// has ended its watches.
-func (c *copyOf) gaveUp(now time.Duration) bool {
-	return c.minority > now && now-(c.minority-cutTime) > quorumLost
+// hasEndedWatches reports whether the replica has been in the minority for
+// longer than quorumLossTimeout and has ended its watches.
+func (c *configReplica) hasEndedWatches(now time.Duration) bool {
+	return c.minorityUntil > now && now-(c.minorityUntil-partitionDuration) > quorumLossTimeout
 }
 
-// follower is a daemon that watches a replica.
+// follower is a daemon that watches a replica for configuration changes.
 type follower struct {
 	process
-	site     *site
-	files    config.Files
-	version  uint64
-	digest   string
-	next     int
-	watching *copyOf
-	run0     int
-	// sent is what the replica believes that the follower has.
+	site              *configSite
+	files             config.Files
+	version           uint64
+	digest            string
+	nextReplica       int
+	watching          *configReplica
+	watchedGeneration int
+	// sentVersion and sentDigest identify what the replica assumes the follower
+	// has.
 	sentVersion uint64
 	sentDigest  string
-	heard       time.Duration
-	resume      time.Duration
+	lastHeard   time.Duration
+	retryAt     time.Duration
 }
 
-// operator applies a content on a base until it is answered.
+// operator applies files on a base version and retries until it is answered.
 type operator struct {
-	name   string
-	base   uint64
-	files  config.Files
-	result *state.Result
-	at     time.Duration
+	name       string
+	base       uint64
+	files      config.Files
+	result     *state.Result
+	answeredAt time.Duration
 }
 
-func newSite(w *world) *site {
-	s := &site{world: w, reached: func(step) {}}
-	w.log = &replicated{world: w, machine: state.New(), applied: s.commit}
+func newConfigSite(w *simulation) *configSite {
+	s := &configSite{sim: w, onStep: func(step) {}}
+	w.log = &replicatedLog{sim: w, machine: state.New(), onApplied: s.commit}
 	for i := range 3 {
-		r := &copyOf{process: process{world: w, name: fmt.Sprintf("r%d", i+1), alive: true}, machine: state.New()}
+		r := &configReplica{process: process{sim: w, name: fmt.Sprintf("r%d", i+1), isAlive: true}, machine: state.New()}
 		s.replicas = append(s.replicas, r)
-		r.every(watchTick, func() { s.catchUp(r) })
-		f := &follower{process: process{world: w, name: fmt.Sprintf("d%d", i+1)}, site: s, next: i}
+		r.every(watchInterval, func() { s.catchUp(r) })
+		f := &follower{process: process{sim: w, name: fmt.Sprintf("d%d", i+1)}, site: s, nextReplica: i}
 		s.followers = append(s.followers, f)
 		f.start()
 	}
 	return s
 }
 
-// commit is told each command that the log applied.
-func (s *site) commit(c state.Command, r state.Result) {
+// commit records a command that the log applied.
+func (s *configSite) commit(c state.Command, r state.Result) {
 	s.committed = append(s.committed, c)
 	if c.Apply == nil || r.Status != state.OK {
 		return
 	}
-	s.world.record(promise.Event{Kind: promise.Accepted, Version: r.Version, Digest: r.Digest})
-	s.reached(atCommitted)
+	s.sim.recordEvent(promise.Event{Kind: promise.Accepted, Version: r.Version, Digest: r.Digest})
+	s.onStep(stepCommitted)
 }
 
-func (s *site) catchUp(r *copyOf) {
-	for r.minority <= s.world.now() && r.applied < len(s.committed) {
-		r.machine.Apply(s.committed[r.applied])
-		r.applied++
+func (s *configSite) catchUp(r *configReplica) {
+	for r.minorityUntil <= s.sim.now() && r.appliedCount < len(s.committed) {
+		r.machine.Apply(s.committed[r.appliedCount])
+		r.appliedCount++
 	}
 }
 
-// start begins without any configuration, as a daemon without a disk does.
+// start starts the follower without any configuration, as a daemon without a
+// disk starts.
 func (f *follower) start() {
-	f.alive = true
+	f.isAlive = true
 	f.files, f.version, f.digest = config.Files{}, 0, config.Files{}.Digest()
-	f.watching, f.resume = nil, 0
-	f.world.record(promise.Event{Kind: promise.Started, Daemon: f.name})
-	f.every(watchTick, f.tick)
+	f.watching, f.retryAt = nil, 0
+	f.sim.recordEvent(promise.Event{Kind: promise.Started, Daemon: f.name})
+	f.every(watchInterval, f.maintainWatch)
 }
 
 func (f *follower) crash(down time.Duration) {
-	if !f.alive {
+	if !f.isAlive {
 		return
 	}
-	f.world.record(promise.Event{Kind: promise.Crashed, Daemon: f.name})
-	f.die()
-	f.world.after(down, f.start)
+	f.sim.recordEvent(promise.Event{Kind: promise.Crashed, Daemon: f.name})
+	f.terminate()
+	f.sim.after(down, f.start)
 }
 
-func (f *follower) tick() {
-	now := f.world.now()
+func (f *follower) maintainWatch() {
+	now := f.sim.now()
 	switch {
-	case f.watching == nil && now >= f.resume:
+	case f.watching == nil && now >= f.retryAt:
 		f.watch()
 	case f.watching == nil:
-	case !f.watching.alive || f.watching.run != f.run0 || now-f.heard > watchSilence || f.watching.gaveUp(now):
-		f.drop()
-	case f.reachable() && f.watching.reachable():
-		f.heard = now
-		f.pull()
+	case !f.watching.isAlive || f.watching.generation != f.watchedGeneration || now-f.lastHeard > watchIdleTimeout || f.watching.hasEndedWatches(now):
+		f.endWatch()
+	case f.isReachable() && f.watching.isReachable():
+		f.lastHeard = now
+		f.pullDelta()
 	}
 }
 
-func (f *follower) drop() {
+func (f *follower) endWatch() {
 	f.watching = nil
-	f.resume = f.world.now() + watchPause
+	f.retryAt = f.sim.now() + watchRetryDelay
 }
 
-// watch begins at the next replica with a read through the quorum.
+// watch starts a watch at the next replica, which takes a read through the
+// quorum.
 func (f *follower) watch() {
-	r := f.site.replicas[f.next%len(f.site.replicas)]
-	f.next++
-	now := f.world.now()
-	if !f.reachable() || !r.reachable() || r.minority > now || !f.world.log.up() {
-		f.resume = now + watchPause
+	r := f.site.replicas[f.nextReplica%len(f.site.replicas)]
+	f.nextReplica++
+	now := f.sim.now()
+	if !f.isReachable() || !r.isReachable() || r.minorityUntil > now || !f.sim.log.hasLeader() {
+		f.retryAt = now + watchRetryDelay
 		return
 	}
 	f.site.catchUp(r)
-	f.watching, f.run0, f.heard = r, r.run, now
+	f.watching, f.watchedGeneration, f.lastHeard = r, r.generation, now
 	f.sentVersion, f.sentDigest = f.version, f.digest
 }
 
-// pull takes what the replica has and the follower wasn't sent.
-func (f *follower) pull() {
+// pullDelta receives the changes that the replica has not yet sent to the
+// follower.
+func (f *follower) pullDelta() {
 	d, ok := f.watching.machine.DeltaSince(f.sentVersion, f.sentDigest)
 	if !ok {
 		return
@@ -183,77 +190,79 @@
 	from := f.watching
 	deliver := func() {
 		if f.watching == from {
-			f.take(d)
+			f.applyDelta(d)
 		}
 	}
-	switch take(&f.site.damage) {
-	case lost:
-		// The stream that lost it is broken.
-		f.drop()
-	case doubled:
-		f.do(hop, deliver)
-		f.do(2*hop, deliver)
-	case reordered:
-		f.do(5*watchTick, deliver)
+	switch consume(&f.site.pendingDamage) {
+	case damageLost:
+		// A lost message means a broken watch stream.
+		f.endWatch()
+	case damageDuplicated:
+		f.runAfter(messageDelay, deliver)
+		f.runAfter(2*messageDelay, deliver)
+	case damageReordered:
+		f.runAfter(5*watchInterval, deliver)
 	default:
-		f.do(hop, deliver)
+		f.runAfter(messageDelay, deliver)
 	}
 }
 
-// take puts a delta into force as internal/view does.
-func (f *follower) take(d config.Delta) {
+// applyDelta puts a delta into force in the same way as internal/view.
+func (f *follower) applyDelta(d config.Delta) {
 	if d.Version < f.version {
 		return
 	}
 	files, err := d.Apply(f.files)
 	if err != nil {
-		f.drop()
+		f.endWatch()
 		return
 	}
 	f.files, f.version, f.digest = files, d.Version, d.Digest
-	f.world.record(promise.Event{Kind: promise.InForce, Daemon: f.name, Version: d.Version, Digest: files.Digest()})
-	f.site.reached(atSpread)
-	if f.site.everywhere() {
-		f.site.reached(atEverywhere)
+	f.sim.recordEvent(promise.Event{Kind: promise.InForce, Daemon: f.name, Version: d.Version, Digest: files.Digest()})
+	f.site.onStep(stepInForceOnOne)
+	if f.site.isInForceEverywhere() {
+		f.site.onStep(stepInForceEverywhere)
 	}
 }
 
-// everywhere tells whether the newest version is in force on all daemons.
-func (s *site) everywhere() bool {
-	number, _, _ := s.world.log.machine.Config()
+// isInForceEverywhere reports whether the newest version is in force on all
+// daemons.
+func (s *configSite) isInForceEverywhere() bool {
+	number, _, _ := s.sim.log.machine.Config()
 	for _, f := range s.followers {
-		if !f.alive || f.version != number {
+		if !f.isAlive || f.version != number {
 			return false
 		}
 	}
 	return true
 }
 
-func content(text string) config.Files {
+func configFiles(text string) config.Files {
 	data, _ := json.Marshal(text)
 	return config.Files{"tiers.json": data}
 }
 
-// apply lets an operator apply, and resend until answered.
-func (s *site) apply(name string, base uint64, files config.Files) *operator {
+// apply adds an operator that sends its files until it is answered.
+func (s *configSite) apply(name string, base uint64, files config.Files) *operator {
 	o := &operator{name: name, base: base, files: files}
 	s.operators = append(s.operators, o)
-	s.send(o)
+	s.sendApply(o)
 	return o
 }
 
-func (s *site) send(o *operator) {
-	desk := &process{world: s.world, name: o.name, alive: true}
-	s.world.log.insist(desk, state.Command{Apply: &state.Apply{Base: o.base, Files: o.files, Operator: o.name}}, func(r state.Result) {
+func (s *configSite) sendApply(o *operator) {
+	client := &process{sim: s.sim, name: o.name, isAlive: true}
+	s.sim.log.proposeUntilAnswered(client, state.Command{Apply: &state.Apply{Base: o.base, Files: o.files, Operator: o.name}}, func(r state.Result) {
 		if o.result == nil {
-			o.result, o.at = &r, s.world.now()
+			o.result, o.answeredAt = &r, s.sim.now()
 		}
-		s.reached(atAnswered)
+		s.onStep(stepAnswered)
 	})
 }
 
-// wrong says what is wrong with the operators' answers.
-func (s *site) wrong() string {
+// operatorFault describes the first fault in the answers to operators, or
+// returns an empty string.
+func (s *configSite) operatorFault() string {
 	won := map[uint64]*operator{}
 	for _, o := range s.operators {
 		if o.result == nil {
--- a/internal/matrix/applyfaults.go
+++ b/internal/matrix/applyfaults.go
@@ -7,130 +7,131 @@
 	"github.com/verbenastep/verbenastep/core/promise"
 )
 
-// siteFault is a row of the apply's table.
+// siteFault is a row of the table for an apply.
 type siteFault struct {
 	name  string
 	bound time.Duration
-	// strike brings it about; subject is the operator's apply.
-	strike func(s *site, subject *operator)
+	// inject causes the fault; subject is the apply under test.
+	inject func(s *configSite, subject *operator)
 }
 
-// siteFaults lists the rows. Bounds: in force within 5 s, from the end of a cut
-// or pause where a daemon could not know before.
+// siteFaults returns the rows. A change must be in force within 5 s; for a
+// partitioned, paused or stopped daemon this counts from the end of that state.
 func siteFaults() []siteFault {
 	return []siteFault{
-		{"log leader dies", forceBound, func(s *site, _ *operator) { s.world.log.loseLeader() }},
-		{"log leader dies after a commit", forceBound, func(s *site, _ *operator) { s.world.log.swallow = true }},
-		{"operators race on one base", forceBound, func(s *site, o *operator) { s.apply("rival", o.base, content("rival's")) }},
-		{"operator sends again", forceBound, func(s *site, o *operator) { s.apply(o.name, o.base, o.files) }},
-		{"operator applies on an old base", forceBound, func(s *site, _ *operator) { s.apply("late", 0, content("old")) }},
-		{"daemon dies", forceBound, func(s *site, _ *operator) { s.followers[0].crash(restartAfter) }},
-		{"daemon down over hundreds of changes", forceBound + cutTime, missedChanges},
-		{"daemon cut off silently", forceBound + cutTime, func(s *site, _ *operator) { s.cutOff(s.followers[0]) }},
-		{"daemon paused", forceBound + pauseTime, func(s *site, _ *operator) { s.pause(s.followers[0]) }},
-		{"replica dies", forceBound, func(s *site, _ *operator) { s.replicas[0].restart() }},
-		{"replica loses the quorum", forceBound, func(s *site, _ *operator) { s.replicas[0].minority = s.world.now() + cutTime }},
-		{"delta lost", forceBound, func(s *site, _ *operator) { s.damage = lost }},
-		{"delta doubled", forceBound, func(s *site, _ *operator) { s.damage = doubled }},
-		{"delta late", forceBound, func(s *site, _ *operator) { s.damage = reordered }},
+		{"log leader dies", inForceBound, func(s *configSite, _ *operator) { s.sim.log.loseLeader() }},
+		{"log leader dies after a commit", inForceBound, func(s *configSite, _ *operator) { s.sim.log.losesNextReply = true }},
+		{"operators race on one base", inForceBound, func(s *configSite, o *operator) { s.apply("rival", o.base, configFiles("rival's")) }},
+		{"operator sends again", inForceBound, func(s *configSite, o *operator) { s.apply(o.name, o.base, o.files) }},
+		{"operator applies on an old base", inForceBound, func(s *configSite, _ *operator) { s.apply("late", 0, configFiles("old")) }},
+		{"daemon dies", inForceBound, func(s *configSite, _ *operator) { s.followers[0].crash(restartDelay) }},
+		{"daemon down over hundreds of changes", inForceBound + partitionDuration, missedChanges},
+		{"daemon cut off silently", inForceBound + partitionDuration, func(s *configSite, _ *operator) { s.partition(s.followers[0]) }},
+		{"daemon paused", inForceBound + pauseDuration, func(s *configSite, _ *operator) { s.pause(s.followers[0]) }},
+		{"replica dies", inForceBound, func(s *configSite, _ *operator) { s.replicas[0].restart() }},
+		{"replica loses the quorum", inForceBound, func(s *configSite, _ *operator) { s.replicas[0].minorityUntil = s.sim.now() + partitionDuration }},
+		{"delta lost", inForceBound, func(s *configSite, _ *operator) { s.pendingDamage = damageLost }},
+		{"delta doubled", inForceBound, func(s *configSite, _ *operator) { s.pendingDamage = damageDuplicated }},
+		{"delta late", inForceBound, func(s *configSite, _ *operator) { s.pendingDamage = damageReordered }},
 	}
 }
 
-// missedChanges takes a daemon down, applies more changes than the log keeps,
-// and starts it again.
-func missedChanges(s *site, _ *operator) {
+// missedChanges stops a daemon, applies more changes than the log retains, and
+// starts the daemon again.
+func missedChanges(s *configSite, _ *operator) {
 	f := s.followers[0]
-	f.crash(cutTime)
-	for i := range manyChanges {
-		s.world.after(time.Second+time.Duration(i)*watchTick, func() {
-			number, _, _ := s.world.log.machine.Config()
-			s.apply(fmt.Sprintf("shift-%d", i), number, content(fmt.Sprint(i)))
+	f.crash(partitionDuration)
+	for i := range missedChangeCount {
+		s.sim.after(time.Second+time.Duration(i)*watchInterval, func() {
+			number, _, _ := s.sim.log.machine.Config()
+			s.apply(fmt.Sprintf("shift-%d", i), number, configFiles(fmt.Sprint(i)))
 		})
 	}
 }
 
-// cutOff parts a daemon from everyone, pause stops its process; either ends.
-func (s *site) cutOff(f *follower) {
-	f.cut = s.world.now() + cutTime
-	s.unreachable(f, cutTime)
+// partition cuts a daemon off from all others for partitionDuration.
+func (s *configSite) partition(f *follower) {
+	f.partitionedUntil = s.sim.now() + partitionDuration
+	s.recordPartition(f, partitionDuration)
 }
 
-func (s *site) pause(f *follower) {
-	f.paused = s.world.now() + pauseTime
-	s.unreachable(f, pauseTime)
+func (s *configSite) pause(f *follower) {
+	f.pausedUntil = s.sim.now() + pauseDuration
+	s.recordPartition(f, pauseDuration)
 }
 
-func (s *site) unreachable(f *follower, d time.Duration) {
-	s.world.record(promise.Event{Kind: promise.Partitioned, Daemon: f.name})
-	s.world.after(d, func() { s.world.record(promise.Event{Kind: promise.Healed, Daemon: f.name}) })
+func (s *configSite) recordPartition(f *follower, d time.Duration) {
+	s.sim.recordEvent(promise.Event{Kind: promise.Partitioned, Daemon: f.name})
+	s.sim.after(d, func() { s.sim.recordEvent(promise.Event{Kind: promise.Healed, Daemon: f.name}) })
 }
 
-// restart is a crash of a replica, whose disk keeps what it applied.
-func (r *copyOf) restart() {
-	r.die()
-	r.world.after(restartAfter, func() { r.alive = true })
+// restart crashes a replica and restarts it; its disk keeps the applied state.
+func (r *configReplica) restart() {
+	r.terminate()
+	r.sim.after(restartDelay, func() { r.isAlive = true })
 }
 
-// runApply applies one change and brings a fault about at a step of it, once or
-// twice.
-func runApply(f siteFault, at step, times int) verdict {
-	w := &world{kind: "apply"}
-	w.began = time.Now()
-	s := newSite(w)
-	first := s.apply("first", 0, content("first"))
-	w.run(warmUp, func() bool { return first.result != nil && s.everywhere() })
-	v := verdict{kind: w.kind, fault: f.name, step: at, bound: time.Duration(times) * f.bound, skipped: "the step was not reached"}
-	v.allowed = v.bound
+// runApply applies one change and injects a fault at a step of it, repeated
+// every repeatDelay up to the given times.
+func runApply(f siteFault, at step, times int) cellResult {
+	w := &simulation{requestKind: "apply"}
+	w.startedAt = time.Now()
+	s := newConfigSite(w)
+	first := s.apply("first", 0, configFiles("first"))
+	w.run(warmUpTime, func() bool { return first.result != nil && s.isInForceEverywhere() })
+	v := cellResult{kind: w.requestKind, fault: f.name, step: at, bound: time.Duration(times) * f.bound, skipReason: "the step was not reached"}
+	v.rowBound = v.bound
 	subject := (*operator)(nil)
-	last := time.Duration(0)
-	strike := func() {
-		f.strike(s, subject)
-		last = w.now()
+	lastFault := time.Duration(0)
+	inject := func() {
+		f.inject(s, subject)
+		lastFault = w.now()
 	}
-	s.reached = func(x step) {
-		if x != at || v.skipped == "" {
+	s.onStep = func(x step) {
+		if x != at || v.skipReason == "" {
 			return
 		}
-		v.skipped = ""
-		strike()
+		v.skipReason = ""
+		inject()
 		for i := 1; i < times; i++ {
-			w.after(time.Duration(i)*again, strike)
+			w.after(time.Duration(i)*repeatDelay, inject)
 		}
 	}
-	subject = &operator{name: "second", base: 1, files: content("second")}
+	subject = &operator{name: "second", base: 1, files: configFiles("second")}
 	s.operators = append(s.operators, subject)
-	s.send(subject)
-	w.after(hop/2, func() { s.reached(atSent) })
+	s.sendApply(subject)
+	w.after(messageDelay/2, func() { s.onStep(stepSent) })
 	done := time.Duration(0)
-	w.run(w.now()+limit, func() bool {
-		if !s.quiet() {
+	w.run(w.now()+runTimeout, func() bool {
+		if !s.isConverged() {
 			done = 0
 		} else if done == 0 {
 			done = w.now()
 		}
-		return done > 0 && w.now() > max(done, last)+cutTime+forceBound
+		return done > 0 && w.now() > max(done, lastFault)+partitionDuration+inForceBound
 	})
-	v.took = max(0, done-last)
-	v.ending = "held"
+	v.recoveryTime = max(0, done-lastFault)
+	v.outcome = "held"
 	if done == 0 {
-		v.hung = []string{"a daemon"}
+		v.unendedCallers = []string{"a daemon"}
 	}
-	if s.damage != none {
-		v.skipped = "no delta followed"
+	if s.pendingDamage != damageNone {
+		v.skipReason = "no delta followed"
 	}
-	if wrong := s.wrong(); wrong != "" {
-		v.hung = append(v.hung, wrong)
+	if problem := s.operatorFault(); problem != "" {
+		v.unendedCallers = append(v.unendedCallers, problem)
 	}
-	v.broken = promise.Check(w.events, promise.Options{})
+	v.violations = promise.Check(w.events, promise.Options{})
 	return v
 }
 
-// quiet tells whether all operators are answered and all daemons up to date.
-func (s *site) quiet() bool {
+// isConverged reports whether all operators are answered and all daemons have
+// the newest version in force.
+func (s *configSite) isConverged() bool {
 	for _, o := range s.operators {
 		if o.result == nil {
 			return false
 		}
 	}
-	return s.everywhere()
+	return s.isInForceEverywhere()
 }
--- a/internal/matrix/attempt.go
+++ b/internal/matrix/attempt.go
@@ -13,50 +13,52 @@
 	"github.com/verbenastep/verbenastep/core/state"
 )
 
-// waiter is a caller's connection to an entry.
+// waiter is a caller's connection to an entry; sendNumber says which of its
+// sends opened it.
 type waiter struct {
-	caller *caller
-	sent   int
+	caller     *caller
+	sendNumber int
 }
 
-// ending is how an attempt ended.
-type ending struct {
+// attemptResult is the answer or the failure with which an attempt ended.
+type attemptResult struct {
 	failure *claims.Failure
 	stream  string
 	text    string
 }
 
-// attempt carries out the effects of one request's machine at one entry.
+// attempt performs the effects of the state machine of one request at one
+// entry.
 type attempt struct {
-	daemon  *daemon
-	key     string
-	tier    int
-	machine *claims.Machine
-	waiting []waiter
-	conn    *conn
-	stream  string
-	text    strings.Builder
-	frame   string
-	offer   uint64
-	ended   *ending
-	// deadline is when the caller stops waiting.
-	deadline time.Duration
-	reads    int
-	// awaiting says that the machine waits for the connection.
-	awaiting bool
+	daemon      *daemon
+	key         string
+	tier        int
+	machine     *claims.Machine
+	waiters     []waiter
+	connection  *connection
+	stream      string
+	text        strings.Builder
+	frame       string
+	offerNumber uint64
+	result      *attemptResult
+	// deadline is the time at which the caller stops waiting.
+	deadline     time.Duration
+	receiveCount int
+	// isReceiving is set while the machine waits for an event of the connection.
+	isReceiving bool
 }
 
 func newAttempt(d *daemon, c *caller) *attempt {
-	name := fmt.Sprintf("%s-%d-%d", d.name, d.run, d.started)
-	a := &attempt{daemon: d, key: c.key, tier: c.tier, deadline: d.world.now() + requestTime, machine: claims.NewMachine(claims.Request{
-		Workspace: space, Key: c.key, Keyed: true, PlainService: d.world.kind == call, Digest: c.key, Pool: pool, Stream: name, Entry: d.name,
+	name := fmt.Sprintf("%s-%d-%d", d.name, d.generation, d.attemptCount)
+	a := &attempt{daemon: d, key: c.key, tier: c.tier, deadline: d.sim.now() + requestTimeout, machine: claims.NewMachine(claims.Request{
+		Workspace: workspaceName, Key: c.key, Keyed: true, PlainService: d.sim.requestKind == serviceCall, Digest: c.key, Pool: poolName, Stream: name, Entry: d.name,
 	})}
-	d.do(requestTime, func() { a.step(claims.Event{Kind: claims.Expired}) })
+	d.runAfter(requestTimeout, func() { a.step(claims.Event{Kind: claims.Expired}) })
 	return a
 }
 
-func (a *attempt) subject() bool {
-	return a.daemon.world.subject != nil && a.key == a.daemon.world.subject.key
+func (a *attempt) isSubject() bool {
+	return a.daemon.sim.subject != nil && a.key == a.daemon.sim.subject.key
 }
 
 func sortedAttempts(m map[string]*attempt) []*attempt {
@@ -70,26 +72,26 @@
 
 func (a *attempt) step(e claims.Event) {
 	for _, f := range a.machine.Step(e) {
-		if a.subject() {
-			a.mark(f)
+		if a.isSubject() {
+			a.reportStep(f)
 		}
-		if !a.daemon.alive {
+		if !a.daemon.isAlive {
 			return
 		}
 		if f.Delayed {
-			a.daemon.do(retryPause, func() { a.act(f) })
+			a.daemon.runAfter(retryDelay, func() { a.perform(f) })
 			continue
 		}
-		a.act(f)
+		a.perform(f)
 	}
 }
 
-// act carries out one effect.
-func (a *attempt) act(f claims.Effect) {
+// perform executes one effect.
+func (a *attempt) perform(f claims.Effect) {
 	d := a.daemon
 	switch f.Kind {
 	case claims.Lookup:
-		d.world.log.lookup(&d.process, a.key, func(c state.Claim, ok bool) {
+		d.sim.log.lookup(&d.process, a.key, func(c state.Claim, ok bool) {
 			kind := claims.NotFound
 			if ok {
 				kind = claims.Found
@@ -101,7 +103,7 @@
 	case claims.Dial:
 		a.dial(f.Address)
 	case claims.Propose:
-		d.world.log.propose(&d.process, state.Command{Claim: &f.Claim}, a.claimed)
+		d.sim.log.propose(&d.process, state.Command{Claim: &f.Claim}, a.handleClaimResult)
 	case claims.Send:
 		a.send(f.Stream)
 	case claims.Receive:
@@ -115,31 +117,31 @@
 	case claims.Deliver:
 		a.text.WriteString(a.frame)
 	case claims.CloseConnection:
-		a.retire()
+		a.closeConnection()
 	case claims.Release:
-		d.session.release(a, outcomes[f.Slot])
+		d.session.release(a, slotOutcomes[f.Slot])
 	case claims.Finish:
 		a.finish(f.Finish)
 	case claims.ResolveClaim:
-		a.settle(f.Claim)
+		a.resolveClaim(f.Claim)
 	case claims.ServeRecorded:
-		a.end(&ending{stream: f.Claim.Stream, text: string(f.Claim.Body)})
+		a.complete(&attemptResult{stream: f.Claim.Stream, text: string(f.Claim.Body)})
 	case claims.End:
-		a.end(&ending{stream: a.stream, text: a.text.String()})
+		a.complete(&attemptResult{stream: a.stream, text: a.text.String()})
 	case claims.Fail:
-		a.end(&ending{failure: &f.Failure})
+		a.complete(&attemptResult{failure: &f.Failure})
 	}
 }
 
-// outcomes translates the use of a slot for the scheduler.
-var outcomes = map[claims.Slot]sched.Outcome{
+// slotOutcomes maps the use of a slot to the outcome reported to the scheduler.
+var slotOutcomes = map[claims.Slot]sched.Outcome{
 	claims.SlotCompleted:      sched.Completed,
 	claims.SlotNotSent:        sched.NotSent,
 	claims.SlotCanceled:       sched.Canceled,
 	claims.SlotConnectionLost: sched.ConnectionLost,
 }
 
-func (a *attempt) claimed(r state.Result, ok bool) {
+func (a *attempt) handleClaimResult(r state.Result, ok bool) {
 	e := claims.Event{Kind: claims.ClaimUnconfirmed}
 	if r.Claim != nil {
 		e.Claim = *r.Claim
@@ -157,29 +159,29 @@
 }
 
 func (a *attempt) dial(address string) {
-	e := a.daemon.world.engineAt(address)
-	a.daemon.do(2*hop, func() {
-		if !e.reachable() {
+	e := a.daemon.sim.engineAt(address)
+	a.daemon.runAfter(2*messageDelay, func() {
+		if !e.isReachable() {
 			a.step(claims.Event{Kind: claims.Unreachable})
 			return
 		}
-		a.conn = &conn{owner: a}
+		a.connection = &connection{owner: a}
 		a.step(claims.Event{Kind: claims.Connected, Address: address})
 	})
 }
 
 func (a *attempt) send(name string) {
-	w := a.daemon.world
+	w := a.daemon.sim
 	e := w.engineAt(a.upstream())
-	w.record(promise.Event{Kind: promise.Dispatch, Daemon: a.daemon.name, Workspace: space, Key: a.key, Stream: name, Upstream: e.name})
-	c := a.conn
+	w.recordEvent(promise.Event{Kind: promise.Dispatch, Daemon: a.daemon.name, Workspace: workspaceName, Key: a.key, Stream: name, Upstream: e.name})
+	c := a.connection
 	started := false
-	a.daemon.send(&e.process, func() { started = e.start(name, a.key, c) })
-	a.daemon.do(2*hop, func() {
+	a.daemon.send(&e.process, func() { started = e.execute(name, a.key, c) })
+	a.daemon.runAfter(2*messageDelay, func() {
 		switch {
 		case !started:
 			a.step(claims.Event{Kind: claims.SendInterrupted})
-		case w.kind == stream:
+		case w.requestKind == streamRequest:
 			a.step(claims.Event{Kind: claims.Started})
 		default:
 			a.receive()
@@ -187,49 +189,51 @@
 	})
 }
 
-// upstream is the one that was granted last.
-func (a *attempt) upstream() string { return a.daemon.session.upstream(a.offer) }
+// upstream returns the name of the upstream granted last, or an empty string.
+func (a *attempt) upstream() string { return a.daemon.session.upstream(a.offerNumber) }
 
 // receive waits for the next event of the connection.
 func (a *attempt) receive() {
-	a.awaiting = true
-	a.reads++
-	read := a.reads
-	c := a.conn
+	a.isReceiving = true
+	a.receiveCount++
+	number := a.receiveCount
+	c := a.connection
 	if len(c.inbox) > 0 {
-		a.poll(c)
+		a.deliverNext(c)
 		return
 	}
-	if a.daemon.world.kind == call {
+	if a.daemon.sim.requestKind == serviceCall {
 		return
 	}
-	a.daemon.do(silence, func() {
-		if a.awaiting && a.reads == read {
-			a.awaiting = false
-			a.step(claims.Event{Kind: a.broken()})
+	a.daemon.runAfter(streamIdleTimeout, func() {
+		if a.isReceiving && a.receiveCount == number {
+			a.isReceiving = false
+			a.step(claims.Event{Kind: a.connectionLossEvent()})
 		}
 	})
 }
 
-// broken is what a lost connection means to the machine.
-func (a *attempt) broken() claims.EventKind {
-	if a.daemon.world.kind == call {
+// connectionLossEvent returns the event that reports a lost connection to the
+// machine.
+func (a *attempt) connectionLossEvent() claims.EventKind {
+	if a.daemon.sim.requestKind == serviceCall {
 		return claims.SendInterrupted
 	}
 	return claims.ConnectionLost
 }
 
-// poll hands over what came in, where the machine waits for it.
-func (a *attempt) poll(c *conn) {
-	if c != a.conn || c.closed || !a.awaiting || len(c.inbox) == 0 {
+// deliverNext passes the oldest received event to the machine if it waits for
+// one.
+func (a *attempt) deliverNext(c *connection) {
+	if c != a.connection || c.isClosed || !a.isReceiving || len(c.inbox) == 0 {
 		return
 	}
 	e, text := c.inbox[0], c.texts[0]
 	c.inbox, c.texts = c.inbox[1:], c.texts[1:]
-	a.awaiting = false
+	a.isReceiving = false
 	a.frame = text
 	if e.Kind == claims.ConnectionLost {
-		e.Kind = a.broken()
+		e.Kind = a.connectionLossEvent()
 	}
 	if e.Kind == claims.Replied {
 		a.text.WriteString(text)
@@ -237,48 +241,49 @@
 	a.step(e)
 }
 
-func (a *attempt) retire() {
-	a.awaiting = false
-	if a.conn != nil {
-		a.conn.closed = true
+func (a *attempt) closeConnection() {
+	a.isReceiving = false
+	if a.connection != nil {
+		a.connection.isClosed = true
 	}
 }
 
-// resume asks the engine for the rest over a new connection.
+// resume reads the rest of a stream from the engine over a new connection.
 func (a *attempt) resume(f claims.Effect) {
-	e := a.daemon.world.engineAt(f.Address)
-	c := &conn{owner: a, next: int(f.Offset) / frameBytes}
-	a.daemon.do(2*hop, func() {
-		x, held := e.works[f.Stream]
+	e := a.daemon.sim.engineAt(f.Address)
+	c := &connection{owner: a, nextFrame: int(f.Offset) / frameBytes}
+	a.daemon.runAfter(2*messageDelay, func() {
+		x, exists := e.executions[f.Stream]
 		switch {
-		case !e.reachable() || a.daemon.cut > a.daemon.world.now():
+		case !e.isReachable() || a.daemon.partitionedUntil > a.daemon.sim.now():
 			a.step(claims.Event{Kind: claims.Unreachable})
-		case !held:
+		case !exists:
 			a.step(claims.Event{Kind: claims.Rejected})
 		default:
-			a.conn = c
-			x.conns = append(x.conns, c)
+			a.connection = c
+			x.connections = append(x.connections, c)
 			a.step(claims.Event{Kind: claims.Started})
-			c.resumeAt(f.Stream, x, int(f.Offset))
+			c.sendFrom(f.Stream, x, int(f.Offset))
 		}
 	})
 }
 
-// resumeAt sends the rest of a frame that was cut, then the frames after it.
-func (c *conn) resumeAt(name string, x *work, offset int) {
-	if part := offset % frameBytes; part != 0 && c.next < x.made {
-		end := (c.next + 1) * frameBytes
-		c.deliver(claims.Frame{Stream: name, Offset: int64(offset), Length: int64(end - offset), End: c.next == frames-1}, x.content[offset:end])
-		c.next++
+// sendFrom sends the rest of the frame that contains the offset, then the
+// frames after it.
+func (c *connection) sendFrom(name string, x *execution, offset int) {
+	if part := offset % frameBytes; part != 0 && c.nextFrame < x.frameCount {
+		end := (c.nextFrame + 1) * frameBytes
+		c.deliverFrame(claims.Frame{Stream: name, Offset: int64(offset), Length: int64(end - offset), End: c.nextFrame == answerFrames-1}, x.answer[offset:end])
+		c.nextFrame++
 	}
-	c.push(name, x)
+	c.sendNewFrames(name, x)
 }
 
 // fetch reads the answer from the entry that dispatched the request.
 func (a *attempt) fetch(f claims.Effect) {
-	owner := a.daemon.world.daemonAt(f.Address)
+	owner := a.daemon.sim.daemonAt(f.Address)
 	answered := false
-	reply := func(e claims.Event, x *ending) {
+	reply := func(e claims.Event, x *attemptResult) {
 		if answered {
 			return
 		}
@@ -289,47 +294,47 @@
 		}
 		a.step(e)
 	}
-	if !owner.alive {
-		a.daemon.do(2*hop, func() { reply(claims.Event{Kind: owner.fetchLost()}, nil) })
+	if !owner.isAlive {
+		a.daemon.runAfter(2*messageDelay, func() { reply(claims.Event{Kind: owner.fetchFailureEvent()}, nil) })
 		return
 	}
-	a.daemon.send(&owner.process, func() { owner.hold(a, f.Stream, reply) })
-	a.watchOwner(owner, owner.run, reply)
+	a.daemon.send(&owner.process, func() { owner.answerFetch(a, f.Stream, reply) })
+	a.watchOwner(owner, owner.generation, reply)
 }
 
-// watchOwner ends a fetch from an owner whose heartbeats cease.
-func (a *attempt) watchOwner(owner *daemon, run int, reply func(claims.Event, *ending)) {
-	a.daemon.do(fetchSilence, func() {
-		if !owner.reachable() || owner.run != run || owner.paused > owner.world.now() || !a.daemon.reachable() {
-			reply(claims.Event{Kind: owner.fetchLost()}, nil)
+// watchOwner ends a fetch when the heartbeats of the owner stop.
+func (a *attempt) watchOwner(owner *daemon, generation int, reply func(claims.Event, *attemptResult)) {
+	a.daemon.runAfter(fetchIdleTimeout, func() {
+		if !owner.isReachable() || owner.generation != generation || owner.pausedUntil > owner.sim.now() || !a.daemon.isReachable() {
+			reply(claims.Event{Kind: owner.fetchFailureEvent()}, nil)
 			return
 		}
-		if a.ended == nil {
-			a.watchOwner(owner, run, reply)
+		if a.result == nil {
+			a.watchOwner(owner, generation, reply)
 		}
 	})
 }
 
-// fetchLost is what a fetch that broke says of its owner: membership is asked
-// whether it is dead.
-func (d *daemon) fetchLost() claims.EventKind {
-	if d.believedLive() {
+// fetchFailureEvent returns the event for a broken fetch: the owner counts as
+// dead only if membership no longer counts it as live.
+func (d *daemon) fetchFailureEvent() claims.EventKind {
+	if d.isCountedLive() {
 		return claims.FetchInterrupted
 	}
 	return claims.OwnerDead
 }
 
-// hold answers a fetch once the owner's own attempt has ended.
-func (d *daemon) hold(from *attempt, name string, reply func(claims.Event, *ending)) {
+// answerFetch answers a fetch once the owner's own attempt has ended.
+func (d *daemon) answerFetch(from *attempt, name string, reply func(claims.Event, *attemptResult)) {
 	for _, x := range sortedAttempts(d.attempts) {
 		if x.stream == name && x.key == from.key {
 			x.onEnd(func() {
 				d.send(&from.daemon.process, func() {
 					kind := claims.Fetched
-					if x.ended.failure != nil {
+					if x.result.failure != nil {
 						kind = claims.FetchFailed
 					}
-					reply(claims.Event{Kind: kind}, x.ended)
+					reply(claims.Event{Kind: kind}, x.result)
 				})
 			})
 			return
@@ -338,57 +343,57 @@
 	d.send(&from.daemon.process, func() { reply(claims.Event{Kind: claims.AnswerNotHeld}, nil) })
 }
 
-// onEnd calls fn at the attempt's end.
+// onEnd calls fn when the attempt has ended.
 func (a *attempt) onEnd(fn func()) {
-	if a.ended != nil {
+	if a.result != nil {
 		fn()
 		return
 	}
-	a.daemon.do(hop, func() { a.onEnd(fn) })
+	a.daemon.runAfter(messageDelay, func() { a.onEnd(fn) })
 }
 
 func (a *attempt) finish(f state.Finish) {
-	if a.daemon.world.kind == call && !f.Unknown && !f.NotRun {
+	if a.daemon.sim.requestKind == serviceCall && !f.Unknown && !f.NotRun {
 		f.Body = []byte(a.text.String())
 	}
-	a.daemon.world.log.insist(&a.daemon.process, state.Command{Finish: &f}, func(state.Result) {})
+	a.daemon.sim.log.proposeUntilAnswered(&a.daemon.process, state.Command{Finish: &f}, func(state.Result) {})
 }
 
-func (a *attempt) settle(c state.Claim) {
-	log := a.daemon.world.log
-	log.insist(&a.daemon.process, state.Command{Claim: &c}, func(r state.Result) {
+func (a *attempt) resolveClaim(c state.Claim) {
+	log := a.daemon.sim.log
+	log.proposeUntilAnswered(&a.daemon.process, state.Command{Claim: &c}, func(r state.Result) {
 		if r.Status == state.OK {
 			f := state.Finish{Workspace: c.Workspace, Key: c.Key, Stream: c.Stream, NotRun: true}
-			log.insist(&a.daemon.process, state.Command{Finish: &f}, func(state.Result) {})
+			log.proposeUntilAnswered(&a.daemon.process, state.Command{Finish: &f}, func(state.Result) {})
 		}
 	})
 }
 
-func (a *attempt) end(e *ending) {
-	a.ended = e
-	a.tell()
+func (a *attempt) complete(e *attemptResult) {
+	a.result = e
+	a.notifyWaiters()
 	if e.failure != nil {
-		// A resend asks the log again.
+		// A failed attempt is removed, so that a resend looks the claim up again.
 		delete(a.daemon.attempts, a.key)
 	}
 }
 
-// tell gives every waiting caller the end.
-func (a *attempt) tell() {
-	for _, x := range a.waiting {
-		a.daemon.do(hop, func() {
+// notifyWaiters sends the result to every waiting caller.
+func (a *attempt) notifyWaiters() {
+	for _, x := range a.waiters {
+		a.daemon.runAfter(messageDelay, func() {
 			switch {
-			case !a.daemon.reachable():
-			case a.ended.failure == nil:
-				x.caller.answered(a.daemon, x.sent, a.ended.stream, a.ended.text)
+			case !a.daemon.isReachable():
+			case a.result.failure == nil:
+				x.caller.handleAnswer(a.daemon, x.sendNumber, a.result.stream, a.result.text)
 			default:
-				failure := *a.ended.failure
+				failure := *a.result.failure
 				if failure.Code == claims.OwnerFailure {
 					failure.Ran = claims.MayHaveRun
 				}
-				x.caller.refused(a.daemon, x.sent, failure)
+				x.caller.handleFailure(a.daemon, x.sendNumber, failure)
 			}
 		})
 	}
-	a.waiting = nil
+	a.waiters = nil
 }
--- a/internal/matrix/caller.go
+++ b/internal/matrix/caller.go
@@ -8,104 +8,105 @@
 )
 
 const (
-	// callerPatience is how long a caller waits on an entry that says nothing.
-	callerPatience = 2500 * time.Millisecond
-	// maxSends bounds a caller's resends.
+	// entryIdleTimeout is how long a caller waits for an entry from which nothing
+	// arrives.
+	entryIdleTimeout = 2500 * time.Millisecond
+	// maxSends bounds how often a caller sends its request.
 	maxSends = 12
 )
 
-// caller sends one request, and sends it again under its key to another entry
+// caller sends one request, and resends it under the same key to the next entry
 // whenever it loses the answer.
 type caller struct {
-	world *world
-	key   string
-	tier  int
-	entry int
-	sends int
-	ended bool
-	born  time.Duration
-	at    time.Duration
-	// with is the entry asked last.
-	with *daemon
-	// failure is how the request ended, where not whole.
+	sim       *simulation
+	key       string
+	tier      int
+	nextEntry int
+	sendCount int
+	hasEnded  bool
+	createdAt time.Duration
+	endedAt   time.Duration
+	// currentEntry is the entry to which the request was last sent.
+	currentEntry *daemon
+	// failure is set if the request ended with an error.
 	failure *claims.Failure
 }
 
 func (c *caller) send() {
-	if c.ended || c.sends >= maxSends {
+	if c.hasEnded || c.sendCount >= maxSends {
 		return
 	}
-	c.sends++
-	c.leave()
-	d := c.world.daemons[c.entry]
-	c.entry = (c.entry + 1) % len(c.world.daemons)
-	sent := c.sends
-	if !d.alive || d.closed {
-		c.world.after(retryPause, c.send)
+	c.sendCount++
+	c.disconnect()
+	d := c.sim.daemons[c.nextEntry]
+	c.nextEntry = (c.nextEntry + 1) % len(c.sim.daemons)
+	sent := c.sendCount
+	if !d.isAlive || d.isClosed {
+		c.sim.after(retryDelay, c.send)
 		return
 	}
-	c.with = d
-	c.world.after(hop, func() {
-		if d.reachable() {
-			d.resume(d.run, func() { d.accept(c, sent) })
+	c.currentEntry = d
+	c.sim.after(messageDelay, func() {
+		if d.isReachable() {
+			d.runWhenActive(d.generation, func() { d.accept(c, sent) })
 		}
 	})
-	c.watch(d, sent)
+	c.watchEntry(d, sent)
 }
 
-// leave closes the connection to the entry asked before, which ends what it
-// does for this caller alone.
-func (c *caller) leave() {
-	if c.with != nil && c.with.alive && c.sends > 1 {
-		c.world.record(promise.Event{Kind: promise.Refuse, Daemon: c.with.name, Workspace: space, Key: c.key, Code: "canceled", Ran: string(claims.MayHaveRun)})
+// disconnect closes the connection to the previous entry, which cancels work
+// done for this caller alone.
+func (c *caller) disconnect() {
+	if c.currentEntry != nil && c.currentEntry.isAlive && c.sendCount > 1 {
+		c.sim.recordEvent(promise.Event{Kind: promise.Refuse, Daemon: c.currentEntry.name, Workspace: workspaceName, Key: c.key, Code: "canceled", Ran: string(claims.MayHaveRun)})
 	}
-	c.with = nil
+	c.currentEntry = nil
 }
 
-// watch sends again where the entry's heartbeats cease.
-func (c *caller) watch(d *daemon, sent int) {
-	c.world.after(callerPatience, func() {
+// watchEntry resends the request when the entry's heartbeats stop.
+func (c *caller) watchEntry(d *daemon, sent int) {
+	c.sim.after(entryIdleTimeout, func() {
 		switch {
-		case c.ended || c.sends != sent:
-		case d.serving(c):
-			c.watch(d, sent)
+		case c.hasEnded || c.sendCount != sent:
+		case d.isServing(c):
+			c.watchEntry(d, sent)
 		default:
 			c.send()
 		}
 	})
 }
 
-// lost tells the caller that its connection broke.
-func (c *caller) lost(sent int) {
-	if c.sends == sent {
-		c.world.after(hop, c.send)
+// handleConnectionLoss resends the request after its connection broke.
+func (c *caller) handleConnectionLoss(sent int) {
+	if c.sendCount == sent {
+		c.sim.after(messageDelay, c.send)
 	}
 }
 
-// answered gives the caller the whole answer.
-func (c *caller) answered(d *daemon, sent int, name, text string) {
-	if c.ended || c.sends != sent {
+// handleAnswer ends the request with the whole answer.
+func (c *caller) handleAnswer(d *daemon, sent int, name, text string) {
+	if c.hasEnded || c.sendCount != sent {
 		return
 	}
-	c.end()
-	c.world.record(promise.Event{Kind: promise.Answer, Daemon: d.name, Workspace: space, Key: c.key, Stream: name, Complete: true, ReceivedHash: hashOf(text)})
+	c.complete()
+	c.sim.recordEvent(promise.Event{Kind: promise.Answer, Daemon: d.name, Workspace: workspaceName, Key: c.key, Stream: name, Complete: true, ReceivedHash: hashOf(text)})
 }
 
-// refused gives the caller a failure.
-func (c *caller) refused(d *daemon, sent int, f claims.Failure) {
-	if c.ended || c.sends != sent {
+// handleFailure ends the request with a failure.
+func (c *caller) handleFailure(d *daemon, sent int, f claims.Failure) {
+	if c.hasEnded || c.sendCount != sent {
 		return
 	}
-	c.end()
+	c.complete()
 	c.failure = &f
 	code := string(f.Code)
 	if f.Code == claims.KeyConflict {
 		code = "conflict"
 	}
-	c.world.record(promise.Event{Kind: promise.Refuse, Daemon: d.name, Workspace: space, Key: c.key, Code: code, Ran: string(f.Ran)})
+	c.sim.recordEvent(promise.Event{Kind: promise.Refuse, Daemon: d.name, Workspace: workspaceName, Key: c.key, Code: code, Ran: string(f.Ran)})
 }
 
-func (c *caller) end() {
-	c.ended = true
-	c.at = c.world.now()
+func (c *caller) complete() {
+	c.hasEnded = true
+	c.endedAt = c.sim.now()
 }
--- a/internal/matrix/cell.go
+++ b/internal/matrix/cell.go
@@ -10,164 +10,170 @@
 )
 
 const (
-	// warmUp is when the subject's request comes.
-	warmUp = 3 * time.Second
-	// limit ends a run that does not settle.
-	limit = 2 * time.Minute
-	// again is the time between a fault and its second coming, or the next try
-	// where nothing is there to strike.
-	again = 150 * time.Millisecond
+	// warmUpTime is how long the daemons run before the subject request is sent.
+	warmUpTime = 3 * time.Second
+	// runTimeout ends a run in which a caller never receives a result.
+	runTimeout = 2 * time.Minute
+	// repeatDelay is the time before a fault is injected a second time, and
+	// between attempts to do so while no attempt is active.
+	repeatDelay = 150 * time.Millisecond
 )
 
-// verdict is a cell's outcome.
-type verdict struct {
-	kind  kind
+// cellResult is the outcome of one run, a cell of the table.
+type cellResult struct {
+	kind  requestKind
 	fault string
 	step  step
-	// skipped says why the fault couldn't be brought about.
-	skipped string
-	// took is the time from the last fault until every caller had its end.
-	took  time.Duration
-	bound time.Duration
-	// allowed is the bound of the row.
-	allowed time.Duration
-	broken  []promise.Violation
-	// hung lists callers without an end.
-	hung []string
-	// ending is how the subject's request ended.
-	ending string
+	// skipReason says why the fault could not be injected; empty if it was.
+	skipReason string
+	// recoveryTime is the time from the last fault until every caller had its
+	// result.
+	recoveryTime time.Duration
+	bound        time.Duration
+	// rowBound is the bound that the table shows for the row.
+	rowBound   time.Duration
+	violations []promise.Violation
+	// unendedCallers lists the callers that received no result.
+	unendedCallers []string
+	// outcome is how the subject request ended: whole, none, or whether it ran.
+	outcome string
 }
 
-// held tells whether the system kept its promises within the bound.
-func (v verdict) held() bool {
-	return v.skipped != "" || len(v.broken) == 0 && len(v.hung) == 0 && v.took <= v.bound
+// passed reports whether every promise held and every caller had its result
+// within the bound. A skipped cell passes.
+func (v cellResult) passed() bool {
+	return v.skipReason != "" || len(v.violations) == 0 && len(v.unendedCallers) == 0 && v.recoveryTime <= v.bound
 }
 
-// String gives the cell of the table.
-func (v verdict) String() string {
+// String returns the text of the cell in the table.
+func (v cellResult) String() string {
 	switch {
-	case v.skipped != "":
-		return "– " + v.skipped
-	case len(v.broken) > 0:
-		return "BROKE " + string(v.broken[0].Promise)
-	case len(v.hung) > 0:
+	case v.skipReason != "":
+		return "– " + v.skipReason
+	case len(v.violations) > 0:
+		return "BROKE " + string(v.violations[0].Promise)
+	case len(v.unendedCallers) > 0:
 		return "BROKE caller hangs"
-	case v.took > v.bound:
-		return fmt.Sprintf("LATE %.1f s", v.took.Seconds())
+	case v.recoveryTime > v.bound:
+		return fmt.Sprintf("LATE %.1f s", v.recoveryTime.Seconds())
 	}
-	return fmt.Sprintf("%s %.1f s", v.ending, v.took.Seconds())
+	return fmt.Sprintf("%s %.1f s", v.outcome, v.recoveryTime.Seconds())
 }
 
-// aftermath is until when a run goes on: past the return of every daemon that
-// is away.
-func (w *world) aftermath() time.Duration {
+// observationEnd returns the time until which a run continues after the callers
+// have their results: past the return of every daemon that is partitioned or
+// paused.
+func (w *simulation) observationEnd() time.Duration {
 	until := w.now()
 	for _, d := range w.daemons {
-		until = max(until, d.cut, d.paused)
+		until = max(until, d.partitionedUntil, d.pausedUntil)
 	}
-	return until + processBound
+	return until + processLossBound
 }
 
-// blow is a fault at a step, times times.
-type blow struct {
-	fault fault
-	step  step
-	times int
+// injection is a fault injected at a step, once or several times.
+type injection struct {
+	fault       fault
+	step        step
+	repetitions int
 }
 
-// runCell runs one request of a kind under some blows.
-func runCell(k kind, seed uint64, blows ...blow) verdict {
-	w := newWorld(k, seed)
-	w.run(warmUp, never)
-	v := verdict{kind: k, fault: blows[0].fault.name, step: blows[0].step, allowed: time.Duration(blows[0].times) * blows[0].fault.bound}
-	last := time.Duration(0)
-	left := slices.Clone(blows)
-	w.hook = func(s step, a *attempt) {
-		due := []blow{}
-		for _, b := range left {
+// runCell runs one request of a kind with faults injected and returns the
+// result. It must run inside testing/synctest.
+func runCell(k requestKind, seed uint64, injections ...injection) cellResult {
+	w := newSimulation(k, seed)
+	w.run(warmUpTime, runToDeadline)
+	v := cellResult{kind: k, fault: injections[0].fault.name, step: injections[0].step, rowBound: time.Duration(injections[0].repetitions) * injections[0].fault.bound}
+	lastFault := time.Duration(0)
+	remaining := slices.Clone(injections)
+	w.onStep = func(s step, a *attempt) {
+		due := []injection{}
+		for _, b := range remaining {
 			if b.step == s {
 				due = append(due, b)
 			}
 		}
-		left = slices.DeleteFunc(left, func(b blow) bool { return b.step == s })
+		remaining = slices.DeleteFunc(remaining, func(b injection) bool { return b.step == s })
 		for _, b := range due {
-			v.bound += time.Duration(b.times) * b.fault.bound
-			w.strike(b, a, &last)
+			v.bound += time.Duration(b.repetitions) * b.fault.bound
+			w.inject(b, a, &lastFault)
 		}
 	}
-	w.subject = &caller{world: w, key: "subject", born: w.now()}
+	w.subject = &caller{sim: w, key: "subject", createdAt: w.now()}
 	w.subject.send()
-	w.run(limit, func() bool { return w.settled() && w.now() > last })
-	v.skipped = w.skipped(left)
-	w.judge(&v, last)
+	w.run(runTimeout, func() bool { return w.allCallersEnded() && w.now() > lastFault })
+	v.skipReason = w.skipReason(remaining)
+	w.evaluate(&v, lastFault)
 	return v
 }
 
-// judge fills in how long the callers waited after the last fault and which
-// promises broke.
-func (w *world) judge(v *verdict, last time.Duration) {
-	for _, c := range append(w.others, w.subject) {
-		if c.at > last {
-			v.took = max(v.took, c.at-max(last, c.born))
+// evaluate fills in how long the callers waited after the last fault, which of
+// them have no result, and which promises were violated.
+func (w *simulation) evaluate(v *cellResult, lastFault time.Duration) {
+	for _, c := range append(w.otherCallers, w.subject) {
+		if c.endedAt > lastFault {
+			v.recoveryTime = max(v.recoveryTime, c.endedAt-max(lastFault, c.createdAt))
 		}
-		if !c.ended {
-			v.hung = append(v.hung, c.key)
+		if !c.hasEnded {
+			v.unendedCallers = append(v.unendedCallers, c.key)
 		}
 	}
-	v.ending = w.ending()
-	// What happens after the callers' end must keep the promises too.
-	w.run(w.aftermath(), never)
-	v.broken = promise.Check(w.events, promise.Options{InFlightAtEnd: len(v.hung) > 0})
+	v.outcome = w.subjectOutcome()
+	// Events after the callers have their results must keep the promises as well.
+	w.run(w.observationEnd(), runToDeadline)
+	v.violations = promise.Check(w.events, promise.Options{InFlightAtEnd: len(v.unendedCallers) > 0})
 }
 
-// skipped says why a fault could not come about.
-func (w *world) skipped(left []blow) string {
+// skipReason returns why a fault could not be injected or had no effect, or an
+// empty string.
+func (w *simulation) skipReason(remaining []injection) string {
 	switch {
-	case len(left) > 0 && left[0].step == atStream && w.kind == call:
+	case len(remaining) > 0 && remaining[0].step == stepStream && w.requestKind == serviceCall:
 		return "a call has no frames"
-	case len(left) > 0:
+	case len(remaining) > 0:
 		return "the step was not reached"
-	case (w.taint.frame == crossed || w.taint.frame == doubled) && w.kind == call:
+	case (w.pendingDamage.frame == damageForeign || w.pendingDamage.frame == damageDuplicated) && w.requestKind == serviceCall:
 		return "a call has no frames"
-	case w.taint.frame != none:
+	case w.pendingDamage.frame != damageNone:
 		return "nothing more came on the connection"
-	case w.missed:
+	case w.noDispatcher:
 		return "nobody dispatched at that moment"
-	case w.taint.message != none:
+	case w.pendingDamage.linkMessage != damageNone:
 		return "no message followed"
 	}
 	return ""
 }
 
-// strike brings a blow about, and again a little later if the request still
-// runs; last becomes the time of the last.
-func (w *world) strike(b blow, a *attempt, last *time.Duration) {
-	b.fault.strike(w, a)
-	*last = w.now()
-	if b.times > 1 {
-		w.after(again, func() { w.strikeAgain(b, a, last) })
+// inject injects a fault, and again after repeatDelay while the request runs.
+// It sets lastFault to the time of the latest injection.
+func (w *simulation) inject(b injection, a *attempt, lastFault *time.Duration) {
+	b.fault.inject(w, a)
+	*lastFault = w.now()
+	if b.repetitions > 1 {
+		w.after(repeatDelay, func() { w.injectAgain(b, a, lastFault) })
 	}
 }
 
-// strikeAgain waits for a living attempt of the subject.
-func (w *world) strikeAgain(b blow, a *attempt, last *time.Duration) {
-	if w.subject.ended {
+// injectAgain repeats a fault once the subject has an active attempt.
+func (w *simulation) injectAgain(b injection, a *attempt, lastFault *time.Duration) {
+	if w.subject.hasEnded {
 		return
 	}
-	x := w.living(a)
+	x := w.activeAttempt(a)
 	if x == nil {
-		w.after(again, func() { w.strikeAgain(b, a, last) })
+		w.after(repeatDelay, func() { w.injectAgain(b, a, lastFault) })
 		return
 	}
-	b.times--
-	w.strike(b, x, last)
+	b.repetitions--
+	w.inject(b, x, lastFault)
 }
 
-// living finds the attempt that carries the subject's request now.
-func (w *world) living(a *attempt) *attempt {
+// activeAttempt returns the attempt that carries the subject request now, or
+// nil. With several it takes the daemon first by name.
+func (w *simulation) activeAttempt(a *attempt) *attempt {
 	found := []*attempt{}
 	for _, d := range w.daemons {
-		if x, ok := d.attempts[a.key]; ok && d.reachable() && x.ended == nil && w.dispatcher() != nil {
+		if x, ok := d.attempts[a.key]; ok && d.isReachable() && x.result == nil && w.dispatcher() != nil {
 			found = append(found, x)
 		}
 	}
@@ -178,10 +184,10 @@
 	return found[0]
 }
 
-func (w *world) ending() string {
+func (w *simulation) subjectOutcome() string {
 	f := w.subject.failure
 	switch {
-	case !w.subject.ended:
+	case !w.subject.hasEnded:
 		return "none"
 	case f == nil:
 		return "whole"
--- a/internal/matrix/clock.go
+++ b/internal/matrix/clock.go
@@ -1,12 +1,13 @@
-// Package matrix runs every fault at every step of the system's work, over the
-// real decisions of core: the path of a request (core/claims), the dispatcher
-// (core/sched), and the replicated state (core/state, core/config). Small fakes
-// stand at their interfaces: messages, an engine, and a log whose agreement is
-// taken as given. Each cell ends with the promise checker's verdict and the
-// time until the work was done again.
+// Package matrix tests every fault at every step of the system's work. It runs
+// the decision code of core: the path of a request (core/claims), the
+// dispatcher (core/sched) and the replicated state (core/state, core/config).
+// Their interfaces are served by small fakes: messages, an engine, and a log
+// whose consensus is assumed to work. Each cell of the resulting tables holds
+// the result of the promise checker and the time until all callers had their
+// results.
 //
-// All of it runs on one goroutine that sleeps from event to event, so that
-// inside testing/synctest a run takes no time and always goes the same way.
+// Everything runs on one goroutine that sleeps from event to event. Inside
+// testing/synctest a run therefore takes no real time and is deterministic.
 package matrix
 
 import (
@@ -16,120 +17,123 @@
 	"github.com/verbenastep/verbenastep/core/member"
 )
 
-// event is something due at a time.
+// event is a function scheduled for a time.
 type event struct {
 	at  time.Duration
 	seq int
-	do  func()
+	fn  func()
 }
 
-// events is a heap by time and order of arrival.
-type events []event
+// eventQueue is a heap ordered by time, then by order of insertion.
+type eventQueue []event
 
-func (e events) Len() int { return len(e) }
-func (e events) Less(i, j int) bool {
+func (e eventQueue) Len() int { return len(e) }
+func (e eventQueue) Less(i, j int) bool {
 	return e[i].at < e[j].at || e[i].at == e[j].at && e[i].seq < e[j].seq
 }
-func (e events) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
-func (e *events) Push(x any)   { *e = append(*e, x.(event)) }
+func (e eventQueue) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
+func (e *eventQueue) Push(x any)   { *e = append(*e, x.(event)) }
 
-func (e *events) Pop() any {
+func (e *eventQueue) Pop() any {
 	old := *e
 	last := old[len(old)-1]
 	*e = old[:len(old)-1]
 	return last
 }
 
-// clock runs what is due, in order.
+// clock runs scheduled events in order of time.
 type clock struct {
-	began time.Time
-	queue events
-	seq   int
+	startedAt time.Time
+	queue     eventQueue
+	seq       int
 }
 
-func (c *clock) now() time.Duration { return time.Since(c.began) }
+func (c *clock) now() time.Duration { return time.Since(c.startedAt) }
 
-// after runs do once d has passed.
+// after schedules a function to run once d has passed.
 func (c *clock) after(d time.Duration, do func()) {
 	c.seq++
-	heap.Push(&c.queue, event{at: c.now() + d, seq: c.seq, do: do})
+	heap.Push(&c.queue, event{at: c.now() + d, seq: c.seq, fn: do})
 }
 
-// run works until a time, or until done says so.
+// run processes events until a time has come or done returns true.
 func (c *clock) run(until time.Duration, done func() bool) {
 	for len(c.queue) > 0 && c.queue[0].at <= until && !done() {
 		e := heap.Pop(&c.queue).(event)
 		if wait := e.at - c.now(); wait > 0 {
 			time.Sleep(wait)
 		}
-		e.do()
+		e.fn()
 	}
 }
 
-// process is one daemon's process or an upstream's.
+// process is the process of a daemon or an upstream.
 type process struct {
-	world *world
-	name  string
-	alive bool
-	// run grows with each start; what an earlier run had in mind is lost.
-	run int
-	// paused and cut end at these times.
-	paused time.Duration
-	cut    time.Duration
-	// lost is when it last ceased to answer; left says that it said goodbye.
-	lost time.Duration
-	left bool
+	sim     *simulation
+	name    string
+	isAlive bool
+	// generation increases with each stop. Functions scheduled in an earlier
+	// generation don't run.
+	generation int
+	// The process is paused or partitioned until these times.
+	pausedUntil      time.Duration
+	partitionedUntil time.Duration
+	// unreachableSince is when the process last stopped answering; hasLeft is set
+	// if it announced its shutdown.
+	unreachableSince time.Duration
+	hasLeft          bool
 }
 
-// do runs something in the process after a time, unless the process dies
-// before; a paused process does it when it goes on.
-func (p *process) do(d time.Duration, fn func()) {
-	run := p.run
-	p.world.after(d, func() { p.resume(run, fn) })
+// runAfter runs a function in the process after d, unless the process
+// terminates before. A paused process runs it when the pause ends.
+func (p *process) runAfter(d time.Duration, fn func()) {
+	generation := p.generation
+	p.sim.after(d, func() { p.runWhenActive(generation, fn) })
 }
 
-func (p *process) resume(run int, fn func()) {
+func (p *process) runWhenActive(generation int, fn func()) {
 	switch {
-	case !p.alive || p.run != run:
-	case p.paused > p.world.now():
-		p.world.after(p.paused-p.world.now(), func() { p.resume(run, fn) })
+	case !p.isAlive || p.generation != generation:
+	case p.pausedUntil > p.sim.now():
+		p.sim.after(p.pausedUntil-p.sim.now(), func() { p.runWhenActive(generation, fn) })
 	default:
 		fn()
 	}
 }
 
-// every runs fn now and again while the process lives.
+// every runs fn at once and then at intervals of d while the process is alive.
 func (p *process) every(d time.Duration, fn func()) {
 	fn()
-	p.do(d, func() { p.every(d, fn) })
+	p.runAfter(d, func() { p.every(d, fn) })
 }
 
-func (p *process) reachable() bool { return p.alive && p.cut <= p.world.now() }
+func (p *process) isReachable() bool { return p.isAlive && p.partitionedUntil <= p.sim.now() }
 
-// believedLive tells whether membership still counts the process, at worst.
-func (p *process) believedLive() bool {
-	now := p.world.now()
-	answers := p.reachable() && p.paused <= now
-	return !p.left && (answers || now-p.lost < member.Defaults().DetectBound())
+// isCountedLive reports whether membership may still count the process as live,
+// given the longest time that it needs to detect a failure.
+func (p *process) isCountedLive() bool {
+	now := p.sim.now()
+	answers := p.isReachable() && p.pausedUntil <= now
+	return !p.hasLeft && (answers || now-p.unreachableSince < member.Defaults().DetectBound())
 }
 
-func (p *process) die() {
-	p.lost = p.world.now()
-	p.alive = false
-	p.run++
+func (p *process) terminate() {
+	p.unreachableSince = p.sim.now()
+	p.isAlive = false
+	p.generation++
 }
 
-// send carries a message to another process; it is lost where either is dead or
-// cut off when it arrives.
+// send delivers a message to another process after messageDelay. The message is
+// lost if either process is down or partitioned when it arrives.
 func (p *process) send(to *process, fn func()) {
-	if !p.reachable() {
+	if !p.isReachable() {
 		return
 	}
-	run := to.run
-	p.world.after(hop, func() {
-		if p.cut > p.world.now() || !to.reachable() || to.run != run {
+	generation := to.generation
+	p.sim.after(messageDelay, func() {
+		if p.partitionedUntil > p.sim.now() || !to.isReachable() || to.generation != generation {
 			return
 		}
-		to.resume(run, fn)
+		to.runWhenActive(generation, fn)
 	})
 }
--- a/internal/matrix/daemon.go
+++ b/internal/matrix/daemon.go
@@ -9,68 +9,70 @@
 	"github.com/verbenastep/verbenastep/core/state"
 )
 
-// daemon is an entry that may hold the dispatcher's lease too.
+// daemon is an entry that may also hold the dispatcher's lease.
 type daemon struct {
 	process
-	attempts map[string]*attempt
-	started  int
-	renewed  time.Duration
-	session  session
-	host     *host
-	// leaving and closed are stages of a graceful shutdown: out of the
-	// directory, and taking no connection any more.
-	leaving bool
-	closed  bool
+	attempts     map[string]*attempt
+	attemptCount int
+	lastRenewal  time.Duration
+	session      session
+	host         *dispatchHost
+	// isLeaving and isClosed are stages of a graceful shutdown: no longer in the
+	// directory, and no longer accepting connections.
+	isLeaving bool
+	isClosed  bool
 }
 
-func newDaemon(w *world, name string) *daemon {
-	return &daemon{process: process{world: w, name: name}}
+func newDaemon(w *simulation, name string) *daemon {
+	return &daemon{process: process{sim: w, name: name}}
 }
 
 func (d *daemon) start() {
-	d.alive = true
+	d.isAlive = true
 	d.attempts = map[string]*attempt{}
 	d.session = newSession(d)
 	d.host = nil
-	d.leaving, d.closed, d.left = false, false, false
-	d.world.record(promise.Event{Kind: promise.Started, Daemon: d.name})
-	d.every(sessionTick, d.session.tick)
-	d.every(seekEvery, d.keepLease)
+	d.isLeaving, d.isClosed, d.hasLeft = false, false, false
+	d.sim.recordEvent(promise.Event{Kind: promise.Started, Daemon: d.name})
+	d.every(sessionCheckInterval, d.session.maintain)
+	d.every(leaseCheckInterval, d.maintainLease)
 }
 
-// crash loses all that the daemon had in memory.
+// crash terminates the daemon, which loses its memory, and restarts it after
+// restartDelay.
 func (d *daemon) crash() {
-	if !d.alive {
+	if !d.isAlive {
 		return
 	}
-	d.world.record(promise.Event{Kind: promise.Crashed, Daemon: d.name})
+	d.sim.recordEvent(promise.Event{Kind: promise.Crashed, Daemon: d.name})
 	attempts := d.attempts
-	d.die()
+	d.terminate()
 	d.attempts = map[string]*attempt{}
 	d.host = nil
 	for _, a := range sortedAttempts(attempts) {
-		for _, waiting := range a.waiting {
-			waiting.caller.lost(waiting.sent)
+		for _, waiting := range a.waiters {
+			waiting.caller.handleConnectionLoss(waiting.sendNumber)
 		}
 	}
-	d.world.after(restartAfter, d.start)
+	d.sim.after(restartDelay, d.start)
 }
 
-// accept takes a request, or joins the one that runs under its key.
+// accept starts a request, or attaches the caller to the one that runs under
+// its key.
 func (d *daemon) accept(c *caller, sent int) {
-	if c.ended || c.sends != sent {
+	if c.hasEnded || c.sendCount != sent {
 		return
 	}
-	d.world.record(promise.Event{Kind: promise.Accept, Daemon: d.name, Workspace: space, Key: c.key, NonIdempotent: d.world.kind == call, Tier: c.tier})
+	d.sim.recordEvent(promise.Event{Kind: promise.Accept, Daemon: d.name, Workspace: workspaceName, Key: c.key, NonIdempotent: d.sim.requestKind == serviceCall, Tier: c.tier})
 	a, ok := d.attempts[c.key]
 	if !ok {
-		d.started++
+		d.attemptCount++
 		a = newAttempt(d, c)
 		d.attempts[c.key] = a
 	}
-	a.waiting = append(a.waiting, waiter{caller: c, sent: sent})
-	if a.ended != nil {
-		a.tell()
+	a.waiters = append(a.waiters, waiter{caller: c, sendNumber: sent})
+	if a.result != nil {
+		a.notifyWaiters()
 		return
 	}
 	if !ok {
@@ -78,55 +80,57 @@
 	}
 }
 
-// serving tells whether the caller still hears the entry's heartbeats.
-func (d *daemon) serving(c *caller) bool {
+// isServing reports whether the caller still receives heartbeats from the
+// entry.
+func (d *daemon) isServing(c *caller) bool {
 	a, ok := d.attempts[c.key]
-	return ok && d.reachable() && d.paused <= d.world.now() && a.ended == nil
+	return ok && d.isReachable() && d.pausedUntil <= d.sim.now() && a.result == nil
 }
 
-// keepLease takes or renews the dispatcher's lease.
-func (d *daemon) keepLease() {
-	l := d.world.log.machine.Lease(leaseName)
-	now := d.world.now()
-	due := l.Holder == "" || l.Holder == d.name && now-d.renewed >= renewEvery
-	if d.closed || !due || !d.world.log.up() || !d.reachable() {
+// maintainLease acquires or renews the dispatcher's lease when due.
+func (d *daemon) maintainLease() {
+	l := d.sim.log.machine.Lease(leaseName)
+	now := d.sim.now()
+	due := l.Holder == "" || l.Holder == d.name && now-d.lastRenewal >= renewInterval
+	if d.isClosed || !due || !d.sim.log.hasLeader() || !d.isReachable() {
 		return
 	}
-	d.renewed = now
-	d.do(d.rank(), d.renew)
+	d.lastRenewal = now
+	d.runAfter(d.acquireDelay(), d.acquireLease)
 }
 
-// rank is how long the daemon lets others go first where the lease is free.
-func (d *daemon) rank() time.Duration {
+// acquireDelay returns how long the daemon waits before it acquires the lease,
+// so that daemons later in the list go first; zero for the holder.
+func (d *daemon) acquireDelay() time.Duration {
 	if d.host != nil {
 		return 0
 	}
-	return time.Duration(len(d.world.daemons)-1-slices.Index(d.world.daemons, d)) * rankPause
+	return time.Duration(len(d.sim.daemons)-1-slices.Index(d.sim.daemons, d)) * acquireDelayStep
 }
 
-func (d *daemon) renew() {
-	if l := d.world.log.machine.Lease(leaseName); l.Holder != "" && l.Holder != d.name {
+func (d *daemon) acquireLease() {
+	if l := d.sim.log.machine.Lease(leaseName); l.Holder != "" && l.Holder != d.name {
 		return
 	}
-	asked := d.world.now()
-	d.world.log.propose(&d.process, state.Command{Acquire: &state.Acquire{Name: leaseName, Holder: d.name}}, func(r state.Result, ok bool) {
+	requestedAt := d.sim.now()
+	d.sim.log.propose(&d.process, state.Command{Acquire: &state.Acquire{Name: leaseName, Holder: d.name}}, func(r state.Result, ok bool) {
 		if !ok || r.Status != state.OK {
 			return
 		}
 		if d.host == nil || d.host.epoch != r.Lease.Epoch {
-			d.host = newHost(d, r.Lease.Epoch)
+			d.host = newDispatchHost(d, r.Lease.Epoch)
 		}
-		d.host.until = asked + holderLife
+		d.host.leaseValidUntil = requestedAt + holderTTL
 	})
 }
 
-// holdsLease tells whether the daemon dispatches by its own clock.
+// holdsLease reports whether the daemon's lease is valid by its own clock.
 func (d *daemon) holdsLease() bool {
-	return d.alive && d.host != nil && d.world.now() < d.host.until
+	return d.isAlive && d.host != nil && d.sim.now() < d.host.leaseValidUntil
 }
 
-// dispatcher finds the daemon that dispatches now.
-func (w *world) dispatcher() *daemon {
+// dispatcher returns the daemon that dispatches now, or nil.
+func (w *simulation) dispatcher() *daemon {
 	for _, d := range w.daemons {
 		if d.holdsLease() && w.log.machine.Lease(leaseName).Holder == d.name {
 			return d
@@ -136,14 +140,14 @@
 }
 
 const (
-	// holderLife is how long a holder trusts its lease after asking for it;
-	// shorter than leaseLife by the bound on drift.
-	holderLife = 1500 * time.Millisecond
-	renewEvery = 400 * time.Millisecond
-	// seekEvery is how often a daemon looks at the lease, and rankPause how much
-	// longer each waits than the one before it.
-	seekEvery = 150 * time.Millisecond
-	rankPause = 150 * time.Millisecond
-	// sessionTick is how often an entry looks after its session.
-	sessionTick = 50 * time.Millisecond
+	// holderTTL is how long a holder trusts its lease, counted from the request.
+	// It is shorter than leaseTTL by the bound on clock drift.
+	holderTTL     = 1500 * time.Millisecond
+	renewInterval = 400 * time.Millisecond
+	// leaseCheckInterval is the interval at which a daemon checks the lease, and
+	// acquireDelayStep the difference between the delays of consecutive daemons.
+	leaseCheckInterval = 150 * time.Millisecond
+	acquireDelayStep   = 150 * time.Millisecond
+	// sessionCheckInterval is the interval at which an entry checks its session.
+	sessionCheckInterval = 50 * time.Millisecond
 )
--- a/internal/matrix/drain.go
+++ b/internal/matrix/drain.go
@@ -11,135 +11,141 @@
 
 // Steps of a graceful shutdown.
 const (
-	atAnnounced  step = "announced"
-	atLifetime   step = "lifetime"
-	atClosed     step = "closed"
-	atHandedOver step = "handed over"
-	atStopped    step = "stopped"
+	stepAnnounced  step = "announced"
+	stepLifetime   step = "lifetime"
+	stepClosed     step = "closed"
+	stepHandedOver step = "handed over"
+	stepStopped    step = "stopped"
 )
 
 func drainSteps() []step {
-	return []step{atAnnounced, atLifetime, atClosed, atHandedOver, atStopped}
+	return []step{stepAnnounced, stepLifetime, stepClosed, stepHandedOver, stepStopped}
 }
 
 const (
-	// drainLife is how long a daemon serves after it left the directory.
-	drainLife = 8 * time.Second
-	// handover bounds what the change of the dispatcher takes by itself.
-	handover = time.Second
+	// drainTime is how long a daemon continues to serve after it has left the
+	// directory.
+	drainTime = 8 * time.Second
+	// handoverBound bounds the time that a planned change of the dispatcher
+	// takes.
+	handoverBound = time.Second
 )
 
-// arrivals is the time between two requests during a shutdown, so that one is
-// always in flight.
-var arrivals = map[kind]time.Duration{stream: 250 * time.Millisecond, call: 40 * time.Millisecond}
+// arrivalIntervals is the time between two requests during a shutdown. It is
+// short enough that a request is always in flight.
+var arrivalIntervals = map[requestKind]time.Duration{streamRequest: 250 * time.Millisecond, serviceCall: 40 * time.Millisecond}
 
 // drain shuts a daemon down in the order of internal/daemon: leave the
-// directory, serve for the answers' lifetime, close, wait for what runs, hand
-// over the lease, stop. It starts again later.
+// directory, serve for the lifetime of directory answers, close, wait for
+// running requests, hand over the lease, stop. The daemon restarts after
+// restartDelay.
 func (d *daemon) drain(reached func(step)) {
-	d.world.record(promise.Event{Kind: promise.Drain, Daemon: d.name})
-	d.leaving = true
-	reached(atAnnounced)
-	d.do(drainLife/2, func() { reached(atLifetime) })
-	d.do(drainLife, func() {
-		d.closed = true
-		reached(atClosed)
-		d.awaitEnd(reached)
+	d.sim.recordEvent(promise.Event{Kind: promise.Drain, Daemon: d.name})
+	d.isLeaving = true
+	reached(stepAnnounced)
+	d.runAfter(drainTime/2, func() { reached(stepLifetime) })
+	d.runAfter(drainTime, func() {
+		d.isClosed = true
+		reached(stepClosed)
+		d.awaitAttempts(reached)
 	})
 }
 
-func (d *daemon) awaitEnd(reached func(step)) {
+func (d *daemon) awaitAttempts(reached func(step)) {
 	for _, a := range d.attempts {
-		if a.ended == nil || len(a.waiting) > 0 {
-			d.do(10*hop, func() { d.awaitEnd(reached) })
+		if a.result == nil || len(a.waiters) > 0 {
+			d.runAfter(10*messageDelay, func() { d.awaitAttempts(reached) })
 			return
 		}
 	}
-	held := d.host
+	host := d.host
 	d.host = nil
-	reached(atHandedOver)
-	stop := func(state.Result) { d.do(2*hop, func() { d.stop(reached) }) }
-	if held == nil {
+	reached(stepHandedOver)
+	stop := func(state.Result) { d.runAfter(2*messageDelay, func() { d.stop(reached) }) }
+	if host == nil {
 		stop(state.Result{})
 		return
 	}
-	d.world.log.insist(&d.process, state.Command{Expire: &state.Expire{Name: leaseName, Epoch: held.epoch}}, stop)
+	d.sim.log.proposeUntilAnswered(&d.process, state.Command{Expire: &state.Expire{Name: leaseName, Epoch: host.epoch}}, stop)
 }
 
 func (d *daemon) stop(reached func(step)) {
-	d.world.record(promise.Event{Kind: promise.Stopped, Daemon: d.name})
-	d.die()
-	d.left = true
-	reached(atStopped)
-	d.world.after(restartAfter, d.start)
+	d.sim.recordEvent(promise.Event{Kind: promise.Stopped, Daemon: d.name})
+	d.terminate()
+	d.hasLeft = true
+	reached(stepStopped)
+	d.sim.after(restartDelay, d.start)
 }
 
-// running finds a request in flight, at the daemon itself where there is one.
-func (w *world) running(d *daemon) *attempt {
+// inFlightAttempt returns a request in flight, preferably at the given daemon,
+// or nil.
+func (w *simulation) inFlightAttempt(d *daemon) *attempt {
 	for _, x := range append([]*daemon{d}, w.daemons...) {
-		all := slices.DeleteFunc(sortedAttempts(x.attempts), func(a *attempt) bool { return a.ended != nil || len(a.waiting) == 0 })
-		if x.alive && len(all) > 0 {
+		all := slices.DeleteFunc(sortedAttempts(x.attempts), func(a *attempt) bool { return a.result != nil || len(a.waiters) == 0 })
+		if x.isAlive && len(all) > 0 {
 			return all[len(all)-1]
 		}
 	}
 	return nil
 }
 
-// runDrain shuts the dispatcher's daemon down while requests come, and brings a
-// fault about at a step of the shutdown.
-func runDrain(k kind, f fault, at step) verdict {
-	w := newWorld(k, 1)
-	w.run(warmUp, never)
-	v := verdict{kind: k, fault: f.name, step: at, bound: f.bound + handover, allowed: f.bound + handover, skipped: "the shutdown was cut short before"}
+// runDrain shuts the dispatcher's daemon down while requests arrive, and
+// injects a fault at a step of the shutdown.
+func runDrain(k requestKind, f fault, at step) cellResult {
+	w := newSimulation(k, 1)
+	w.run(warmUpTime, runToDeadline)
+	v := cellResult{kind: k, fault: f.name, step: at, bound: f.bound + handoverBound, rowBound: f.bound + handoverBound, skipReason: "the shutdown was cut short before"}
 	d := w.dispatcher()
-	last := time.Duration(0)
-	w.arrive(d, w.now()+drainLife+2*time.Second)
-	w.after(arrivals[k], func() {
+	lastFault := time.Duration(0)
+	w.generateRequests(d, w.now()+drainTime+2*time.Second)
+	w.after(arrivalIntervals[k], func() {
 		d.drain(func(s step) {
-			if s == at && v.skipped != "" {
-				v.skipped = w.strikeRunning(f, d)
-				last = w.now()
+			if s == at && v.skipReason != "" {
+				v.skipReason = w.injectInFlight(f, d)
+				lastFault = w.now()
 			}
 		})
 	})
-	w.run(limit, func() bool { return w.now() > warmUp+drainLife+3*time.Second && w.settled() })
-	w.judge(&v, last)
-	if v.skipped == "" {
-		v.skipped = w.skipped(nil)
+	w.run(runTimeout, func() bool { return w.now() > warmUpTime+drainTime+3*time.Second && w.allCallersEnded() })
+	w.evaluate(&v, lastFault)
+	if v.skipReason == "" {
+		v.skipReason = w.skipReason(nil)
 	}
 	return v
 }
 
-// strikeRunning strikes at a request in flight; it says why it couldn't.
-func (w *world) strikeRunning(f fault, d *daemon) string {
-	a := w.running(d)
+// injectInFlight injects a fault at a request in flight. It returns why it
+// could not, or an empty string.
+func (w *simulation) injectInFlight(f fault, d *daemon) string {
+	a := w.inFlightAttempt(d)
 	if a == nil {
 		return "no request was in flight"
 	}
-	for _, c := range w.others {
+	for _, c := range w.otherCallers {
 		if c.key == a.key {
 			w.subject = c
 		}
 	}
-	f.strike(w, a)
+	f.inject(w, a)
 	return ""
 }
 
-// arrive sends a request now and again until a time: to the daemon that drains
-// while a directory answer may name it, then to another.
-func (w *world) arrive(d *daemon, until time.Duration) {
+// generateRequests sends requests at fixed intervals until a time: to the
+// draining daemon while a directory answer may still name it, then to the next
+// one.
+func (w *simulation) generateRequests(d *daemon, until time.Duration) {
 	if w.now() > until {
 		return
 	}
 	entry := slices.Index(w.daemons, d)
-	if w.now() > warmUp+drainLife {
+	if w.now() > warmUpTime+drainTime {
 		entry = (entry + 1) % len(w.daemons)
 	}
-	c := &caller{world: w, key: fmt.Sprintf("late-%d", len(w.others)), entry: entry, born: w.now()}
-	w.others = append(w.others, c)
+	c := &caller{sim: w, key: fmt.Sprintf("late-%d", len(w.otherCallers)), nextEntry: entry, createdAt: w.now()}
+	w.otherCallers = append(w.otherCallers, c)
 	if w.subject == nil {
 		w.subject = c
 	}
 	c.send()
-	w.after(arrivals[w.kind], func() { w.arrive(d, until) })
+	w.after(arrivalIntervals[w.requestKind], func() { w.generateRequests(d, until) })
 }
--- a/internal/matrix/engine.go
+++ b/internal/matrix/engine.go
@@ -11,19 +11,20 @@
 )
 
 const (
-	frames     = 20
-	frameBytes = 8
-	frameTime  = 20 * time.Millisecond
-	callTime   = 100 * time.Millisecond
-	slots      = 4
-	// lateBy delays a late frame beyond the silence that retires a connection.
-	lateBy = silence + 500*time.Millisecond
+	answerFrames  = 20
+	frameBytes    = 8
+	frameInterval = 20 * time.Millisecond
+	callDuration  = 100 * time.Millisecond
+	upstreamSlots = 4
+	// lateFrameDelay delays a late frame beyond streamIdleTimeout, which closes
+	// the connection.
+	lateFrameDelay = streamIdleTimeout + 500*time.Millisecond
 )
 
-// contentOf is the whole answer to a request.
-func contentOf(key string) string {
+// answerTo returns the whole answer to a request.
+func answerTo(key string) string {
 	sum := sha256.Sum256([]byte(key))
-	return strings.Repeat(hex.EncodeToString(sum[:]), 3)[:frames*frameBytes]
+	return strings.Repeat(hex.EncodeToString(sum[:]), 3)[:answerFrames*frameBytes]
 }
 
 func hashOf(text string) string {
@@ -31,162 +32,164 @@
 	return hex.EncodeToString(sum[:4])
 }
 
-// work is one dispatched request on an engine.
-type work struct {
-	content string
-	made    int
-	conns   []*conn
+// execution is one request dispatched to an engine.
+type execution struct {
+	answer      string
+	frameCount  int
+	connections []*connection
 }
 
-// engine stands for an upstream of either kind.
+// engine emulates an upstream of either kind. slowdown is the factor on its
+// service times.
 type engine struct {
 	process
 	incarnation uint64
-	pace        time.Duration
-	leaving     bool
-	works       map[string]*work
+	slowdown    time.Duration
+	isLeaving   bool
+	executions  map[string]*execution
 }
 
-func newEngine(w *world, name string) *engine {
-	e := &engine{process: process{world: w, name: name}, pace: 1}
-	e.begin()
+func newEngine(w *simulation, name string) *engine {
+	e := &engine{process: process{sim: w, name: name}, slowdown: 1}
+	e.join()
 	return e
 }
 
-func (e *engine) begin() {
-	e.alive = true
+func (e *engine) join() {
+	e.isAlive = true
 	e.incarnation++
-	e.works = map[string]*work{}
-	e.world.record(promise.Event{Kind: promise.Join, Upstream: e.name})
+	e.executions = map[string]*execution{}
+	e.sim.recordEvent(promise.Event{Kind: promise.Join, Upstream: e.name})
 }
 
 func (e *engine) crash() {
-	works := e.works
-	e.die()
-	for _, x := range works {
-		for _, c := range x.conns {
+	executions := e.executions
+	e.terminate()
+	for _, x := range executions {
+		for _, c := range x.connections {
 			c.reset()
 		}
 	}
-	e.world.after(restartAfter, func() {
-		if !e.alive {
-			e.begin()
+	e.sim.after(restartDelay, func() {
+		if !e.isAlive {
+			e.join()
 		}
 	})
 }
 
-// start executes a request at most once by its stream.
-func (e *engine) start(name, key string, c *conn) bool {
-	if _, ok := e.works[name]; ok {
+// execute starts a request unless its stream was started before.
+func (e *engine) execute(name, key string, c *connection) bool {
+	if _, ok := e.executions[name]; ok {
 		return false
 	}
-	content := contentOf(key)
-	e.world.record(promise.Event{Kind: promise.Execute, Upstream: e.name, Workspace: space, Key: key, Stream: name, SentHash: hashOf(content)})
-	x := &work{content: content, conns: []*conn{c}}
-	e.works[name] = x
-	if e.world.kind == call {
-		e.do(callTime*e.pace, func() { c.reply(content) })
+	content := answerTo(key)
+	e.sim.recordEvent(promise.Event{Kind: promise.Execute, Upstream: e.name, Workspace: workspaceName, Key: key, Stream: name, SentHash: hashOf(content)})
+	x := &execution{answer: content, connections: []*connection{c}}
+	e.executions[name] = x
+	if e.sim.requestKind == serviceCall {
+		e.runAfter(callDuration*e.slowdown, func() { c.sendReply(content) })
 		return true
 	}
-	e.do(frameTime*e.pace, func() { e.generate(name, x) })
+	e.runAfter(frameInterval*e.slowdown, func() { e.generate(name, x) })
 	return true
 }
 
-func (e *engine) generate(name string, x *work) {
-	x.made++
-	for _, c := range x.conns {
-		c.push(name, x)
+func (e *engine) generate(name string, x *execution) {
+	x.frameCount++
+	for _, c := range x.connections {
+		c.sendNewFrames(name, x)
 	}
-	if x.made < frames {
-		e.do(frameTime*e.pace, func() { e.generate(name, x) })
+	if x.frameCount < answerFrames {
+		e.runAfter(frameInterval*e.slowdown, func() { e.generate(name, x) })
 	}
 }
 
-// conn is a connection from an entry to an engine.
-type conn struct {
+// connection is a connection from an entry to an engine.
+type connection struct {
 	owner *attempt
-	// next is the frame to send next.
-	next int
-	// silent says that nothing comes through any more.
-	silent bool
-	// held delays all frames until a time.
-	held   time.Duration
-	closed bool
-	inbox  []claims.Event
-	texts  []string
+	// nextFrame is the number of the next frame to send.
+	nextFrame int
+	// isSilent is set when nothing arrives on the connection any more.
+	isSilent bool
+	// heldUntil is the time until which all frames are delayed.
+	heldUntil time.Duration
+	isClosed  bool
+	inbox     []claims.Event
+	texts     []string
 }
 
-// push sends what the connection lacks, damaged where a fault says so.
-func (c *conn) push(name string, x *work) {
-	for ; c.next < x.made; c.next++ {
-		offset := c.next * frameBytes
-		text := x.content[offset : offset+frameBytes]
-		f := claims.Frame{Stream: name, Offset: int64(offset), Length: frameBytes, End: c.next == frames-1}
-		c.damaged(f, text)
+// sendNewFrames sends the frames that the connection has not carried yet.
+func (c *connection) sendNewFrames(name string, x *execution) {
+	for ; c.nextFrame < x.frameCount; c.nextFrame++ {
+		offset := c.nextFrame * frameBytes
+		text := x.answer[offset : offset+frameBytes]
+		f := claims.Frame{Stream: name, Offset: int64(offset), Length: frameBytes, End: c.nextFrame == answerFrames-1}
+		c.deliverDamaged(f, text)
 	}
 }
 
-// damaged delivers one frame as the next fault of a frame has it.
-func (c *conn) damaged(f claims.Frame, text string) {
-	w := c.owner.daemon.world
-	what := none
-	if c.owner.subject() {
-		what = take(&w.taint.frame)
+// deliverDamaged delivers one frame with the planned damage applied.
+func (c *connection) deliverDamaged(f claims.Frame, text string) {
+	w := c.owner.daemon.sim
+	what := damageNone
+	if c.owner.isSubject() {
+		what = consume(&w.pendingDamage.frame)
 	}
 	switch what {
-	case silent:
-		c.silent = true
+	case damageSilent:
+		c.isSilent = true
 		return
-	case late:
-		c.held = w.now() + lateBy
-	case crossed:
+	case damageLate:
+		c.heldUntil = w.now() + lateFrameDelay
+	case damageForeign:
 		other := f
 		other.Stream = "of-another"
-		c.deliver(other, "xxxxxxxx")
-	case doubled:
-		c.deliver(f, text)
-	case truncated:
+		c.deliverFrame(other, "xxxxxxxx")
+	case damageDuplicated:
+		c.deliverFrame(f, text)
+	case damageTruncated:
 		f.Length, f.End = frameBytes/2, false
 		text = text[:frameBytes/2]
 	}
-	c.deliver(f, text)
+	c.deliverFrame(f, text)
 }
 
-func (c *conn) deliver(f claims.Frame, text string) {
-	c.arrive(claims.Event{Kind: claims.FrameRead, Frame: f}, text)
+func (c *connection) deliverFrame(f claims.Frame, text string) {
+	c.receive(claims.Event{Kind: claims.FrameRead, Frame: f}, text)
 }
 
-// reply sends a plain service's whole reply, which may be late or cut.
-func (c *conn) reply(content string) {
-	w := c.owner.daemon.world
-	if !c.owner.subject() || w.taint.frame == crossed || w.taint.frame == doubled {
-		c.arrive(claims.Event{Kind: claims.Replied, Length: int64(len(content))}, content)
+// sendReply sends the whole reply of a plain service with the planned damage
+// applied.
+func (c *connection) sendReply(content string) {
+	w := c.owner.daemon.sim
+	if !c.owner.isSubject() || w.pendingDamage.frame == damageForeign || w.pendingDamage.frame == damageDuplicated {
+		c.receive(claims.Event{Kind: claims.Replied, Length: int64(len(content))}, content)
 		return
 	}
-	switch take(&w.taint.frame) {
-	case late:
-		c.held = c.owner.daemon.world.now() + lateBy
-	case truncated:
+	switch consume(&w.pendingDamage.frame) {
+	case damageLate:
+		c.heldUntil = c.owner.daemon.sim.now() + lateFrameDelay
+	case damageTruncated:
 		c.reset()
 		return
-	case silent:
-		c.silent = true
+	case damageSilent:
+		c.isSilent = true
 	}
-	c.arrive(claims.Event{Kind: claims.Replied, Length: int64(len(content))}, content)
+	c.receive(claims.Event{Kind: claims.Replied, Length: int64(len(content))}, content)
 }
 
-// reset ends the connection as a dead peer does.
-func (c *conn) reset() { c.arrive(claims.Event{Kind: claims.ConnectionLost}, "") }
+// reset ends the connection as the failure of its peer does.
+func (c *connection) reset() { c.receive(claims.Event{Kind: claims.ConnectionLost}, "") }
 
-func (c *conn) arrive(e claims.Event, text string) {
-	if c.silent {
+func (c *connection) receive(e claims.Event, text string) {
+	if c.isSilent {
 		return
 	}
 	p := &c.owner.daemon.process
-	wait := max(hop, c.held-p.world.now())
-	p.do(wait, func() {
+	wait := max(messageDelay, c.heldUntil-p.sim.now())
+	p.runAfter(wait, func() {
 		c.inbox = append(c.inbox, e)
 		c.texts = append(c.texts, text)
-		c.owner.poll(c)
+		c.owner.deliverNext(c)
 	})
 }
--- a/internal/matrix/faults.go
+++ b/internal/matrix/faults.go
@@ -8,175 +8,182 @@
 	"github.com/verbenastep/verbenastep/core/promise"
 )
 
-// step is a column: a point on the path of the subject's request.
+// step is a column of the table: a point on the path of the subject request.
 type step string
 
-// Steps, in their order. Each fault strikes as the entry is about to do what
-// the step names; the steps that end in "sent" are a message's time later.
+// Steps in order. A fault is injected as the entry is about to do what the step
+// names; for steps that end in "sent", 1.5 message delays later.
 const (
-	atAccept       step = "accept"
-	atQueue        step = "queue"
-	atQueueSent    step = "queue sent"
-	atGrant        step = "grant"
-	atClaim        step = "claim"
-	atClaimSent    step = "claim sent"
-	atDispatch     step = "dispatch"
-	atDispatchSent step = "dispatch sent"
-	atStream       step = "stream"
-	atFinish       step = "finish"
+	stepAccept       step = "accept"
+	stepQueue        step = "queue"
+	stepQueueSent    step = "queue sent"
+	stepGrant        step = "grant"
+	stepClaim        step = "claim"
+	stepClaimSent    step = "claim sent"
+	stepDispatch     step = "dispatch"
+	stepDispatchSent step = "dispatch sent"
+	stepStream       step = "stream"
+	stepFinish       step = "finish"
 )
 
-func steps() []step {
-	return []step{atAccept, atQueue, atQueueSent, atGrant, atClaim, atClaimSent, atDispatch, atDispatchSent, atStream, atFinish}
+func requestSteps() []step {
+	return []step{stepAccept, stepQueue, stepQueueSent, stepGrant, stepClaim, stepClaimSent, stepDispatch, stepDispatchSent, stepStream, stepFinish}
 }
 
-// streamAt is the frame before which the step "stream" lies.
-const streamAt = 8
+// streamStepFrame is the number of frames delivered before the step "stream".
+const streamStepFrame = 8
 
-// mark tells the hook which step an effect belongs to.
-func (a *attempt) mark(f claims.Effect) {
-	w := a.daemon.world
+// reportStep calls onStep for the step that an effect belongs to.
+func (a *attempt) reportStep(f claims.Effect) {
+	w := a.daemon.sim
 	later := func(s step) {
-		w.after(hop+hop/2, func() { w.hook(s, a) })
+		w.after(messageDelay+messageDelay/2, func() { w.onStep(s, a) })
 	}
 	switch f.Kind {
 	case claims.Lookup:
-		w.hook(atAccept, a)
+		w.onStep(stepAccept, a)
 	case claims.Acquire:
-		w.hook(atQueue, a)
-		later(atQueueSent)
+		w.onStep(stepQueue, a)
+		later(stepQueueSent)
 	case claims.Dial:
-		w.hook(atGrant, a)
+		w.onStep(stepGrant, a)
 	case claims.Propose:
-		w.hook(atClaim, a)
-		later(atClaimSent)
+		w.onStep(stepClaim, a)
+		later(stepClaimSent)
 	case claims.Send:
-		w.hook(atDispatch, a)
-		later(atDispatchSent)
+		w.onStep(stepDispatch, a)
+		later(stepDispatchSent)
 	case claims.Deliver:
-		if a.text.Len() == streamAt*frameBytes {
-			w.hook(atStream, a)
+		if a.text.Len() == streamStepFrame*frameBytes {
+			w.onStep(stepStream, a)
 		}
 	case claims.End:
-		w.hook(atFinish, a)
+		w.onStep(stepFinish, a)
 	}
 }
 
-// fault is a row.
+// fault is a row of the table.
 type fault struct {
 	name string
-	// bound is the longest time from the fault until every caller has its end.
+	// bound is the longest time from the fault until every caller has its result.
 	bound time.Duration
-	// strike brings it about at the subject's attempt.
-	strike func(w *world, a *attempt)
+	// inject causes the fault at the subject's attempt.
+	inject func(w *simulation, a *attempt)
 }
 
 const (
-	// processBound is the target for the loss of any one process, 3 s, and a
-	// request's own time.
-	processBound = 3*time.Second + answerTime
-	// pauseTime is how long a paused process stands still, cutTime how long a
-	// daemon stays cut off.
-	pauseTime = 5 * time.Second
-	cutTime   = 20 * time.Second
-	// slowdown is a straggler's.
-	slowdown = 10
-	// burstSize is how many requests a burst brings.
+	// processLossBound is the target of 3 s for the loss of any one process, plus
+	// the time of one request.
+	processLossBound = 3*time.Second + answerBound
+	// pauseDuration is how long a paused process stays paused, partitionDuration
+	// how long a daemon stays partitioned.
+	pauseDuration     = 5 * time.Second
+	partitionDuration = 20 * time.Second
+	// stragglerSlowdown is the factor by which a straggler is slower.
+	stragglerSlowdown = 10
+	// burstSize is the number of requests in a burst.
 	burstSize = 40
-	// answerTime bounds one undisturbed request.
-	answerTime = 600 * time.Millisecond
+	// answerBound bounds one request without faults.
+	answerBound = 600 * time.Millisecond
 )
 
-// burstTime is the time in which the engines serve a burst.
-const burstTime = burstSize/(2*slots)*answerTime + answerTime
+// burstServiceTime is the time in which the engines serve a burst.
+const burstServiceTime = burstSize/(2*upstreamSlots)*answerBound + answerBound
 
-// faults lists the rows. Bounds: the loss of a process is made good within 3 s;
-// what shows only by silence takes the silence's time more, and for a plain
-// call, which may be long without a sign of life, the request's; a straggler
-// keeps what it has and takes as much longer as it is slower.
+// faults returns the rows. The loss of a process must be repaired within 3 s.
+// Faults visible only by silence add the idle timeout that detects them; for a
+// plain service call, which may be silent until its reply, that is the request
+// timeout. A straggler keeps its requests, which take longer by its slowdown.
 func faults() []fault {
 	return []fault{
-		{"entry dies", processBound, func(_ *world, a *attempt) { a.daemon.crash() }},
-		{"dispatcher dies", processBound, atDispatcher(func(d *daemon) { d.crash() })},
-		{"log leader dies", processBound, func(w *world, _ *attempt) { w.log.loseLeader() }},
-		{"log leader dies after a commit", processBound, func(w *world, _ *attempt) { w.log.swallow = true }},
-		{"upstream dies", processBound, func(w *world, a *attempt) { w.engineOf(a).crash() }},
-		{"dispatcher cut off silently", processBound + sessionSilence, atDispatcher(func(d *daemon) { d.world.isolate(d) })},
-		{"entry cut off silently", processBound + callerPatience, func(w *world, a *attempt) { w.isolate(a.daemon) }},
-		{"entry paused", processBound + callerPatience, func(w *world, a *attempt) { a.daemon.pause() }},
-		{"dispatcher paused", processBound + sessionSilence, atDispatcher(func(d *daemon) { d.pause() })},
-		{"straggler", slowdown * answerTime, func(w *world, a *attempt) { w.engineOf(a).pace = slowdown }},
-		{"burst", burstTime + answerTime, func(w *world, _ *attempt) { w.burst() }},
-		{"caller sends again", answerTime + answerTime, func(w *world, _ *attempt) { w.subject.send() }},
-		{"connection silent for good", requestTime + answerTime, silenced},
-		{"frame late", lateBy + answerTime, func(w *world, _ *attempt) { w.taint.frame = late }},
-		{"frame of another answer", 2 * answerTime, func(w *world, _ *attempt) { w.taint.frame = crossed }},
-		{"frame doubled", 2 * answerTime, func(w *world, _ *attempt) { w.taint.frame = doubled }},
-		{"frame truncated", 2 * answerTime, func(w *world, _ *attempt) { w.taint.frame = truncated }},
-		{"message lost", sessionSilence + 2*answerTime, func(w *world, a *attempt) { w.taint.message, w.taint.link = lost, a.daemon }},
-		{"message doubled", 2 * answerTime, func(w *world, a *attempt) { w.taint.message, w.taint.link = doubled, a.daemon }},
-		{"messages reordered", 2 * answerTime, func(w *world, a *attempt) { w.taint.message, w.taint.link = reordered, a.daemon }},
-		{"upstream leaves", 2 * answerTime, func(w *world, a *attempt) { w.leave(w.engineOf(a)) }},
+		{"entry dies", processLossBound, func(_ *simulation, a *attempt) { a.daemon.crash() }},
+		{"dispatcher dies", processLossBound, atDispatcher(func(d *daemon) { d.crash() })},
+		{"log leader dies", processLossBound, func(w *simulation, _ *attempt) { w.log.loseLeader() }},
+		{"log leader dies after a commit", processLossBound, func(w *simulation, _ *attempt) { w.log.losesNextReply = true }},
+		{"upstream dies", processLossBound, func(w *simulation, a *attempt) { w.engineOf(a).crash() }},
+		{"dispatcher cut off silently", processLossBound + sessionTimeout, atDispatcher(func(d *daemon) { d.sim.partition(d) })},
+		{"entry cut off silently", processLossBound + entryIdleTimeout, func(w *simulation, a *attempt) { w.partition(a.daemon) }},
+		{"entry paused", processLossBound + entryIdleTimeout, func(w *simulation, a *attempt) { a.daemon.pause() }},
+		{"dispatcher paused", processLossBound + sessionTimeout, atDispatcher(func(d *daemon) { d.pause() })},
+		{"straggler", stragglerSlowdown * answerBound, func(w *simulation, a *attempt) { w.engineOf(a).slowdown = stragglerSlowdown }},
+		{"burst", burstServiceTime + answerBound, func(w *simulation, _ *attempt) { w.sendBurst() }},
+		{"caller sends again", answerBound + answerBound, func(w *simulation, _ *attempt) { w.subject.send() }},
+		{"connection silent for good", requestTimeout + answerBound, silenceConnection},
+		{"frame late", lateFrameDelay + answerBound, func(w *simulation, _ *attempt) { w.pendingDamage.frame = damageLate }},
+		{"frame of another answer", 2 * answerBound, func(w *simulation, _ *attempt) { w.pendingDamage.frame = damageForeign }},
+		{"frame doubled", 2 * answerBound, func(w *simulation, _ *attempt) { w.pendingDamage.frame = damageDuplicated }},
+		{"frame truncated", 2 * answerBound, func(w *simulation, _ *attempt) { w.pendingDamage.frame = damageTruncated }},
+		{"message lost", sessionTimeout + 2*answerBound, func(w *simulation, a *attempt) {
+			w.pendingDamage.linkMessage, w.pendingDamage.link = damageLost, a.daemon
+		}},
+		{"message doubled", 2 * answerBound, func(w *simulation, a *attempt) {
+			w.pendingDamage.linkMessage, w.pendingDamage.link = damageDuplicated, a.daemon
+		}},
+		{"messages reordered", 2 * answerBound, func(w *simulation, a *attempt) {
+			w.pendingDamage.linkMessage, w.pendingDamage.link = damageReordered, a.daemon
+		}},
+		{"upstream leaves", 2 * answerBound, func(w *simulation, a *attempt) { w.drainUpstream(w.engineOf(a)) }},
 	}
 }
 
-// atDispatcher strikes whoever dispatches; between two of them nobody does.
-func atDispatcher(do func(*daemon)) func(*world, *attempt) {
-	return func(w *world, _ *attempt) {
+// atDispatcher returns an injection at the current dispatcher. It sets
+// noDispatcher if there is none, as between two holders of the lease.
+func atDispatcher(do func(*daemon)) func(*simulation, *attempt) {
+	return func(w *simulation, _ *attempt) {
 		d := w.dispatcher()
 		if d == nil {
-			w.missed = true
+			w.noDispatcher = true
 			return
 		}
 		do(d)
 	}
 }
 
-// engineOf is the upstream that serves an attempt, or the one it will likely
-// get.
-func (w *world) engineOf(a *attempt) *engine {
+// engineOf returns the upstream that serves an attempt, or the first one if
+// none was granted yet.
+func (w *simulation) engineOf(a *attempt) *engine {
 	if name := a.upstream(); name != "" {
 		return w.engineAt(name)
 	}
 	return w.engines[0]
 }
 
-// isolate cuts a daemon off from everyone for a long time.
-func (w *world) isolate(d *daemon) {
-	d.cut, d.lost = w.now()+cutTime, w.now()
-	w.record(promise.Event{Kind: promise.Partitioned, Daemon: d.name})
+// partition cuts a daemon off from all others for partitionDuration.
+func (w *simulation) partition(d *daemon) {
+	d.partitionedUntil, d.unreachableSince = w.now()+partitionDuration, w.now()
+	w.recordEvent(promise.Event{Kind: promise.Partitioned, Daemon: d.name})
 }
 
-// pause stops a daemon's process for a while.
+// pause suspends a daemon for pauseDuration.
 func (d *daemon) pause() {
-	d.paused, d.lost = d.world.now()+pauseTime, d.world.now()
+	d.pausedUntil, d.unreachableSince = d.sim.now()+pauseDuration, d.sim.now()
 }
 
-func (w *world) leave(e *engine) {
-	e.leaving = true
-	w.record(promise.Event{Kind: promise.Leave, Upstream: e.name})
+func (w *simulation) drainUpstream(e *engine) {
+	e.isLeaving = true
+	w.recordEvent(promise.Event{Kind: promise.Leave, Upstream: e.name})
 	for _, d := range w.daemons {
 		if d.host != nil {
-			d.host.core.leave(w.now(), e)
+			d.host.scheduler.leave(w.now(), e)
 		}
 	}
 }
 
-// burst brings many requests of a lower tier.
-func (w *world) burst() {
+// sendBurst sends burstSize requests of a lower tier.
+func (w *simulation) sendBurst() {
 	for range burstSize {
-		c := &caller{world: w, key: fmt.Sprintf("bulk-%d", len(w.others)), tier: bulkTier, entry: len(w.others) % len(w.daemons), born: w.now()}
-		w.others = append(w.others, c)
+		c := &caller{sim: w, key: fmt.Sprintf("bulk-%d", len(w.otherCallers)), tier: burstTier, nextEntry: len(w.otherCallers) % len(w.daemons), createdAt: w.now()}
+		w.otherCallers = append(w.otherCallers, c)
 		c.send()
 	}
 }
 
-// silenced makes the subject's connection carry nothing any more; where it has
-// none yet, the next one.
-func silenced(w *world, a *attempt) {
-	if a.conn != nil {
-		a.conn.silent = true
+// silenceConnection stops delivery on the subject's connection, or on its next
+// one if it has none yet.
+func silenceConnection(w *simulation, a *attempt) {
+	if a.connection != nil {
+		a.connection.isSilent = true
 		return
 	}
-	w.taint.frame = silent
+	w.pendingDamage.frame = damageSilent
 }
--- a/internal/matrix/matrix_test.go
+++ b/internal/matrix/matrix_test.go
@@ -10,21 +10,21 @@
 	"testing/synctest"
 )
 
-var write = flag.String("write", "", "write the tables to `FILE`")
+var writePath = flag.String("write", "", "write the tables to `FILE`")
 
 const (
-	pairSeed = 1
-	pairs    = 300
+	pairSeed  = 1
+	pairCount = 300
 )
 
-// page collects what -write writes.
-var page = strings.Builder{}
+// tablePage collects the tables that -write writes.
+var tablePage = strings.Builder{}
 
 func TestMain(m *testing.M) {
 	flag.Parse()
 	code := m.Run()
-	if *write != "" {
-		if err := os.WriteFile(*write, []byte(header+page.String()), 0o600); err != nil {
+	if *writePath != "" {
+		if err := os.WriteFile(*writePath, []byte(header+tablePage.String()), 0o600); err != nil {
 			fmt.Fprintln(os.Stderr, err)
 			code = 1
 		}
@@ -42,112 +42,113 @@
 says why a cell can't be.
 `
 
-// cell runs in a bubble of its own, on virtual time.
-func cell(t *testing.T, k kind, blows ...blow) verdict {
+// runCellVirtually runs a cell in a synctest bubble of its own, on virtual
+// time.
+func runCellVirtually(t *testing.T, k requestKind, injections ...injection) cellResult {
 	t.Helper()
-	v := verdict{}
-	synctest.Test(t, func(*testing.T) { v = runCell(k, 1, blows...) })
+	v := cellResult{}
+	synctest.Test(t, func(*testing.T) { v = runCell(k, 1, injections...) })
 	return v
 }
 
-func check(t *testing.T, v verdict) {
+func requirePassed(t *testing.T, v cellResult) {
 	t.Helper()
-	if !v.held() {
-		t.Errorf("%s, %s, at %s: %s; bound %v; %v %v", v.fault, v.kind, v.step, v, v.bound, v.broken, v.hung)
+	if !v.passed() {
+		t.Errorf("%s, %s request, at step %s: %s; bound %v; violations %v; callers without a result %v", v.fault, v.kind, v.step, v, v.bound, v.violations, v.unendedCallers)
 	}
 }
 
 func TestFaultMatrix(t *testing.T) {
 	for times, name := range []string{"once", "twice in a row"} {
 		t.Run(name, func(t *testing.T) {
-			all, sum := []verdict{}, tally{}
+			all, counts := []cellResult{}, cellCounts{}
 			for _, f := range faults() {
-				for _, k := range kinds() {
+				for _, k := range requestKinds() {
 					t.Run(f.name+" "+string(k), func(t *testing.T) {
-						for _, s := range steps() {
-							v := cell(t, k, blow{f, s, times + 1})
-							check(t, v)
-							sum.add(v)
+						for _, s := range requestSteps() {
+							v := runCellVirtually(t, k, injection{f, s, times + 1})
+							requirePassed(t, v)
+							counts.add(v)
 							all = append(all, v)
 						}
 					})
 				}
 			}
-			fmt.Fprintf(&page, "\n## A request, each fault %s\n\n%d cells held, %d failed, %d can't be.\n\n%s", name, sum.held, sum.failed, sum.skipped, table(steps(), all))
+			fmt.Fprintf(&tablePage, "\n## A request, each fault %s\n\n%d cells held, %d failed, %d can't be.\n\n%s", name, counts.held, counts.failed, counts.skipped, formatTable(requestSteps(), all))
 		})
 	}
 }
 
 func TestFaultsInADrain(t *testing.T) {
-	all, sum := []verdict{}, tally{}
+	all, counts := []cellResult{}, cellCounts{}
 	for _, f := range faults() {
-		for _, k := range kinds() {
+		for _, k := range requestKinds() {
 			t.Run(f.name+" "+string(k), func(t *testing.T) {
 				for _, s := range drainSteps() {
-					v := verdict{}
+					v := cellResult{}
 					synctest.Test(t, func(*testing.T) { v = runDrain(k, f, s) })
-					check(t, v)
-					sum.add(v)
+					requirePassed(t, v)
+					counts.add(v)
 					all = append(all, v)
 				}
 			})
 		}
 	}
-	fmt.Fprintf(&page, "\n## A graceful shutdown of the dispatcher's daemon, requests coming in\n\n%d cells held, %d failed, %d can't be.\n\n%s", sum.held, sum.failed, sum.skipped, table(drainSteps(), all))
+	fmt.Fprintf(&tablePage, "\n## A graceful shutdown of the dispatcher's daemon, requests coming in\n\n%d cells held, %d failed, %d can't be.\n\n%s", counts.held, counts.failed, counts.skipped, formatTable(drainSteps(), all))
 }
 
 func TestFaultsInAnApply(t *testing.T) {
 	for times, name := range []string{"once", "twice in a row"} {
 		t.Run(name, func(t *testing.T) {
-			all, sum := []verdict{}, tally{}
+			all, counts := []cellResult{}, cellCounts{}
 			for _, f := range siteFaults() {
 				t.Run(f.name, func(t *testing.T) {
 					for _, s := range applySteps() {
-						v := verdict{}
+						v := cellResult{}
 						synctest.Test(t, func(*testing.T) { v = runApply(f, s, times+1) })
-						check(t, v)
-						sum.add(v)
+						requirePassed(t, v)
+						counts.add(v)
 						all = append(all, v)
 					}
 				})
 			}
-			fmt.Fprintf(&page, "\n## An apply of a configuration, each fault %s\n\n%d cells held, %d failed, %d can't be.\n\n%s", name, sum.held, sum.failed, sum.skipped, table(applySteps(), all))
+			fmt.Fprintf(&tablePage, "\n## An apply of a configuration, each fault %s\n\n%d cells held, %d failed, %d can't be.\n\n%s", name, counts.held, counts.failed, counts.skipped, formatTable(applySteps(), all))
 		})
 	}
 }
 
 func TestFaultPairs(t *testing.T) {
 	rng := rand.New(rand.NewPCG(pairSeed, pairSeed))
-	sum, failed := tally{}, strings.Builder{}
-	for range pairs {
-		k, blows := pair(rng)
-		name := fmt.Sprintf("%s at %s and %s at %s, %s", blows[0].fault.name, blows[0].step, blows[1].fault.name, blows[1].step, k)
+	counts, failed := cellCounts{}, strings.Builder{}
+	for range pairCount {
+		k, injections := randomPair(rng)
+		name := fmt.Sprintf("%s at %s and %s at %s, %s", injections[0].fault.name, injections[0].step, injections[1].fault.name, injections[1].step, k)
 		t.Run(name, func(t *testing.T) {
-			v := cell(t, k, blows...)
-			check(t, v)
-			sum.add(v)
-			if !v.held() {
+			v := runCellVirtually(t, k, injections...)
+			requirePassed(t, v)
+			counts.add(v)
+			if !v.passed() {
 				fmt.Fprintf(&failed, "- %s: %s\n", name, v)
 			}
 		})
 	}
-	fmt.Fprintf(&page, "\n## Pairs of different faults\n\n%d pairs drawn with seed %d: %d held, %d failed, %d can't be, as the first changed the path.\n\n%s", pairs, pairSeed, sum.held, sum.failed, sum.skipped, failed.String())
+	fmt.Fprintf(&tablePage, "\n## Pairs of different faults\n\n%d pairs drawn with seed %d: %d held, %d failed, %d can't be, as the first changed the path.\n\n%s", pairCount, pairSeed, counts.held, counts.failed, counts.skipped, failed.String())
 }
 
-const sessions = 500
+const sessionCount = 500
 
 func TestRandomSessions(t *testing.T) {
-	broken, struck := 0, 0
-	for seed := range uint64(sessions) {
+	broken, injected := 0, 0
+	for seed := range uint64(sessionCount) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			v, what := verdict{}, []string(nil)
-			synctest.Test(t, func(*testing.T) { v, what = runSession(kinds()[seed%2], seed) })
-			struck += len(what)
-			if len(v.broken) > 0 || len(v.hung) > 0 {
+			v, faults := cellResult{}, []string(nil)
+			synctest.Test(t, func(*testing.T) { v, faults = runSession(requestKinds()[seed%2], seed) })
+			injected += len(faults)
+			if len(v.violations) > 0 || len(v.unendedCallers) > 0 {
 				broken++
-				t.Errorf("%v: %v %v", what, v.broken, v.hung)
+				t.Errorf("faults %v: violations %v; callers without a result %v", faults, v.violations, v.unendedCallers)
 			}
 		})
 	}
-	fmt.Fprintf(&page, "\n## Random sessions\n\n%d sessions, seeds from 0, with %d faults in all: %d broke a promise or left a caller without an end.\n", sessions, struck, broken)
+	fmt.Fprintf(&tablePage, "\n## Random sessions\n\n%d sessions, seeds from 0, with %d faults in all: %d broke a promise or left a caller without an end.\n", sessionCount, injected, broken)
 }
--- a/internal/matrix/replicated.go
+++ b/internal/matrix/replicated.go
@@ -7,57 +7,59 @@
 )
 
 const (
-	// commitTime is the time of one quorum commit.
-	commitTime = 3 * time.Millisecond
-	// electTime is how long the log stays without a leader after one dies.
-	electTime = 1500 * time.Millisecond
-	// leaseLife is how long the log keeps a lease that nobody renews.
-	leaseLife = 2 * time.Second
-	// leaseTick is how often the leader looks for leases that ran out.
-	leaseTick = 100 * time.Millisecond
-	// leaseName is the dispatcher's.
+	// commitDelay is the time of one quorum commit.
+	commitDelay = 3 * time.Millisecond
+	// electionTime is how long the log has no leader after one fails.
+	electionTime = 1500 * time.Millisecond
+	// leaseTTL is how long the log keeps a lease that is not renewed.
+	leaseTTL = 2 * time.Second
+	// leaseExpiryInterval is the interval at which the leader checks for expired
+	// leases.
+	leaseExpiryInterval = 100 * time.Millisecond
+	// leaseName is the name of the dispatcher's lease.
 	leaseName = "dispatch"
 )
 
-// replicated stands for the replicas: it commits to the real state machine. Its
-// leader can die before or after a commit.
-type replicated struct {
-	world   *world
-	machine *state.Machine
-	down    time.Duration
-	// swallow commits the next command and loses the reply with the leader.
-	swallow bool
-	renewed time.Duration
-	// applied is told each committed command; nil where nobody asks.
-	applied func(state.Command, state.Result)
+// replicatedLog emulates the replicas: it commits to the state machine of
+// core/state. Its leader can fail before or after a commit.
+type replicatedLog struct {
+	sim             *simulation
+	machine         *state.Machine
+	leaderlessUntil time.Duration
+	// losesNextReply makes the leader fail after it commits the next command,
+	// before it replies.
+	losesNextReply bool
+	leaseRenewedAt time.Duration
+	// onApplied, unless nil, is called with each committed command.
+	onApplied func(state.Command, state.Result)
 }
 
-func newReplicated(w *world) *replicated {
-	r := &replicated{world: w, machine: state.New()}
-	r.watchLease()
+func newReplicatedLog(w *simulation) *replicatedLog {
+	r := &replicatedLog{sim: w, machine: state.New()}
+	r.expireLease()
 	return r
 }
 
-func (r *replicated) up() bool { return r.down <= r.world.now() }
+func (r *replicatedLog) hasLeader() bool { return r.leaderlessUntil <= r.sim.now() }
 
-func (r *replicated) loseLeader() {
-	r.down = r.world.now() + electTime
-	// A new leader gives every lease its full time again.
-	r.renewed = r.down
+func (r *replicatedLog) loseLeader() {
+	r.leaderlessUntil = r.sim.now() + electionTime
+	// A new leader restarts the full TTL of every lease.
+	r.leaseRenewedAt = r.leaderlessUntil
 }
 
-// watchLease expires the dispatcher's lease where it was not renewed.
-func (r *replicated) watchLease() {
+// expireLease expires the dispatcher's lease if it was not renewed.
+func (r *replicatedLog) expireLease() {
 	l := r.machine.Lease(leaseName)
-	if r.up() && l.Holder != "" && r.world.now()-r.renewed > leaseLife {
+	if r.hasLeader() && l.Holder != "" && r.sim.now()-r.leaseRenewedAt > leaseTTL {
 		r.machine.Apply(state.Command{Expire: &state.Expire{Name: leaseName, Epoch: l.Epoch}})
 	}
-	r.world.after(leaseTick, r.watchLease)
+	r.sim.after(leaseExpiryInterval, r.expireLease)
 }
 
-// propose commits a command for a process. A false result says that it may or
-// may not be committed.
-func (r *replicated) propose(p *process, c state.Command, done func(state.Result, bool)) {
+// propose commits a command for a process. If done is called with false, the
+// command may or may not be committed.
+func (r *replicatedLog) propose(p *process, c state.Command, done func(state.Result, bool)) {
 	answered := false
 	reply := func(result state.Result, ok bool) {
 		if !answered {
@@ -65,46 +67,47 @@
 			done(result, ok)
 		}
 	}
-	p.do(replyWait, func() { reply(state.Result{}, false) })
-	if !p.reachable() {
+	p.runAfter(replyTimeout, func() { reply(state.Result{}, false) })
+	if !p.isReachable() {
 		return
 	}
-	r.world.after(hop+commitTime, func() {
-		if !r.up() || p.cut > r.world.now() {
+	r.sim.after(messageDelay+commitDelay, func() {
+		if !r.hasLeader() || p.partitionedUntil > r.sim.now() {
 			return
 		}
 		result := r.machine.Apply(c)
-		if r.applied != nil {
-			r.applied(c, result)
+		if r.onApplied != nil {
+			r.onApplied(c, result)
 		}
 		if c.Acquire != nil && result.Status == state.OK {
-			r.renewed = r.world.now()
+			r.leaseRenewedAt = r.sim.now()
 		}
-		if r.swallow {
-			r.swallow = false
+		if r.losesNextReply {
+			r.losesNextReply = false
 			r.loseLeader()
 			return
 		}
-		if p.reachable() {
-			p.do(hop, func() { reply(result, true) })
+		if p.isReachable() {
+			p.runAfter(messageDelay, func() { reply(result, true) })
 		}
 	})
 }
 
-// insist proposes until it is answered.
-func (r *replicated) insist(p *process, c state.Command, done func(state.Result)) {
+// proposeUntilAnswered proposes a command repeatedly until it is answered.
+func (r *replicatedLog) proposeUntilAnswered(p *process, c state.Command, done func(state.Result)) {
 	r.propose(p, c, func(result state.Result, ok bool) {
 		if ok {
 			done(result)
 			return
 		}
-		p.do(retryPause, func() { r.insist(p, c, done) })
+		p.runAfter(retryDelay, func() { r.proposeUntilAnswered(p, c, done) })
 	})
 }
 
-// lookup reads a claim through the leader.
-func (r *replicated) lookup(p *process, key string, done func(state.Claim, bool)) {
-	r.insist(p, state.Command{Suspect: &state.Suspect{Pool: pool}}, func(state.Result) {
-		done(r.machine.Claim(space, key))
+// lookup reads a claim through the leader. It commits a command first, so that
+// the read sees every earlier commit.
+func (r *replicatedLog) lookup(p *process, key string, done func(state.Claim, bool)) {
+	r.proposeUntilAnswered(p, state.Command{Suspect: &state.Suspect{Pool: poolName}}, func(state.Result) {
+		done(r.machine.Claim(workspaceName, key))
 	})
 }
--- a/internal/matrix/scheduler.go
+++ b/internal/matrix/scheduler.go
@@ -6,17 +6,18 @@
 	"github.com/verbenastep/verbenastep/core/sched"
 )
 
-// announceLease is how long an upstream's announcement holds.
-const announceLease = 2 * time.Second
+// announcementTTL is the validity of an upstream's announcement.
+const announcementTTL = 2 * time.Second
 
-// scheduler is the real dispatcher's decisions.
+// scheduler wraps the dispatcher of core/sched and keeps the tier of each offer
+// for the recorded events.
 type scheduler struct {
 	core  *sched.Dispatcher
 	tiers map[sched.ID]int
 }
 
 func newScheduler() *scheduler {
-	return &scheduler{core: sched.New(sched.Params{Region: region}), tiers: map[sched.ID]int{}}
+	return &scheduler{core: sched.New(sched.Params{Region: regionName}), tiers: map[sched.ID]int{}}
 }
 
 func (s *scheduler) offer(now time.Duration, o sched.Offer) []sched.Refusal {
@@ -28,7 +29,7 @@
 	return []sched.Refusal{*refusal}
 }
 
-// resync replaces all that is known of an entry by what it offers now.
+// resync replaces all offers of an entry by the given ones.
 func (s *scheduler) resync(now time.Duration, entry string, offers []sched.Offer) []sched.Refusal {
 	for _, o := range offers {
 		s.tiers[o.ID] = o.Tier
@@ -43,7 +44,7 @@
 
 func (s *scheduler) announce(now time.Duration, e *engine) {
 	_ = s.core.Announce(now, sched.Upstream{
-		Name: e.name, Address: e.name, Region: region, Incarnation: e.incarnation, Slots: slots, Lease: announceLease,
+		Name: e.name, Address: e.name, Region: regionName, Incarnation: e.incarnation, Slots: upstreamSlots, Lease: announcementTTL,
 	})
 }
 
--- a/internal/matrix/session.go
+++ b/internal/matrix/session.go
@@ -12,66 +12,69 @@
 )
 
 const (
-	// sessionSilence ends a session that carries nothing.
-	sessionSilence = 1200 * time.Millisecond
-	heartbeat      = 300 * time.Millisecond
-	// settleLeast and settleMost bound how long a new dispatcher waits for the
-	// live entries to offer again what they run.
-	settleLeast = 300 * time.Millisecond
-	settleMost  = 1200 * time.Millisecond
-	// promptTokens and maxTokens size every request.
+	// sessionTimeout ends a session on which nothing arrives.
+	sessionTimeout    = 1200 * time.Millisecond
+	heartbeatInterval = 300 * time.Millisecond
+	// minSettleTime and maxSettleTime bound how long a new dispatcher waits for
+	// the live entries to resend their offers before it decides.
+	minSettleTime = 300 * time.Millisecond
+	maxSettleTime = 1200 * time.Millisecond
+	// promptTokens and maxTokens are the sizes of every request.
 	promptTokens = 64
 	maxTokens    = 20
-	// requestTime is how long a caller waits for the whole answer.
-	requestTime = 20 * time.Second
+	// requestTimeout is how long a caller waits for the whole answer.
+	requestTimeout = 20 * time.Second
 )
 
-// offered is a request between its offer and its release.
-type offered struct {
+// pendingOffer is a request between its offer and its release; upstream is
+// empty until a grant arrives.
+type pendingOffer struct {
 	attempt  *attempt
 	upstream string
 }
 
-// session is an entry's side of scheduling: it follows the lease from daemon to
-// daemon and offers again what waits and runs.
+// session is the entry's side of scheduling. It follows the dispatcher's lease
+// from daemon to daemon and resends the offers of waiting and running requests
+// to each new holder.
 type session struct {
-	daemon *daemon
-	with   *daemon
-	epoch  uint64
-	heard  time.Duration
-	beat   time.Duration
-	nextID uint64
-	held   map[uint64]*offered
+	daemon        *daemon
+	dispatcher    *daemon
+	epoch         uint64
+	lastHeard     time.Duration
+	lastHeartbeat time.Duration
+	nextID        uint64
+	pending       map[uint64]*pendingOffer
 }
 
 func newSession(d *daemon) session {
-	return session{daemon: d, held: map[uint64]*offered{}}
+	return session{daemon: d, pending: map[uint64]*pendingOffer{}}
 }
 
-func (s *session) entry() string { return fmt.Sprintf("%s#%d", s.daemon.name, s.daemon.run) }
+func (s *session) entry() string { return fmt.Sprintf("%s#%d", s.daemon.name, s.daemon.generation) }
 
-// tick keeps a session with whoever holds the lease.
-func (s *session) tick() {
-	w := s.daemon.world
+// maintain opens a session with the lease holder, or sends a heartbeat on the
+// current one.
+func (s *session) maintain() {
+	w := s.daemon.sim
 	l := w.log.machine.Lease(leaseName)
-	if l.Holder != "" && w.log.up() && s.daemon.reachable() && (l.Epoch != s.epoch || w.now()-s.heard > sessionSilence) {
-		s.with, s.epoch, s.heard = w.daemonAt(l.Holder), l.Epoch, w.now()
-		s.hello()
+	if l.Holder != "" && w.log.hasLeader() && s.daemon.isReachable() && (l.Epoch != s.epoch || w.now()-s.lastHeard > sessionTimeout) {
+		s.dispatcher, s.epoch, s.lastHeard = w.daemonAt(l.Holder), l.Epoch, w.now()
+		s.resync()
 		return
 	}
-	if s.with != nil && w.now()-s.beat >= heartbeat {
-		s.beat = w.now()
-		s.tell(func(h *host) { h.beat(s.entry()) })
+	if s.dispatcher != nil && w.now()-s.lastHeartbeat >= heartbeatInterval {
+		s.lastHeartbeat = w.now()
+		s.sendToHost(func(h *dispatchHost) { h.recordHeartbeat(s.entry()) })
 	}
 }
 
-// tell carries a message to the dispatcher of the session's epoch.
-func (s *session) tell(fn func(*host)) {
-	if s.with == nil {
+// sendToHost sends a message to the dispatcher of the session's epoch.
+func (s *session) sendToHost(fn func(*dispatchHost)) {
+	if s.dispatcher == nil {
 		return
 	}
-	to, epoch := s.with, s.epoch
-	s.daemon.world.convey(s.daemon, func() {
+	to, epoch := s.dispatcher, s.epoch
+	s.daemon.sim.sendOnLink(s.daemon, func() {
 		s.daemon.send(&to.process, func() {
 			if to.host != nil && to.host.epoch == epoch {
 				fn(to.host)
@@ -80,20 +83,20 @@
 	})
 }
 
-// hello offers everything again.
-func (s *session) hello() {
+// resync sends all pending offers to the dispatcher.
+func (s *session) resync() {
 	offers := []sched.Offer{}
-	for id, o := range s.held {
-		offers = append(offers, s.form(id, o))
+	for id, o := range s.pending {
+		offers = append(offers, s.buildOffer(id, o))
 	}
 	slices.SortFunc(offers, func(a, b sched.Offer) int { return cmp.Compare(a.ID.Number, b.ID.Number) })
 	from, entry := s.daemon, s.entry()
-	s.tell(func(h *host) { h.hello(from, entry, offers) })
+	s.sendToHost(func(h *dispatchHost) { h.resync(from, entry, offers) })
 }
 
-func (s *session) form(id uint64, o *offered) sched.Offer {
+func (s *session) buildOffer(id uint64, o *pendingOffer) sched.Offer {
 	return sched.Offer{
-		ID: sched.ID{Entry: s.entry(), Number: id}, Workspace: space, Tier: o.attempt.tier, Weight: 1,
+		ID: sched.ID{Entry: s.entry(), Number: id}, Workspace: workspaceName, Tier: o.attempt.tier, Weight: 1,
 		PromptTokens: promptTokens, MaxTokens: maxTokens, Deadline: o.attempt.deadline, Fingerprint: fingerprint(o.attempt.key), RunningOn: o.upstream,
 	}
 }
@@ -106,41 +109,42 @@
 	return sum
 }
 
-// offer asks for an upstream.
+// offer requests an upstream for an attempt.
 func (s *session) offer(a *attempt) {
 	s.nextID++
-	a.offer = s.nextID
-	o := &offered{attempt: a}
-	s.held[a.offer] = o
-	offer := s.form(a.offer, o)
-	s.tell(func(h *host) { h.offer(offer) })
+	a.offerNumber = s.nextID
+	o := &pendingOffer{attempt: a}
+	s.pending[a.offerNumber] = o
+	offer := s.buildOffer(a.offerNumber, o)
+	s.sendToHost(func(h *dispatchHost) { h.offer(offer) })
 }
 
 func (s *session) upstream(id uint64) string {
-	if o, ok := s.held[id]; ok {
+	if o, ok := s.pending[id]; ok {
 		return o.upstream
 	}
 	return ""
 }
 
 func (s *session) release(a *attempt, outcome sched.Outcome) {
-	id, entry := a.offer, s.entry()
-	delete(s.held, id)
-	s.tell(func(h *host) {
+	id, entry := a.offerNumber, s.entry()
+	delete(s.pending, id)
+	s.sendToHost(func(h *dispatchHost) {
 		h.release(sched.Release{ID: sched.ID{Entry: entry, Number: id}, Outcome: outcome, OutputTokens: maxTokens})
 	})
 }
 
-// granted takes a dispatcher's grant; one that nobody waits for is given back.
-func (s *session) granted(epoch uint64, g sched.Grant) {
+// handleGrant passes a grant to its attempt. A grant for an unknown offer is
+// released unused.
+func (s *session) handleGrant(epoch uint64, g sched.Grant) {
 	if epoch != s.epoch {
 		return
 	}
-	s.heard = s.daemon.world.now()
-	o, ok := s.held[g.ID.Number]
+	s.lastHeard = s.daemon.sim.now()
+	o, ok := s.pending[g.ID.Number]
 	if !ok || o.upstream != "" {
 		if !ok {
-			s.tell(func(h *host) { h.release(sched.Release{ID: g.ID, Outcome: sched.NotSent}) })
+			s.sendToHost(func(h *dispatchHost) { h.release(sched.Release{ID: g.ID, Outcome: sched.NotSent}) })
 		}
 		return
 	}
@@ -148,96 +152,97 @@
 	o.attempt.step(claims.Event{Kind: claims.GrantReceived, Upstream: g.Upstream, Address: g.Address})
 }
 
-func (s *session) refused(epoch uint64, r sched.Refusal) {
-	o, ok := s.held[r.ID.Number]
+func (s *session) handleRefusal(epoch uint64, r sched.Refusal) {
+	o, ok := s.pending[r.ID.Number]
 	if epoch != s.epoch || !ok || o.upstream != "" {
 		return
 	}
-	delete(s.held, r.ID.Number)
+	delete(s.pending, r.ID.Number)
 	o.attempt.step(claims.Event{Kind: claims.Refused})
 }
 
-// host is the dispatcher at the holder of the lease.
-type host struct {
-	daemon  *daemon
-	core    *scheduler
-	epoch   uint64
-	until   time.Duration
-	began   time.Duration
-	entries map[string]*daemon
-	heard   map[string]time.Duration
+// dispatchHost runs the dispatcher at the lease holder.
+type dispatchHost struct {
+	daemon          *daemon
+	scheduler       *scheduler
+	epoch           uint64
+	leaseValidUntil time.Duration
+	startedAt       time.Duration
+	entries         map[string]*daemon
+	lastHeard       map[string]time.Duration
 }
 
-func newHost(d *daemon, epoch uint64) *host {
-	h := &host{daemon: d, core: newScheduler(), epoch: epoch, began: d.world.now(), entries: map[string]*daemon{}, heard: map[string]time.Duration{}}
-	d.every(heartbeat, h.heartbeat)
-	d.every(retryPause, h.decide)
+func newDispatchHost(d *daemon, epoch uint64) *dispatchHost {
+	h := &dispatchHost{daemon: d, scheduler: newScheduler(), epoch: epoch, startedAt: d.sim.now(), entries: map[string]*daemon{}, lastHeard: map[string]time.Duration{}}
+	d.every(heartbeatInterval, h.maintainSessions)
+	d.every(retryDelay, h.decide)
 	return h
 }
 
-func (h *host) current() bool { return h.daemon.host == h && h.daemon.holdsLease() }
+func (h *dispatchHost) isCurrent() bool { return h.daemon.host == h && h.daemon.holdsLease() }
 
-// settled tells whether every live entry has offered again what it runs, or
-// has had time to.
-func (h *host) settled() bool {
-	age := h.daemon.world.now() - h.began
-	if age < settleLeast || age > settleMost {
-		return age > settleMost
+// isSettled reports whether every live entry has resent its offers, or
+// maxSettleTime has passed.
+func (h *dispatchHost) isSettled() bool {
+	age := h.daemon.sim.now() - h.startedAt
+	if age < minSettleTime || age > maxSettleTime {
+		return age > maxSettleTime
 	}
 	heard := map[*daemon]bool{}
 	for _, d := range h.entries {
 		heard[d] = true
 	}
-	return !slices.ContainsFunc(h.daemon.world.daemons, func(d *daemon) bool { return d.believedLive() && !heard[d] })
+	return !slices.ContainsFunc(h.daemon.sim.daemons, func(d *daemon) bool { return d.isCountedLive() && !heard[d] })
 }
 
-func (h *host) hello(from *daemon, entry string, offers []sched.Offer) {
+func (h *dispatchHost) resync(from *daemon, entry string, offers []sched.Offer) {
 	h.entries[entry] = from
-	h.heard[entry] = h.daemon.world.now()
-	refusals := h.core.resync(h.daemon.world.now(), entry, offers)
+	h.lastHeard[entry] = h.daemon.sim.now()
+	refusals := h.scheduler.resync(h.daemon.sim.now(), entry, offers)
 	for _, o := range offers {
-		h.note(promise.Queue, o.ID, o.Tier, o.RunningOn)
+		h.recordEvent(promise.Queue, o.ID, o.Tier, o.RunningOn)
 	}
-	h.refuse(refusals)
+	h.sendRefusals(refusals)
 	h.decide()
 }
 
-func (h *host) beat(entry string) { h.heard[entry] = h.daemon.world.now() }
+func (h *dispatchHost) recordHeartbeat(entry string) { h.lastHeard[entry] = h.daemon.sim.now() }
 
-func (h *host) offer(o sched.Offer) {
-	h.beat(o.ID.Entry)
-	h.note(promise.Queue, o.ID, o.Tier, "")
-	h.refuse(h.core.offer(h.daemon.world.now(), o))
+func (h *dispatchHost) offer(o sched.Offer) {
+	h.recordHeartbeat(o.ID.Entry)
+	h.recordEvent(promise.Queue, o.ID, o.Tier, "")
+	h.sendRefusals(h.scheduler.offer(h.daemon.sim.now(), o))
 	h.decide()
 }
 
-func (h *host) release(r sched.Release) {
-	h.beat(r.ID.Entry)
-	h.note(promise.Release, r.ID, 0, "")
-	h.core.release(h.daemon.world.now(), r)
+func (h *dispatchHost) release(r sched.Release) {
+	h.recordHeartbeat(r.ID.Entry)
+	h.recordEvent(promise.Release, r.ID, 0, "")
+	h.scheduler.release(h.daemon.sim.now(), r)
 	h.decide()
 }
 
-func (h *host) note(k promise.Kind, id sched.ID, tier int, upstream string) {
-	h.daemon.world.record(promise.Event{Kind: k, Daemon: h.daemon.name, Offer: fmt.Sprintf("%s/%d", id.Entry, id.Number), Pool: pool, Region: region, Tier: tier, Upstream: upstream, Epoch: h.epoch})
+func (h *dispatchHost) recordEvent(k promise.Kind, id sched.ID, tier int, upstream string) {
+	h.daemon.sim.recordEvent(promise.Event{Kind: k, Daemon: h.daemon.name, Offer: fmt.Sprintf("%s/%d", id.Entry, id.Number), Pool: poolName, Region: regionName, Tier: tier, Upstream: upstream, Epoch: h.epoch})
 }
 
-// heartbeat keeps the sessions and drops the silent ones.
-func (h *host) heartbeat() {
-	if !h.current() {
+// maintainSessions sends heartbeats to the entries and drops those that have
+// been silent for longer than sessionTimeout.
+func (h *dispatchHost) maintainSessions() {
+	if !h.isCurrent() {
 		return
 	}
-	now := h.daemon.world.now()
+	now := h.daemon.sim.now()
 	for _, entry := range sortedKeys(h.entries) {
 		to, epoch := h.entries[entry], h.epoch
-		if now-h.heard[entry] > sessionSilence {
+		if now-h.lastHeard[entry] > sessionTimeout {
 			delete(h.entries, entry)
-			h.core.loseEntry(now, entry)
+			h.scheduler.loseEntry(now, entry)
 			continue
 		}
 		h.daemon.send(&to.process, func() {
 			if to.session.epoch == epoch {
-				to.session.heard = to.world.now()
+				to.session.lastHeard = to.sim.now()
 			}
 		})
 	}
@@ -252,40 +257,40 @@
 	return out
 }
 
-// decide grants and refuses while the lease holds.
-func (h *host) decide() {
-	if !h.current() || !h.settled() {
+// decide sends the dispatcher's grants and refusals while the lease is valid.
+func (h *dispatchHost) decide() {
+	if !h.isCurrent() || !h.isSettled() {
 		return
 	}
-	now := h.daemon.world.now()
-	for _, e := range h.daemon.world.engines {
-		if e.reachable() && !e.leaving {
-			h.core.announce(now, e)
+	now := h.daemon.sim.now()
+	for _, e := range h.daemon.sim.engines {
+		if e.isReachable() && !e.isLeaving {
+			h.scheduler.announce(now, e)
 		}
 	}
-	decided := h.core.decide(now)
+	decided := h.scheduler.decide(now)
 	for _, g := range decided.Grants {
 		to := h.entries[g.ID.Entry]
-		h.note(promise.Grant, g.ID, h.core.tiers[g.ID], g.Upstream)
-		h.deliver(to, func(s *session, epoch uint64) { s.granted(epoch, g) })
+		h.recordEvent(promise.Grant, g.ID, h.scheduler.tiers[g.ID], g.Upstream)
+		h.deliver(to, func(s *session, epoch uint64) { s.handleGrant(epoch, g) })
 	}
-	h.refuse(decided.Refusals)
+	h.sendRefusals(decided.Refusals)
 }
 
-func (h *host) refuse(refusals []sched.Refusal) {
+func (h *dispatchHost) sendRefusals(refusals []sched.Refusal) {
 	for _, r := range refusals {
 		to := h.entries[r.ID.Entry]
-		h.note(promise.Shed, r.ID, h.core.tiers[r.ID], "")
-		h.deliver(to, func(s *session, epoch uint64) { s.refused(epoch, r) })
+		h.recordEvent(promise.Shed, r.ID, h.scheduler.tiers[r.ID], "")
+		h.deliver(to, func(s *session, epoch uint64) { s.handleRefusal(epoch, r) })
 	}
 }
 
-func (h *host) deliver(to *daemon, fn func(*session, uint64)) {
+func (h *dispatchHost) deliver(to *daemon, fn func(*session, uint64)) {
 	if to == nil {
 		return
 	}
 	epoch := h.epoch
-	h.daemon.world.convey(to, func() {
+	h.daemon.sim.sendOnLink(to, func() {
 		h.daemon.send(&to.process, func() { fn(&to.session, epoch) })
 	})
 }
--- a/internal/matrix/world.go
+++ b/internal/matrix/world.go
@@ -9,133 +9,137 @@
 )
 
 const (
-	// hop is a message's time from process to process.
-	hop = time.Millisecond
-	// replyWait is how long a call on the log waits for its reply.
-	replyWait = 300 * time.Millisecond
-	// retryPause is the wait before something is tried again.
-	retryPause = 100 * time.Millisecond
-	// silence ends a stream that carries nothing.
-	silence = 3 * time.Second
-	// fetchSilence ends a fetch from another entry that carries nothing.
-	fetchSilence = time.Second
-	// restartAfter is how long a dead process stays down.
-	restartAfter = time.Second
-	// pool, region and space name the only ones.
-	pool   = "pool"
-	region = "region"
-	space  = "workspace"
-	// bulkTier is the tier of the requests beside the subject's.
-	bulkTier = 1
+	// messageDelay is the one-way delay of a message between processes.
+	messageDelay = time.Millisecond
+	// replyTimeout bounds the wait for the reply to a call on the log.
+	replyTimeout = 300 * time.Millisecond
+	// retryDelay is the wait before a failed operation is retried.
+	retryDelay = 100 * time.Millisecond
+	// streamIdleTimeout ends a stream on which nothing arrives.
+	streamIdleTimeout = 3 * time.Second
+	// fetchIdleTimeout ends a fetch from another entry on which nothing arrives.
+	fetchIdleTimeout = time.Second
+	// restartDelay is how long a crashed process stays down.
+	restartDelay = time.Second
+	// poolName, regionName and workspaceName are the only pool, region and
+	// workspace of a simulation.
+	poolName      = "pool"
+	regionName    = "region"
+	workspaceName = "workspace"
+	// burstTier is the tier of the requests that a burst adds; the subject
+	// request has tier 0.
+	burstTier = 1
 )
 
-// kind is what the subject request asks for.
-type kind string
+// requestKind says what the subject request asks for.
+type requestKind string
 
 const (
-	// stream is a model's answer, frame by frame.
-	stream kind = "stream"
-	// call is a plain service's call that may not be repeated.
-	call kind = "call"
+	// streamRequest asks for a model's answer, streamed frame by frame.
+	streamRequest requestKind = "stream"
+	// serviceCall is a non-idempotent call of a plain service.
+	serviceCall requestKind = "call"
 )
 
-// world is one run.
-type world struct {
+// simulation is the state of one run: the processes, the log, the callers and
+// the recorded events. It is used from one goroutine.
+type simulation struct {
 	clock
-	kind    kind
-	rng     *rand.Rand
-	log     *replicated
-	daemons []*daemon
-	engines []*engine
-	events  []promise.Event
-	subject *caller
-	others  []*caller
-	// hook is told each step of the subject's request.
-	hook  func(step, *attempt)
-	taint taint
-	// missed says that a fault found no dispatcher to strike.
-	missed bool
+	requestKind  requestKind
+	rng          *rand.Rand
+	log          *replicatedLog
+	daemons      []*daemon
+	engines      []*engine
+	events       []promise.Event
+	subject      *caller
+	otherCallers []*caller
+	// onStep is called at each step of the subject request.
+	onStep        func(step, *attempt)
+	pendingDamage damagePlan
+	// noDispatcher is set if a fault had no dispatcher to act on.
+	noDispatcher bool
 }
 
-// taint is damage to come to the next message of a kind.
-type taint struct {
+// damagePlan holds the damage to apply to the next frame and the next message.
+type damagePlan struct {
 	frame damage
-	// message is for the next one between the entry link and the dispatcher.
-	message damage
-	link    *daemon
+	// linkMessage damages the next message between the entry link and its
+	// dispatcher.
+	linkMessage damage
+	link        *daemon
 }
 
-// damage is what becomes of a message or frame.
+// damage is a way in which a message or a frame is altered or withheld.
 type damage string
 
-// Kinds of damage; not all befall both messages and frames.
+// Kinds of damage. Not every kind applies to both messages and frames.
 const (
-	none      damage = ""
-	late      damage = "late"
-	crossed   damage = "crossed"
-	doubled   damage = "doubled"
-	truncated damage = "truncated"
-	silent    damage = "silent"
-	lost      damage = "lost"
-	reordered damage = "reordered"
+	damageNone       damage = ""
+	damageLate       damage = "late"
+	damageForeign    damage = "crossed"
+	damageDuplicated damage = "doubled"
+	damageTruncated  damage = "truncated"
+	damageSilent     damage = "silent"
+	damageLost       damage = "lost"
+	damageReordered  damage = "reordered"
 )
 
-// take returns the damage, once.
-func take(d *damage) damage {
+// consume returns the planned damage and clears it.
+func consume(d *damage) damage {
 	out := *d
-	*d = none
+	*d = damageNone
 	return out
 }
 
-// convey sends a message on the link between an entry and its dispatcher, as
-// the next fault of messages has it.
-func (w *world) convey(entry *daemon, send func()) {
-	what := none
-	if entry == w.taint.link {
-		what = take(&w.taint.message)
+// sendOnLink sends a message between an entry and its dispatcher and applies
+// the damage planned for that link.
+func (w *simulation) sendOnLink(entry *daemon, send func()) {
+	kind := damageNone
+	if entry == w.pendingDamage.link {
+		kind = consume(&w.pendingDamage.linkMessage)
 	}
-	switch what {
-	case lost:
-		// The stream that lost it is broken; the session begins anew.
-		entry.session.heard = w.now() - sessionSilence - 1
-	case doubled:
+	switch kind {
+	case damageLost:
+		// A lost message means a broken stream, so the entry opens a new session.
+		entry.session.lastHeard = w.now() - sessionTimeout - 1
+	case damageDuplicated:
 		send()
 		send()
-	case reordered:
-		w.after(5*hop, send)
+	case damageReordered:
+		w.after(5*messageDelay, send)
 	default:
 		send()
 	}
 }
 
-func newWorld(k kind, seed uint64) *world {
-	w := &world{kind: k, rng: rand.New(rand.NewPCG(seed, 1)), hook: func(step, *attempt) {}}
-	w.began = time.Now()
-	w.log = newReplicated(w)
+func newSimulation(k requestKind, seed uint64) *simulation {
+	w := &simulation{requestKind: k, rng: rand.New(rand.NewPCG(seed, 1)), onStep: func(step, *attempt) {}}
+	w.startedAt = time.Now()
+	w.log = newReplicatedLog(w)
 	for i := range 2 {
 		w.engines = append(w.engines, newEngine(w, fmt.Sprintf("u%d", i+1)))
 	}
-	// The last daemon starts first, so that it holds the dispatcher's lease and
-	// the subject's entry is another one.
+	// The last daemon starts first and so acquires the dispatcher's lease. The
+	// subject's entry is then a different daemon.
 	for i := range 3 {
 		w.daemons = append(w.daemons, newDaemon(w, fmt.Sprintf("d%d", i+1)))
 	}
 	for i := len(w.daemons) - 1; i >= 0; i-- {
 		w.daemons[i].start()
-		w.run(w.now()+50*time.Millisecond, never)
+		w.run(w.now()+50*time.Millisecond, runToDeadline)
 	}
 	return w
 }
 
-func never() bool { return false }
+func runToDeadline() bool { return false }
 
-func (w *world) record(e promise.Event) {
+func (w *simulation) recordEvent(e promise.Event) {
 	e.At = w.now()
 	w.events = append(w.events, e)
 }
 
-// daemonAt finds a daemon by its address, which is its name.
-func (w *world) daemonAt(address string) *daemon {
+// daemonAt returns the daemon with an address, which equals its name, or nil.
+func (w *simulation) daemonAt(address string) *daemon {
 	for _, d := range w.daemons {
 		if d.name == address {
 			return d
@@ -144,7 +148,7 @@
 	return nil
 }
 
-func (w *world) engineAt(address string) *engine {
+func (w *simulation) engineAt(address string) *engine {
 	for _, e := range w.engines {
 		if e.name == address {
 			return e
@@ -153,10 +157,10 @@
 	return nil
 }
 
-// settled tells whether every caller has its end.
-func (w *world) settled() bool {
-	for _, c := range append(w.others, w.subject) {
-		if !c.ended {
+// allCallersEnded reports whether every caller has received its result.
+func (w *simulation) allCallersEnded() bool {
+	for _, c := range append(w.otherCallers, w.subject) {
+		if !c.hasEnded {
 			return false
 		}
 	}
