--- a/internal/matrix/apply.go
+++ b/internal/matrix/apply.go
@@ -95,14 +95,14 @@
 	answeredAt time.Duration
 }
 
-func newConfigSite(w *simulation) *configSite {
-	s := &configSite{sim: w, onStep: func(step) {}}
-	w.log = &replicatedLog{sim: w, machine: state.New(), onApplied: s.commit}
+func newConfigSite(sim *simulation) *configSite {
+	s := &configSite{sim: sim, onStep: func(step) {}}
+	sim.log = &replicatedLog{sim: sim, machine: state.New(), onApplied: s.commit}
 	for i := range 3 {
-		r := &configReplica{process: process{sim: w, name: fmt.Sprintf("r%d", i+1), isAlive: true}, machine: state.New()}
+		r := &configReplica{process: process{sim: sim, name: fmt.Sprintf("r%d", i+1), isAlive: true}, machine: state.New()}
 		s.replicas = append(s.replicas, r)
 		r.every(watchInterval, func() { s.catchUp(r) })
-		f := &follower{process: process{sim: w, name: fmt.Sprintf("d%d", i+1)}, site: s, nextReplica: i}
+		f := &follower{process: process{sim: sim, name: fmt.Sprintf("d%d", i+1)}, site: s, nextReplica: i}
 		s.followers = append(s.followers, f)
 		f.start()
 	}
--- a/internal/matrix/applyfaults.go
+++ b/internal/matrix/applyfaults.go
@@ -74,18 +74,18 @@
 // runApply applies one change and injects a fault at a step of it, repeated
 // every repeatDelay up to the given times.
 func runApply(f siteFault, at step, times int) cellResult {
-	w := &simulation{requestKind: "apply"}
-	w.startedAt = time.Now()
-	s := newConfigSite(w)
+	sim := &simulation{requestKind: "apply"}
+	sim.startedAt = time.Now()
+	s := newConfigSite(sim)
 	first := s.apply("first", 0, configFiles("first"))
-	w.run(warmUpTime, func() bool { return first.result != nil && s.isInForceEverywhere() })
-	v := cellResult{kind: w.requestKind, fault: f.name, step: at, bound: time.Duration(times) * f.bound, skipReason: "the step was not reached"}
+	sim.run(warmUpTime, func() bool { return first.result != nil && s.isInForceEverywhere() })
+	v := cellResult{kind: sim.requestKind, fault: f.name, step: at, bound: time.Duration(times) * f.bound, skipReason: "the step was not reached"}
 	v.rowBound = v.bound
 	subject := (*operator)(nil)
 	lastFault := time.Duration(0)
 	inject := func() {
 		f.inject(s, subject)
-		lastFault = w.now()
+		lastFault = sim.now()
 	}
 	s.onStep = func(x step) {
 		if x != at || v.skipReason == "" {
@@ -94,21 +94,21 @@
 		v.skipReason = ""
 		inject()
 		for i := 1; i < times; i++ {
-			w.after(time.Duration(i)*repeatDelay, inject)
+			sim.after(time.Duration(i)*repeatDelay, inject)
 		}
 	}
 	subject = &operator{name: "second", base: 1, files: configFiles("second")}
 	s.operators = append(s.operators, subject)
 	s.sendApply(subject)
-	w.after(messageDelay/2, func() { s.onStep(stepSent) })
+	sim.after(messageDelay/2, func() { s.onStep(stepSent) })
 	done := time.Duration(0)
-	w.run(w.now()+runTimeout, func() bool {
+	sim.run(sim.now()+runTimeout, func() bool {
 		if !s.isConverged() {
 			done = 0
 		} else if done == 0 {
-			done = w.now()
+			done = sim.now()
 		}
-		return done > 0 && w.now() > max(done, lastFault)+partitionDuration+inForceBound
+		return done > 0 && sim.now() > max(done, lastFault)+partitionDuration+inForceBound
 	})
 	v.recoveryTime = max(0, done-lastFault)
 	v.outcome = "held"
@@ -121,7 +121,7 @@
 	if problem := s.operatorFault(); problem != "" {
 		v.unendedCallers = append(v.unendedCallers, problem)
 	}
-	v.violations = promise.Check(w.events, promise.Options{})
+	v.violations = promise.Check(sim.events, promise.Options{})
 	return v
 }
 
--- a/internal/matrix/attempt.go
+++ b/internal/matrix/attempt.go
@@ -171,9 +171,9 @@
 }
 
 func (a *attempt) send(name string) {
-	w := a.daemon.sim
-	e := w.engineAt(a.upstream())
-	w.recordEvent(promise.Event{Kind: promise.Dispatch, Daemon: a.daemon.name, Workspace: workspaceName, Key: a.key, Stream: name, Upstream: e.name})
+	sim := a.daemon.sim
+	e := sim.engineAt(a.upstream())
+	sim.recordEvent(promise.Event{Kind: promise.Dispatch, Daemon: a.daemon.name, Workspace: workspaceName, Key: a.key, Stream: name, Upstream: e.name})
 	c := a.connection
 	started := false
 	a.daemon.send(&e.process, func() { started = e.execute(name, a.key, c) })
@@ -181,7 +181,7 @@
 		switch {
 		case !started:
 			a.step(claims.Event{Kind: claims.SendInterrupted})
-		case w.requestKind == streamRequest:
+		case sim.requestKind == streamRequest:
 			a.step(claims.Event{Kind: claims.Started})
 		default:
 			a.receive()
--- a/internal/matrix/cell.go
+++ b/internal/matrix/cell.go
@@ -63,9 +63,9 @@
 // observationEnd returns the time until which a run continues after the callers
 // have their results: past the return of every daemon that is partitioned or
 // paused.
-func (w *simulation) observationEnd() time.Duration {
-	until := w.now()
-	for _, d := range w.daemons {
+func (sim *simulation) observationEnd() time.Duration {
+	until := sim.now()
+	for _, d := range sim.daemons {
 		until = max(until, d.partitionedUntil, d.pausedUntil)
 	}
 	return until + processLossBound
@@ -81,12 +81,12 @@
 // runCell runs one request of a kind with faults injected and returns the
 // result. It must run inside testing/synctest.
 func runCell(k requestKind, seed uint64, injections ...injection) cellResult {
-	w := newSimulation(k, seed)
-	w.run(warmUpTime, runToDeadline)
+	sim := newSimulation(k, seed)
+	sim.run(warmUpTime, runToDeadline)
 	v := cellResult{kind: k, fault: injections[0].fault.name, step: injections[0].step, rowBound: time.Duration(injections[0].repetitions) * injections[0].fault.bound}
 	lastFault := time.Duration(0)
 	remaining := slices.Clone(injections)
-	w.onStep = func(s step, a *attempt) {
+	sim.onStep = func(s step, a *attempt) {
 		due := []injection{}
 		for _, b := range remaining {
 			if b.step == s {
@@ -96,21 +96,21 @@
 		remaining = slices.DeleteFunc(remaining, func(b injection) bool { return b.step == s })
 		for _, b := range due {
 			v.bound += time.Duration(b.repetitions) * b.fault.bound
-			w.inject(b, a, &lastFault)
+			sim.inject(b, a, &lastFault)
 		}
 	}
-	w.subject = &caller{sim: w, key: "subject", createdAt: w.now()}
-	w.subject.send()
-	w.run(runTimeout, func() bool { return w.allCallersEnded() && w.now() > lastFault })
-	v.skipReason = w.skipReason(remaining)
-	w.evaluate(&v, lastFault)
+	sim.subject = &caller{sim: sim, key: "subject", createdAt: sim.now()}
+	sim.subject.send()
+	sim.run(runTimeout, func() bool { return sim.allCallersEnded() && sim.now() > lastFault })
+	v.skipReason = sim.skipReason(remaining)
+	sim.evaluate(&v, lastFault)
 	return v
 }
 
 // evaluate fills in how long the callers waited after the last fault, which of
 // them have no result, and which promises were violated.
-func (w *simulation) evaluate(v *cellResult, lastFault time.Duration) {
-	for _, c := range append(w.otherCallers, w.subject) {
+func (sim *simulation) evaluate(v *cellResult, lastFault time.Duration) {
+	for _, c := range append(sim.otherCallers, sim.subject) {
 		if c.endedAt > lastFault {
 			v.recoveryTime = max(v.recoveryTime, c.endedAt-max(lastFault, c.createdAt))
 		}
@@ -118,27 +118,27 @@
 			v.unendedCallers = append(v.unendedCallers, c.key)
 		}
 	}
-	v.outcome = w.subjectOutcome()
+	v.outcome = sim.subjectOutcome()
 	// Events after the callers have their results must keep the promises as well.
-	w.run(w.observationEnd(), runToDeadline)
-	v.violations = promise.Check(w.events, promise.Options{InFlightAtEnd: len(v.unendedCallers) > 0})
+	sim.run(sim.observationEnd(), runToDeadline)
+	v.violations = promise.Check(sim.events, promise.Options{InFlightAtEnd: len(v.unendedCallers) > 0})
 }
 
 // skipReason returns why a fault could not be injected or had no effect, or an
 // empty string.
-func (w *simulation) skipReason(remaining []injection) string {
+func (sim *simulation) skipReason(remaining []injection) string {
 	switch {
-	case len(remaining) > 0 && remaining[0].step == stepStream && w.requestKind == serviceCall:
+	case len(remaining) > 0 && remaining[0].step == stepStream && sim.requestKind == serviceCall:
 		return "a call has no frames"
 	case len(remaining) > 0:
 		return "the step was not reached"
-	case (w.pendingDamage.frame == damageForeign || w.pendingDamage.frame == damageDuplicated) && w.requestKind == serviceCall:
+	case (sim.pendingDamage.frame == damageForeign || sim.pendingDamage.frame == damageDuplicated) && sim.requestKind == serviceCall:
 		return "a call has no frames"
-	case w.pendingDamage.frame != damageNone:
+	case sim.pendingDamage.frame != damageNone:
 		return "nothing more came on the connection"
-	case w.noDispatcher:
+	case sim.noDispatcher:
 		return "nobody dispatched at that moment"
-	case w.pendingDamage.linkMessage != damageNone:
+	case sim.pendingDamage.linkMessage != damageNone:
 		return "no message followed"
 	}
 	return ""
@@ -146,34 +146,34 @@
 
 // inject injects a fault, and again after repeatDelay while the request runs.
 // It sets lastFault to the time of the latest injection.
-func (w *simulation) inject(b injection, a *attempt, lastFault *time.Duration) {
-	b.fault.inject(w, a)
-	*lastFault = w.now()
+func (sim *simulation) inject(b injection, a *attempt, lastFault *time.Duration) {
+	b.fault.inject(sim, a)
+	*lastFault = sim.now()
 	if b.repetitions > 1 {
-		w.after(repeatDelay, func() { w.injectAgain(b, a, lastFault) })
+		sim.after(repeatDelay, func() { sim.injectAgain(b, a, lastFault) })
 	}
 }
 
 // injectAgain repeats a fault once the subject has an active attempt.
-func (w *simulation) injectAgain(b injection, a *attempt, lastFault *time.Duration) {
-	if w.subject.hasEnded {
+func (sim *simulation) injectAgain(b injection, a *attempt, lastFault *time.Duration) {
+	if sim.subject.hasEnded {
 		return
 	}
-	x := w.activeAttempt(a)
+	x := sim.activeAttempt(a)
 	if x == nil {
-		w.after(repeatDelay, func() { w.injectAgain(b, a, lastFault) })
+		sim.after(repeatDelay, func() { sim.injectAgain(b, a, lastFault) })
 		return
 	}
 	b.repetitions--
-	w.inject(b, x, lastFault)
+	sim.inject(b, x, lastFault)
 }
 
 // activeAttempt returns the attempt that carries the subject request now, or
 // nil. With several it takes the daemon first by name.
-func (w *simulation) activeAttempt(a *attempt) *attempt {
+func (sim *simulation) activeAttempt(a *attempt) *attempt {
 	found := []*attempt{}
-	for _, d := range w.daemons {
-		if x, ok := d.attempts[a.key]; ok && d.isReachable() && x.result == nil && w.dispatcher() != nil {
+	for _, d := range sim.daemons {
+		if x, ok := d.attempts[a.key]; ok && d.isReachable() && x.result == nil && sim.dispatcher() != nil {
 			found = append(found, x)
 		}
 	}
@@ -184,10 +184,10 @@
 	return found[0]
 }
 
-func (w *simulation) subjectOutcome() string {
-	f := w.subject.failure
+func (sim *simulation) subjectOutcome() string {
+	f := sim.subject.failure
 	switch {
-	case !w.subject.hasEnded:
+	case !sim.subject.hasEnded:
 		return "none"
 	case f == nil:
 		return "whole"
--- a/internal/matrix/daemon.go
+++ b/internal/matrix/daemon.go
@@ -23,8 +23,8 @@
 	isClosed  bool
 }
 
-func newDaemon(w *simulation, name string) *daemon {
-	return &daemon{process: process{sim: w, name: name}}
+func newDaemon(sim *simulation, name string) *daemon {
+	return &daemon{process: process{sim: sim, name: name}}
 }
 
 func (d *daemon) start() {
@@ -130,9 +130,9 @@
 }
 
 // dispatcher returns the daemon that dispatches now, or nil.
-func (w *simulation) dispatcher() *daemon {
-	for _, d := range w.daemons {
-		if d.holdsLease() && w.log.machine.Lease(leaseName).Holder == d.name {
+func (sim *simulation) dispatcher() *daemon {
+	for _, d := range sim.daemons {
+		if d.holdsLease() && sim.log.machine.Lease(leaseName).Holder == d.name {
 			return d
 		}
 	}
--- a/internal/matrix/drain.go
+++ b/internal/matrix/drain.go
@@ -79,8 +79,8 @@
 
 // inFlightAttempt returns a request in flight, preferably at the given daemon,
 // or nil.
-func (w *simulation) inFlightAttempt(d *daemon) *attempt {
-	for _, x := range append([]*daemon{d}, w.daemons...) {
+func (sim *simulation) inFlightAttempt(d *daemon) *attempt {
+	for _, x := range append([]*daemon{d}, sim.daemons...) {
 		all := slices.DeleteFunc(sortedAttempts(x.attempts), func(a *attempt) bool { return a.result != nil || len(a.waiters) == 0 })
 		if x.isAlive && len(all) > 0 {
 			return all[len(all)-1]
@@ -92,60 +92,60 @@
 // runDrain shuts the dispatcher's daemon down while requests arrive, and
 // injects a fault at a step of the shutdown.
 func runDrain(k requestKind, f fault, at step) cellResult {
-	w := newSimulation(k, 1)
-	w.run(warmUpTime, runToDeadline)
+	sim := newSimulation(k, 1)
+	sim.run(warmUpTime, runToDeadline)
 	v := cellResult{kind: k, fault: f.name, step: at, bound: f.bound + handoverBound, rowBound: f.bound + handoverBound, skipReason: "the shutdown was cut short before"}
-	d := w.dispatcher()
+	d := sim.dispatcher()
 	lastFault := time.Duration(0)
-	w.generateRequests(d, w.now()+drainTime+2*time.Second)
-	w.after(arrivalIntervals[k], func() {
+	sim.generateRequests(d, sim.now()+drainTime+2*time.Second)
+	sim.after(arrivalIntervals[k], func() {
 		d.drain(func(s step) {
 			if s == at && v.skipReason != "" {
-				v.skipReason = w.injectInFlight(f, d)
-				lastFault = w.now()
+				v.skipReason = sim.injectInFlight(f, d)
+				lastFault = sim.now()
 			}
 		})
 	})
-	w.run(runTimeout, func() bool { return w.now() > warmUpTime+drainTime+3*time.Second && w.allCallersEnded() })
-	w.evaluate(&v, lastFault)
+	sim.run(runTimeout, func() bool { return sim.now() > warmUpTime+drainTime+3*time.Second && sim.allCallersEnded() })
+	sim.evaluate(&v, lastFault)
 	if v.skipReason == "" {
-		v.skipReason = w.skipReason(nil)
+		v.skipReason = sim.skipReason(nil)
 	}
 	return v
 }
 
 // injectInFlight injects a fault at a request in flight. It returns why it
 // could not, or an empty string.
-func (w *simulation) injectInFlight(f fault, d *daemon) string {
-	a := w.inFlightAttempt(d)
+func (sim *simulation) injectInFlight(f fault, d *daemon) string {
+	a := sim.inFlightAttempt(d)
 	if a == nil {
 		return "no request was in flight"
 	}
-	for _, c := range w.otherCallers {
+	for _, c := range sim.otherCallers {
 		if c.key == a.key {
-			w.subject = c
+			sim.subject = c
 		}
 	}
-	f.inject(w, a)
+	f.inject(sim, a)
 	return ""
 }
 
 // generateRequests sends requests at fixed intervals until a time: to the
 // draining daemon while a directory answer may still name it, then to the next
 // one.
-func (w *simulation) generateRequests(d *daemon, until time.Duration) {
-	if w.now() > until {
+func (sim *simulation) generateRequests(d *daemon, until time.Duration) {
+	if sim.now() > until {
 		return
 	}
-	entry := slices.Index(w.daemons, d)
-	if w.now() > warmUpTime+drainTime {
-		entry = (entry + 1) % len(w.daemons)
+	entry := slices.Index(sim.daemons, d)
+	if sim.now() > warmUpTime+drainTime {
+		entry = (entry + 1) % len(sim.daemons)
 	}
-	c := &caller{sim: w, key: fmt.Sprintf("late-%d", len(w.otherCallers)), nextEntry: entry, createdAt: w.now()}
-	w.otherCallers = append(w.otherCallers, c)
-	if w.subject == nil {
-		w.subject = c
+	c := &caller{sim: sim, key: fmt.Sprintf("late-%d", len(sim.otherCallers)), nextEntry: entry, createdAt: sim.now()}
+	sim.otherCallers = append(sim.otherCallers, c)
+	if sim.subject == nil {
+		sim.subject = c
 	}
 	c.send()
-	w.after(arrivalIntervals[w.requestKind], func() { w.generateRequests(d, until) })
+	sim.after(arrivalIntervals[sim.requestKind], func() { sim.generateRequests(d, until) })
 }
--- a/internal/matrix/engine.go
+++ b/internal/matrix/engine.go
@@ -49,8 +49,8 @@
 	executions  map[string]*execution
 }
 
-func newEngine(w *simulation, name string) *engine {
-	e := &engine{process: process{sim: w, name: name}, slowdown: 1}
+func newEngine(sim *simulation, name string) *engine {
+	e := &engine{process: process{sim: sim, name: name}, slowdown: 1}
 	e.join()
 	return e
 }
@@ -130,17 +130,17 @@
 
 // deliverDamaged delivers one frame with the planned damage applied.
 func (c *connection) deliverDamaged(f claims.Frame, text string) {
-	w := c.owner.daemon.sim
+	sim := c.owner.daemon.sim
 	what := damageNone
 	if c.owner.isSubject() {
-		what = consume(&w.pendingDamage.frame)
+		what = consume(&sim.pendingDamage.frame)
 	}
 	switch what {
 	case damageSilent:
 		c.isSilent = true
 		return
 	case damageLate:
-		c.heldUntil = w.now() + lateFrameDelay
+		c.heldUntil = sim.now() + lateFrameDelay
 	case damageForeign:
 		other := f
 		other.Stream = "of-another"
@@ -161,12 +161,12 @@
 // sendReply sends the whole reply of a plain service with the planned damage
 // applied.
 func (c *connection) sendReply(content string) {
-	w := c.owner.daemon.sim
-	if !c.owner.isSubject() || w.pendingDamage.frame == damageForeign || w.pendingDamage.frame == damageDuplicated {
+	sim := c.owner.daemon.sim
+	if !c.owner.isSubject() || sim.pendingDamage.frame == damageForeign || sim.pendingDamage.frame == damageDuplicated {
 		c.receive(claims.Event{Kind: claims.Replied, Length: int64(len(content))}, content)
 		return
 	}
-	switch consume(&w.pendingDamage.frame) {
+	switch consume(&sim.pendingDamage.frame) {
 	case damageLate:
 		c.heldUntil = c.owner.daemon.sim.now() + lateFrameDelay
 	case damageTruncated:
--- a/internal/matrix/faults.go
+++ b/internal/matrix/faults.go
@@ -35,30 +35,30 @@
 
 // reportStep calls onStep for the step that an effect belongs to.
 func (a *attempt) reportStep(f claims.Effect) {
-	w := a.daemon.sim
+	sim := a.daemon.sim
 	later := func(s step) {
-		w.after(messageDelay+messageDelay/2, func() { w.onStep(s, a) })
+		sim.after(messageDelay+messageDelay/2, func() { sim.onStep(s, a) })
 	}
 	switch f.Kind {
 	case claims.Lookup:
-		w.onStep(stepAccept, a)
+		sim.onStep(stepAccept, a)
 	case claims.Acquire:
-		w.onStep(stepQueue, a)
+		sim.onStep(stepQueue, a)
 		later(stepQueueSent)
 	case claims.Dial:
-		w.onStep(stepGrant, a)
+		sim.onStep(stepGrant, a)
 	case claims.Propose:
-		w.onStep(stepClaim, a)
+		sim.onStep(stepClaim, a)
 		later(stepClaimSent)
 	case claims.Send:
-		w.onStep(stepDispatch, a)
+		sim.onStep(stepDispatch, a)
 		later(stepDispatchSent)
 	case claims.Deliver:
 		if a.text.Len() == streamStepFrame*frameBytes {
-			w.onStep(stepStream, a)
+			sim.onStep(stepStream, a)
 		}
 	case claims.End:
-		w.onStep(stepFinish, a)
+		sim.onStep(stepFinish, a)
 	}
 }
 
@@ -68,7 +68,7 @@
 	// bound is the longest time from the fault until every caller has its result.
 	bound time.Duration
 	// inject causes the fault at the subject's attempt.
-	inject func(w *simulation, a *attempt)
+	inject func(sim *simulation, a *attempt)
 }
 
 const (
@@ -98,41 +98,41 @@
 	return []fault{
 		{"entry dies", processLossBound, func(_ *simulation, a *attempt) { a.daemon.crash() }},
 		{"dispatcher dies", processLossBound, atDispatcher(func(d *daemon) { d.crash() })},
-		{"log leader dies", processLossBound, func(w *simulation, _ *attempt) { w.log.loseLeader() }},
-		{"log leader dies after a commit", processLossBound, func(w *simulation, _ *attempt) { w.log.losesNextReply = true }},
-		{"upstream dies", processLossBound, func(w *simulation, a *attempt) { w.engineOf(a).crash() }},
+		{"log leader dies", processLossBound, func(sim *simulation, _ *attempt) { sim.log.loseLeader() }},
+		{"log leader dies after a commit", processLossBound, func(sim *simulation, _ *attempt) { sim.log.losesNextReply = true }},
+		{"upstream dies", processLossBound, func(sim *simulation, a *attempt) { sim.engineOf(a).crash() }},
 		{"dispatcher cut off silently", processLossBound + sessionTimeout, atDispatcher(func(d *daemon) { d.sim.partition(d) })},
-		{"entry cut off silently", processLossBound + entryIdleTimeout, func(w *simulation, a *attempt) { w.partition(a.daemon) }},
-		{"entry paused", processLossBound + entryIdleTimeout, func(w *simulation, a *attempt) { a.daemon.pause() }},
+		{"entry cut off silently", processLossBound + entryIdleTimeout, func(sim *simulation, a *attempt) { sim.partition(a.daemon) }},
+		{"entry paused", processLossBound + entryIdleTimeout, func(sim *simulation, a *attempt) { a.daemon.pause() }},
 		{"dispatcher paused", processLossBound + sessionTimeout, atDispatcher(func(d *daemon) { d.pause() })},
-		{"straggler", stragglerSlowdown * answerBound, func(w *simulation, a *attempt) { w.engineOf(a).slowdown = stragglerSlowdown }},
-		{"burst", burstServiceTime + answerBound, func(w *simulation, _ *attempt) { w.sendBurst() }},
-		{"caller sends again", answerBound + answerBound, func(w *simulation, _ *attempt) { w.subject.send() }},
+		{"straggler", stragglerSlowdown * answerBound, func(sim *simulation, a *attempt) { sim.engineOf(a).slowdown = stragglerSlowdown }},
+		{"burst", burstServiceTime + answerBound, func(sim *simulation, _ *attempt) { sim.sendBurst() }},
+		{"caller sends again", answerBound + answerBound, func(sim *simulation, _ *attempt) { sim.subject.send() }},
 		{"connection silent for good", requestTimeout + answerBound, silenceConnection},
-		{"frame late", lateFrameDelay + answerBound, func(w *simulation, _ *attempt) { w.pendingDamage.frame = damageLate }},
-		{"frame of another answer", 2 * answerBound, func(w *simulation, _ *attempt) { w.pendingDamage.frame = damageForeign }},
-		{"frame doubled", 2 * answerBound, func(w *simulation, _ *attempt) { w.pendingDamage.frame = damageDuplicated }},
-		{"frame truncated", 2 * answerBound, func(w *simulation, _ *attempt) { w.pendingDamage.frame = damageTruncated }},
-		{"message lost", sessionTimeout + 2*answerBound, func(w *simulation, a *attempt) {
-			w.pendingDamage.linkMessage, w.pendingDamage.link = damageLost, a.daemon
+		{"frame late", lateFrameDelay + answerBound, func(sim *simulation, _ *attempt) { sim.pendingDamage.frame = damageLate }},
+		{"frame of another answer", 2 * answerBound, func(sim *simulation, _ *attempt) { sim.pendingDamage.frame = damageForeign }},
+		{"frame doubled", 2 * answerBound, func(sim *simulation, _ *attempt) { sim.pendingDamage.frame = damageDuplicated }},
+		{"frame truncated", 2 * answerBound, func(sim *simulation, _ *attempt) { sim.pendingDamage.frame = damageTruncated }},
+		{"message lost", sessionTimeout + 2*answerBound, func(sim *simulation, a *attempt) {
+			sim.pendingDamage.linkMessage, sim.pendingDamage.link = damageLost, a.daemon
 		}},
-		{"message doubled", 2 * answerBound, func(w *simulation, a *attempt) {
-			w.pendingDamage.linkMessage, w.pendingDamage.link = damageDuplicated, a.daemon
+		{"message doubled", 2 * answerBound, func(sim *simulation, a *attempt) {
+			sim.pendingDamage.linkMessage, sim.pendingDamage.link = damageDuplicated, a.daemon
 		}},
-		{"messages reordered", 2 * answerBound, func(w *simulation, a *attempt) {
-			w.pendingDamage.linkMessage, w.pendingDamage.link = damageReordered, a.daemon
+		{"messages reordered", 2 * answerBound, func(sim *simulation, a *attempt) {
+			sim.pendingDamage.linkMessage, sim.pendingDamage.link = damageReordered, a.daemon
 		}},
-		{"upstream leaves", 2 * answerBound, func(w *simulation, a *attempt) { w.drainUpstream(w.engineOf(a)) }},
+		{"upstream leaves", 2 * answerBound, func(sim *simulation, a *attempt) { sim.drainUpstream(sim.engineOf(a)) }},
 	}
 }
 
 // atDispatcher returns an injection at the current dispatcher. It sets
 // noDispatcher if there is none, as between two holders of the lease.
 func atDispatcher(do func(*daemon)) func(*simulation, *attempt) {
-	return func(w *simulation, _ *attempt) {
-		d := w.dispatcher()
+	return func(sim *simulation, _ *attempt) {
+		d := sim.dispatcher()
 		if d == nil {
-			w.noDispatcher = true
+			sim.noDispatcher = true
 			return
 		}
 		do(d)
@@ -141,17 +141,17 @@
 
 // engineOf returns the upstream that serves an attempt, or the first one if
 // none was granted yet.
-func (w *simulation) engineOf(a *attempt) *engine {
+func (sim *simulation) engineOf(a *attempt) *engine {
 	if name := a.upstream(); name != "" {
-		return w.engineAt(name)
+		return sim.engineAt(name)
 	}
-	return w.engines[0]
+	return sim.engines[0]
 }
 
 // partition cuts a daemon off from all others for partitionDuration.
-func (w *simulation) partition(d *daemon) {
-	d.partitionedUntil, d.unreachableSince = w.now()+partitionDuration, w.now()
-	w.recordEvent(promise.Event{Kind: promise.Partitioned, Daemon: d.name})
+func (sim *simulation) partition(d *daemon) {
+	d.partitionedUntil, d.unreachableSince = sim.now()+partitionDuration, sim.now()
+	sim.recordEvent(promise.Event{Kind: promise.Partitioned, Daemon: d.name})
 }
 
 // pause suspends a daemon for pauseDuration.
@@ -159,31 +159,31 @@
 	d.pausedUntil, d.unreachableSince = d.sim.now()+pauseDuration, d.sim.now()
 }
 
-func (w *simulation) drainUpstream(e *engine) {
+func (sim *simulation) drainUpstream(e *engine) {
 	e.isLeaving = true
-	w.recordEvent(promise.Event{Kind: promise.Leave, Upstream: e.name})
-	for _, d := range w.daemons {
+	sim.recordEvent(promise.Event{Kind: promise.Leave, Upstream: e.name})
+	for _, d := range sim.daemons {
 		if d.host != nil {
-			d.host.scheduler.leave(w.now(), e)
+			d.host.scheduler.leave(sim.now(), e)
 		}
 	}
 }
 
 // sendBurst sends burstSize requests of a lower tier.
-func (w *simulation) sendBurst() {
+func (sim *simulation) sendBurst() {
 	for range burstSize {
-		c := &caller{sim: w, key: fmt.Sprintf("bulk-%d", len(w.otherCallers)), tier: burstTier, nextEntry: len(w.otherCallers) % len(w.daemons), createdAt: w.now()}
-		w.otherCallers = append(w.otherCallers, c)
+		c := &caller{sim: sim, key: fmt.Sprintf("bulk-%d", len(sim.otherCallers)), tier: burstTier, nextEntry: len(sim.otherCallers) % len(sim.daemons), createdAt: sim.now()}
+		sim.otherCallers = append(sim.otherCallers, c)
 		c.send()
 	}
 }
 
 // silenceConnection stops delivery on the subject's connection, or on its next
 // one if it has none yet.
-func silenceConnection(w *simulation, a *attempt) {
+func silenceConnection(sim *simulation, a *attempt) {
 	if a.connection != nil {
 		a.connection.isSilent = true
 		return
 	}
-	w.pendingDamage.frame = damageSilent
+	sim.pendingDamage.frame = damageSilent
 }
--- a/internal/matrix/random.go
+++ b/internal/matrix/random.go
@@ -19,42 +19,42 @@
 // returns the result and the names of the injected faults. Recovery times are
 // not checked.
 func runSession(k requestKind, seed uint64) (cellResult, []string) {
-	w := newSimulation(k, seed)
-	w.run(warmUpTime, runToDeadline)
+	sim := newSimulation(k, seed)
+	sim.run(warmUpTime, runToDeadline)
 	v := cellResult{kind: k, fault: fmt.Sprintf("seed %d", seed), step: "session", bound: runTimeout}
-	for i := range 2 + w.rng.IntN(maxSessionCallers-1) {
-		w.after(w.randomSessionTime(), func() { w.addCaller(i) })
+	for i := range 2 + sim.rng.IntN(maxSessionCallers-1) {
+		sim.after(sim.randomSessionTime(), func() { sim.addCaller(i) })
 	}
 	injected := []string{}
-	for range 1 + w.rng.IntN(maxSessionFaults) {
+	for range 1 + sim.rng.IntN(maxSessionFaults) {
 		all := faults()
-		f := all[w.rng.IntN(len(all))]
-		w.after(w.randomSessionTime(), func() {
-			if w.injectInFlight(f, w.daemons[w.rng.IntN(len(w.daemons))]) == "" {
+		f := all[sim.rng.IntN(len(all))]
+		sim.after(sim.randomSessionTime(), func() {
+			if sim.injectInFlight(f, sim.daemons[sim.rng.IntN(len(sim.daemons))]) == "" {
 				injected = append(injected, f.name)
 			}
 		})
 	}
-	end := w.now() + sessionDuration
-	w.run(end+runTimeout, func() bool { return w.now() > end && w.subject != nil && w.allCallersEnded() })
-	w.evaluate(&v, end)
+	end := sim.now() + sessionDuration
+	sim.run(end+runTimeout, func() bool { return sim.now() > end && sim.subject != nil && sim.allCallersEnded() })
+	sim.evaluate(&v, end)
 	return v, injected
 }
 
-func (w *simulation) randomSessionTime() time.Duration {
-	return time.Duration(w.rng.Int64N(int64(sessionDuration)))
+func (sim *simulation) randomSessionTime() time.Duration {
+	return time.Duration(sim.rng.Int64N(int64(sessionDuration)))
 }
 
 // addCaller adds one caller, which with a chance of 1 in 4 resends before its
 // answer.
-func (w *simulation) addCaller(i int) {
-	c := &caller{sim: w, key: fmt.Sprintf("visit-%d", i), tier: w.rng.IntN(2), nextEntry: w.rng.IntN(len(w.daemons)), createdAt: w.now()}
-	w.otherCallers = append(w.otherCallers, c)
-	if w.subject == nil {
-		w.subject = c
+func (sim *simulation) addCaller(i int) {
+	c := &caller{sim: sim, key: fmt.Sprintf("visit-%d", i), tier: sim.rng.IntN(2), nextEntry: sim.rng.IntN(len(sim.daemons)), createdAt: sim.now()}
+	sim.otherCallers = append(sim.otherCallers, c)
+	if sim.subject == nil {
+		sim.subject = c
 	}
 	c.send()
-	if w.rng.IntN(4) == 0 {
-		w.after(time.Duration(w.rng.Int64N(int64(answerBound))), c.send)
+	if sim.rng.IntN(4) == 0 {
+		sim.after(time.Duration(sim.rng.Int64N(int64(answerBound))), c.send)
 	}
 }
--- a/internal/matrix/replicated.go
+++ b/internal/matrix/replicated.go
@@ -34,8 +34,8 @@
 	onApplied func(state.Command, state.Result)
 }
 
-func newReplicatedLog(w *simulation) *replicatedLog {
-	r := &replicatedLog{sim: w, machine: state.New()}
+func newReplicatedLog(sim *simulation) *replicatedLog {
+	r := &replicatedLog{sim: sim, machine: state.New()}
 	r.expireLease()
 	return r
 }
--- a/internal/matrix/session.go
+++ b/internal/matrix/session.go
@@ -55,15 +55,15 @@
 // maintain opens a session with the lease holder, or sends a heartbeat on the
 // current one.
 func (s *session) maintain() {
-	w := s.daemon.sim
-	l := w.log.machine.Lease(leaseName)
-	if l.Holder != "" && w.log.hasLeader() && s.daemon.isReachable() && (l.Epoch != s.epoch || w.now()-s.lastHeard > sessionTimeout) {
-		s.dispatcher, s.epoch, s.lastHeard = w.daemonAt(l.Holder), l.Epoch, w.now()
+	sim := s.daemon.sim
+	l := sim.log.machine.Lease(leaseName)
+	if l.Holder != "" && sim.log.hasLeader() && s.daemon.isReachable() && (l.Epoch != s.epoch || sim.now()-s.lastHeard > sessionTimeout) {
+		s.dispatcher, s.epoch, s.lastHeard = sim.daemonAt(l.Holder), l.Epoch, sim.now()
 		s.resync()
 		return
 	}
-	if s.dispatcher != nil && w.now()-s.lastHeartbeat >= heartbeatInterval {
-		s.lastHeartbeat = w.now()
+	if s.dispatcher != nil && sim.now()-s.lastHeartbeat >= heartbeatInterval {
+		s.lastHeartbeat = sim.now()
 		s.sendToHost(func(h *dispatchHost) { h.recordHeartbeat(s.entry()) })
 	}
 }
--- a/internal/matrix/world.go
+++ b/internal/matrix/world.go
@@ -93,54 +93,54 @@
 
 // sendOnLink sends a message between an entry and its dispatcher and applies
 // the damage planned for that link.
-func (w *simulation) sendOnLink(entry *daemon, send func()) {
+func (sim *simulation) sendOnLink(entry *daemon, send func()) {
 	kind := damageNone
-	if entry == w.pendingDamage.link {
-		kind = consume(&w.pendingDamage.linkMessage)
+	if entry == sim.pendingDamage.link {
+		kind = consume(&sim.pendingDamage.linkMessage)
 	}
 	switch kind {
 	case damageLost:
 		// A lost message means a broken stream, so the entry opens a new session.
-		entry.session.lastHeard = w.now() - sessionTimeout - 1
+		entry.session.lastHeard = sim.now() - sessionTimeout - 1
 	case damageDuplicated:
 		send()
 		send()
 	case damageReordered:
-		w.after(5*messageDelay, send)
+		sim.after(5*messageDelay, send)
 	default:
 		send()
 	}
 }
 
 func newSimulation(k requestKind, seed uint64) *simulation {
-	w := &simulation{requestKind: k, rng: rand.New(rand.NewPCG(seed, 1)), onStep: func(step, *attempt) {}}
-	w.startedAt = time.Now()
-	w.log = newReplicatedLog(w)
+	sim := &simulation{requestKind: k, rng: rand.New(rand.NewPCG(seed, 1)), onStep: func(step, *attempt) {}}
+	sim.startedAt = time.Now()
+	sim.log = newReplicatedLog(sim)
 	for i := range 2 {
-		w.engines = append(w.engines, newEngine(w, fmt.Sprintf("u%d", i+1)))
+		sim.engines = append(sim.engines, newEngine(sim, fmt.Sprintf("u%d", i+1)))
 	}
 	// The last daemon starts first and so acquires the dispatcher's lease. The
 	// subject's entry is then a different daemon.
 	for i := range 3 {
-		w.daemons = append(w.daemons, newDaemon(w, fmt.Sprintf("d%d", i+1)))
+		sim.daemons = append(sim.daemons, newDaemon(sim, fmt.Sprintf("d%d", i+1)))
 	}
-	for i := len(w.daemons) - 1; i >= 0; i-- {
-		w.daemons[i].start()
-		w.run(w.now()+50*time.Millisecond, runToDeadline)
+	for i := len(sim.daemons) - 1; i >= 0; i-- {
+		sim.daemons[i].start()
+		sim.run(sim.now()+50*time.Millisecond, runToDeadline)
 	}
-	return w
+	return sim
 }
 
 func runToDeadline() bool { return false }
 
-func (w *simulation) recordEvent(e promise.Event) {
-	e.At = w.now()
-	w.events = append(w.events, e)
+func (sim *simulation) recordEvent(e promise.Event) {
+	e.At = sim.now()
+	sim.events = append(sim.events, e)
 }
 
 // daemonAt returns the daemon with an address, which equals its name, or nil.
-func (w *simulation) daemonAt(address string) *daemon {
-	for _, d := range w.daemons {
+func (sim *simulation) daemonAt(address string) *daemon {
+	for _, d := range sim.daemons {
 		if d.name == address {
 			return d
 		}
@@ -148,8 +148,8 @@
 	return nil
 }
 
-func (w *simulation) engineAt(address string) *engine {
-	for _, e := range w.engines {
+func (sim *simulation) engineAt(address string) *engine {
+	for _, e := range sim.engines {
 		if e.name == address {
 			return e
 		}
@@ -158,8 +158,8 @@
 }
 
 // allCallersEnded reports whether every caller has received its result.
-func (w *simulation) allCallersEnded() bool {
-	for _, c := range append(w.otherCallers, w.subject) {
+func (sim *simulation) allCallersEnded() bool {
+	for _, c := range append(sim.otherCallers, sim.subject) {
 		if !c.hasEnded {
 			return false
 		}
