--- a/internal/standin/announce.go
+++ b/internal/standin/announce.go
@@ -11,24 +11,28 @@
 	"github.com/verbenastep/verbenastep/api/upstream"
 )
 
-// announceTimeout bounds one announcement.
+// announceTimeout bounds one announcement, connection and reply included.
 const announceTimeout = time.Second
 
-// announcePause is the wait before the next daemon is tried.
-const announcePause = 100 * time.Millisecond
+// announceRetryDelay is the wait before the next daemon is tried after a
+// failure.
+const announceRetryDelay = 100 * time.Millisecond
 
-// Announcer keeps an upstream announced to one of several daemons.
+// Announcer keeps an upstream announced to one of several daemons. It must not
+// be copied or changed while Run is active.
 type Announcer struct {
-	// Daemons are upstreams' addresses of daemons.
+	// Daemons lists the addresses at which daemons accept announcements; it must
+	// not be empty.
 	Daemons []string
-	// Key is the upstream's credential; empty where none is asked for.
+	// Key is the upstream's credential; empty if the daemons require none.
 	Key string
-	// State returns what to announce now.
+	// State returns the announcement to send; it is called for each one.
 	State func() upstream.Announcement
 }
 
-// Run announces until the context ends, moving on to the next daemon whenever
-// one doesn't answer. It learns further daemons from each renewal.
+// Run announces the upstream until the context ends, at the interval that each
+// renewal states. After a failure it continues with the next daemon. It also
+// uses the daemons that renewals name.
 func (a *Announcer) Run(ctx context.Context) {
 	known := slices.Clone(a.Daemons)
 	i := 0
@@ -37,7 +41,7 @@
 		pause := time.Duration(renewal.RenewMS) * time.Millisecond
 		if err != nil {
 			i++
-			pause = announcePause
+			pause = announceRetryDelay
 		}
 		for _, d := range renewal.Addresses {
 			if !slices.Contains(known, d) {
@@ -51,7 +55,9 @@
 	}
 }
 
-// Announce makes one announcement.
+// Announce sends one announcement to a daemon. It returns an error if the
+// daemon can't be reached, refuses the announcement or sends an invalid
+// renewal.
 func (a *Announcer) Announce(ctx context.Context, daemon string) (upstream.Renewal, error) {
 	ctx, cancel := context.WithTimeout(ctx, announceTimeout)
 	defer cancel()
@@ -71,18 +77,18 @@
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return out, &refusedError{status: resp.StatusCode}
+		return out, &announceError{status: resp.StatusCode}
 	}
 	err = json.NewDecoder(resp.Body).Decode(&out)
 	return out, err
 }
 
-// refusedError says that a daemon refused an announcement.
-type refusedError struct {
+// announceError reports that a daemon refused an announcement.
+type announceError struct {
 	status int
 }
 
-// Error names the remedy.
-func (e *refusedError) Error() string {
+// Error returns the status and the remedy.
+func (e *announceError) Error() string {
 	return "announcement refused with " + http.StatusText(e.status) + "; check the key and the announcement"
 }
--- a/internal/standin/control.go
+++ b/internal/standin/control.go
@@ -8,58 +8,61 @@
 	"github.com/verbenastep/verbenastep/api/upstream"
 )
 
-// defaultCacheBlocks is how many prompt blocks a runner caches.
+// defaultCacheBlocks is the capacity of a runner's cache in prompt blocks.
 const defaultCacheBlocks = 4096
 
-// maxEvents is how many cache events wait to be announced; older ones are lost,
-// which leaves a gap in the sequence.
-const maxEvents = 256
+// maxPendingEvents bounds the cache events that wait to be announced. Older
+// events are dropped, which leaves a gap in the sequence.
+const maxPendingEvents = 256
 
-// cache holds prompt blocks, the longest unused of which go first.
+// cache holds hashes of prompt blocks and evicts the least recently used.
+// Callers must hold the runner's lock.
 type cache struct {
-	limit    int
-	blocks   []uint64
-	sequence uint64
-	events   []upstream.CacheEvent
+	maxBlocks     int
+	blocks        []uint64
+	sequence      uint64
+	pendingEvents []upstream.CacheEvent
 }
 
-func newCache(limit int) cache { return cache{limit: limit} }
+func newCache(limit int) cache { return cache{maxBlocks: limit} }
 
-// use returns how many leading blocks were cached, and caches all.
-func (c *cache) use(blocks []uint64) int {
+// lookupAndStore returns how many leading blocks were cached, then stores all
+// of them.
+func (c *cache) lookupAndStore(blocks []uint64) int {
 	hit := 0
 	for hit < len(blocks) && slices.Contains(c.blocks, blocks[hit]) {
 		hit++
 	}
-	fresh := slices.Clone(blocks[hit:])
+	missing := slices.Clone(blocks[hit:])
 	c.blocks = slices.DeleteFunc(c.blocks, func(b uint64) bool { return slices.Contains(blocks, b) })
 	c.blocks = append(c.blocks, blocks...)
-	if len(fresh) > 0 {
-		c.publish(false, fresh)
+	if len(missing) > 0 {
+		c.publish(false, missing)
 	}
-	if over := len(c.blocks) - c.limit; over > 0 {
-		c.publish(true, slices.Clone(c.blocks[:over]))
-		c.blocks = slices.Clone(c.blocks[over:])
+	if excess := len(c.blocks) - c.maxBlocks; excess > 0 {
+		c.publish(true, slices.Clone(c.blocks[:excess]))
+		c.blocks = slices.Clone(c.blocks[excess:])
 	}
 	return hit
 }
 
 func (c *cache) publish(evicted bool, blocks []uint64) {
 	c.sequence++
-	c.events = append(c.events, upstream.CacheEvent{Sequence: c.sequence, Evicted: evicted, Blocks: blocks})
-	if len(c.events) > maxEvents {
-		c.events = slices.Clone(c.events[1:])
+	c.pendingEvents = append(c.pendingEvents, upstream.CacheEvent{Sequence: c.sequence, Evicted: evicted, Blocks: blocks})
+	if len(c.pendingEvents) > maxPendingEvents {
+		c.pendingEvents = slices.Clone(c.pendingEvents[1:])
 	}
 }
 
-func (c *cache) take() []upstream.CacheEvent {
-	out := c.events
-	c.events = nil
+func (c *cache) takeEvents() []upstream.CacheEvent {
+	out := c.pendingEvents
+	c.pendingEvents = nil
 	return out
 }
 
-// order carries out loads, unloads and changes of role at once.
-func (r *Runner) order(w http.ResponseWriter, req *http.Request) {
+// handleOrder executes a load, an unload or a change of role immediately. An
+// order whose fence is lower than the last one is refused.
+func (r *Runner) handleOrder(w http.ResponseWriter, req *http.Request) {
 	o := upstream.Order{}
 	if err := json.NewDecoder(req.Body).Decode(&o); err != nil {
 		http.Error(w, "malformed order", http.StatusBadRequest)
@@ -67,12 +70,12 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if !r.plan.IgnoreFences {
-		if o.Fence < r.fence {
+	if !r.faultPlan.IgnoreFences {
+		if o.Fence < r.lastFence {
 			http.Error(w, "the fence is old", http.StatusConflict)
 			return
 		}
-		r.fence = o.Fence
+		r.lastFence = o.Fence
 	}
 	switch o.Action {
 	case upstream.Load:
@@ -84,10 +87,10 @@
 		http.Error(w, "unknown action", http.StatusBadRequest)
 		return
 	}
-	reply(w, upstream.OrderReply{Fence: r.fence, Done: true})
+	writeReply(w, upstream.OrderReply{Fence: r.lastFence, Done: true})
 }
 
-// Loaded returns the version that is loaded of a model or adapter.
+// Loaded returns the loaded version of a model or adapter.
 func (r *Runner) Loaded(target string) (string, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -95,28 +98,29 @@
 	return v, ok
 }
 
-// export hands a running stream out and ends it here.
-func (r *Runner) export(w http.ResponseWriter, req *http.Request) {
+// handleExport returns the state of a running stream and ends the stream on
+// this runner.
+func (r *Runner) handleExport(w http.ResponseWriter, req *http.Request) {
 	r.mu.Lock()
-	x, ok := r.runs[req.PathValue("stream")]
-	ok = ok && !x.ended && x.tokens > 0
+	x, ok := r.streams[req.PathValue("stream")]
+	ok = ok && !x.hasEnded && x.tokenCount > 0
 	if !ok {
 		r.mu.Unlock()
 		http.Error(w, "no such stream is running", http.StatusNotFound)
 		return
 	}
-	e := upstream.Export{Start: x.start, Offset: x.length, Tokens: x.tokens, PromptTokens: len(x.start.Prompt)/4 + 1, KV: []byte(x.start.Prompt)}
-	x.ended = true
-	close(x.changed)
-	x.changed = make(chan struct{})
-	delete(r.runs, req.PathValue("stream"))
+	e := upstream.Export{Start: x.start, Offset: x.textBytes, Tokens: x.tokenCount, PromptTokens: len(x.start.Prompt)/4 + 1, KV: []byte(x.start.Prompt)}
+	x.hasEnded = true
+	close(x.frameAdded)
+	x.frameAdded = make(chan struct{})
+	delete(r.streams, req.PathValue("stream"))
 	r.mu.Unlock()
 	x.cancel()
-	reply(w, e)
+	writeReply(w, e)
 }
 
-// importStream goes on with another runner's stream.
-func (r *Runner) importStream(w http.ResponseWriter, req *http.Request) {
+// handleImport continues a stream that another runner exported.
+func (r *Runner) handleImport(w http.ResponseWriter, req *http.Request) {
 	e := upstream.Export{}
 	if err := json.NewDecoder(req.Body).Decode(&e); err != nil || e.Start.Stream == "" {
 		http.Error(w, "malformed export", http.StatusBadRequest)
@@ -130,14 +134,14 @@
 		http.Error(w, "the cache does not fit the prompt", http.StatusUnprocessableEntity)
 		return
 	}
-	if _, fresh := r.begin(e.Start, e.Offset, e.Tokens, e.PromptTokens); !fresh {
+	if _, fresh := r.startStream(e.Start, e.Offset, e.Tokens, e.PromptTokens); !fresh {
 		http.Error(w, "stream exists", http.StatusConflict)
 		return
 	}
-	reply(w, struct{}{})
+	writeReply(w, struct{}{})
 }
 
-func reply(w http.ResponseWriter, body any) {
+func writeReply(w http.ResponseWriter, body any) {
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(w).Encode(body)
 }
--- a/internal/standin/fault.go
+++ b/internal/standin/fault.go
@@ -7,123 +7,130 @@
 	"github.com/verbenastep/verbenastep/api/upstream"
 )
 
-// Fault is a way in which a runner misbehaves.
+// Fault is a kind of misbehaviour of a stand-in.
 type Fault string
 
-// Faults of a connection, except Refuse, which is of a start.
+// Faults of a connection, except Refuse, which applies to the start of a
+// stream.
 const (
-	// Silent sends nothing more, heartbeats neither, and keeps the connection.
+	// Silent keeps the connection open but sends nothing more, not even
+	// heartbeats.
 	Silent Fault = "silent"
-	// Cut closes the connection in the middle of the stream.
+	// Cut closes the connection between two frames of the stream.
 	Cut Fault = "cut"
 	// Truncated closes the connection in the middle of a frame.
 	Truncated Fault = "truncated"
-	// Crossed sends a frame of another stream.
+	// Crossed sends a frame that names another stream before the correct one.
 	Crossed Fault = "crossed"
 	// Doubled sends a frame twice.
 	Doubled Fault = "doubled"
-	// Late leaves a frame out and sends the one after it.
+	// Late omits a frame and sends the one after it.
 	Late Fault = "late"
-	// Early sends an end before the stream's end.
+	// Early sends an end frame before the end of the stream.
 	Early Fault = "early"
-	// Refuse refuses each start and import, which do not run then.
+	// Refuse rejects each start and import without executing it.
 	Refuse Fault = "refuse"
 )
 
-// Plan says how a runner misbehaves.
+// Plan describes how a runner misbehaves; the zero value means not at all.
 type Plan struct {
 	Fault Fault
-	// AfterFrames is how many frames a connection carries before.
+	// AfterFrames is the number of frames that a connection carries before the
+	// fault.
 	AfterFrames int
-	// Connections is how many connections meet the fault; zero means all.
+	// Connections is the number of connections to which the fault applies; zero
+	// means all.
 	Connections int
-	// CrashOn closes the runner when a prompt contains it.
+	// CrashOn, unless empty, closes the runner when a prompt contains it.
 	CrashOn string
-	// IgnoreFences lets orders of any fence pass.
+	// IgnoreFences accepts orders regardless of their fence.
 	IgnoreFences bool
 }
 
-// SetPlan replaces the plan; connections that are open keep theirs.
+// SetPlan replaces the plan. Open connections keep the previous one.
 func (r *Runner) SetPlan(p Plan) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.plan = p
-	r.suffered = 0
+	r.faultPlan = p
+	r.faultyConnections = 0
 }
 
 func (r *Runner) currentPlan() Plan {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.plan
+	return r.faultPlan
 }
 
-// trouble gives the next connection its part of the plan.
-func (r *Runner) trouble() Plan {
+// nextConnectionPlan returns the plan for a new connection and counts the
+// connection.
+func (r *Runner) nextConnectionPlan() Plan {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.plan.Connections > 0 && r.suffered >= r.plan.Connections {
+	if r.faultPlan.Connections > 0 && r.faultyConnections >= r.faultPlan.Connections {
 		return Plan{}
 	}
-	r.suffered++
-	return r.plan
+	r.faultyConnections++
+	return r.faultPlan
 }
 
-// line writes the frames of one connection and spoils them as planned.
-type line struct {
-	w       http.ResponseWriter
-	ctl     *http.ResponseController
-	trouble Plan
-	request *http.Request
-	written int
+// frameWriter writes the frames of one connection and applies the planned
+// fault.
+type frameWriter struct {
+	w          http.ResponseWriter
+	controller *http.ResponseController
+	plan       Plan
+	request    *http.Request
+	frameCount int
 }
 
-// write returns false where the connection is to be closed.
-func (l *line) write(f upstream.Frame) bool {
-	due := l.trouble.Fault != "" && l.written == l.trouble.AfterFrames
-	l.written++
-	if due {
-		return l.spoil(f)
+// write writes a frame, faulty if the plan says so. It returns false if the
+// connection must be closed.
+func (fw *frameWriter) write(f upstream.Frame) bool {
+	isFaulty := fw.plan.Fault != "" && fw.frameCount == fw.plan.AfterFrames
+	fw.frameCount++
+	if isFaulty {
+		return fw.writeFaulty(f)
 	}
-	return l.put(f)
+	return fw.encode(f)
 }
 
-func (l *line) put(f upstream.Frame) bool {
-	if json.NewEncoder(l.w).Encode(f) != nil {
+func (fw *frameWriter) encode(f upstream.Frame) bool {
+	if json.NewEncoder(fw.w).Encode(f) != nil {
 		return false
 	}
-	return l.ctl.Flush() == nil
+	return fw.controller.Flush() == nil
 }
 
-func (l *line) heartbeat() bool {
-	if _, err := l.w.Write([]byte("\n")); err != nil {
+func (fw *frameWriter) writeHeartbeat() bool {
+	if _, err := fw.w.Write([]byte("\n")); err != nil {
 		return false
 	}
-	return l.ctl.Flush() == nil
+	return fw.controller.Flush() == nil
 }
 
-func (l *line) spoil(f upstream.Frame) bool {
-	switch l.trouble.Fault {
+func (fw *frameWriter) writeFaulty(f upstream.Frame) bool {
+	switch fw.plan.Fault {
 	case Silent:
-		<-l.request.Context().Done()
+		<-fw.request.Context().Done()
 		return false
 	case Cut:
 		return false
 	case Truncated:
 		data, _ := json.Marshal(f)
-		_, _ = l.w.Write(data[:len(data)/2])
-		_ = l.ctl.Flush()
+		_, _ = fw.w.Write(data[:len(data)/2])
+		_ = fw.controller.Flush()
 		panic(http.ErrAbortHandler)
 	case Crossed:
 		other := f
 		other.Stream = "another-" + f.Stream
-		return l.put(other) && l.put(f)
+		return fw.encode(other) && fw.encode(f)
 	case Doubled:
-		l.put(f)
-		return l.put(f)
+		fw.encode(f)
+		return fw.encode(f)
 	case Late:
 		return true
 	case Early:
-		return l.put(upstream.Frame{Stream: f.Stream, Offset: f.Offset + int64(len(f.Text)) + 1, End: true, Finish: "stop"})
+		return fw.encode(upstream.Frame{Stream: f.Stream, Offset: f.Offset + int64(len(f.Text)) + 1, End: true, Finish: "stop"})
 	}
-	return l.put(f)
+	return fw.encode(f)
 }
--- a/internal/standin/runner.go
+++ b/internal/standin/runner.go
@@ -1,6 +1,7 @@
-// Package standin emulates upstreams: runners that batch continuously and
-// cache prompt prefixes, and plain services. It speaks the published protocol
-// and knows nothing of the daemons' code.
+// Package standin emulates upstreams for demonstrations, measurements and
+// tests: runners with continuous batching and a prompt prefix cache, and plain
+// services. It speaks the published upstream protocol and doesn't depend on the
+// daemons' code.
 package standin
 
 import (
@@ -16,62 +17,65 @@
 	"github.com/verbenastep/verbenastep/api/upstream"
 )
 
-// Speed is how fast a runner works.
+// Speed sets the processing rates of a runner.
 type Speed struct {
-	// PrefillPerSecond is prompt tokens a second.
+	// PrefillPerSecond is in prompt tokens per second.
 	PrefillPerSecond float64
-	// DecodePerSecond is output tokens a second for one stream.
+	// DecodePerSecond is in output tokens per second for one stream.
 	DecodePerSecond float64
 }
 
-// run is one stream, kept after its end so that it can be resumed.
-type run struct {
-	start   upstream.Start
-	tokens  int
-	frames  []upstream.Frame
-	length  int64
-	ended   bool
-	changed chan struct{}
-	cancel  context.CancelFunc
+// streamState is the state of one stream. It is kept after the stream's end so
+// that the stream can be resumed.
+type streamState struct {
+	start      upstream.Start
+	tokenCount int
+	frames     []upstream.Frame
+	textBytes  int64
+	hasEnded   bool
+	frameAdded chan struct{}
+	cancel     context.CancelFunc
 }
 
-// Runner emulates an engine.
+// Runner emulates an inference engine. Its methods may be called concurrently
+// once Listen has returned.
 type Runner struct {
-	// Self is what it announces.
+	// Self is the announcement without load and cache events.
 	Self  upstream.Announcement
 	Speed Speed
-	// Observe, where set before Listen, hears of each execution; it must not
-	// block.
+	// Observe, unless nil, is called at each execution. It must be set before
+	// Listen and must not block.
 	Observe func(Execution)
-	// OnClose, where set before Listen, is called when the runner ends.
+	// OnClose, unless nil, is called each time that Close is called. It must be
+	// set before Listen.
 	OnClose func()
 
-	mu    sync.Mutex
-	runs  map[string]*run
-	cache cache
-	plan  Plan
-	// suffered counts the connections that met the plan's fault.
-	suffered int
-	// executions counts how often each stream was started.
+	mu        sync.Mutex
+	streams   map[string]*streamState
+	cache     cache
+	faultPlan Plan
+	// faultyConnections counts the connections to which the plan's fault applied.
+	faultyConnections int
+	// executions counts the starts of each stream.
 	executions map[string]int
 	canceled   map[string]bool
-	fence      uint64
+	lastFence  uint64
 	loaded     map[string]string
 	server     *http.Server
 	slots      chan struct{}
 }
 
-// NewRunner returns a runner that does not listen yet.
+// NewRunner returns a runner that isn't listening yet.
 func NewRunner(self upstream.Announcement, speed Speed) *Runner {
 	return &Runner{
-		Self: self, Speed: speed, runs: map[string]*run{}, cache: newCache(defaultCacheBlocks),
+		Self: self, Speed: speed, streams: map[string]*streamState{}, cache: newCache(defaultCacheBlocks),
 		executions: map[string]int{}, canceled: map[string]bool{}, loaded: map[string]string{},
 		slots: make(chan struct{}, self.Slots),
 	}
 }
 
-// Listen serves on the announced address; a port of zero is replaced by the
-// one that was given.
+// Listen starts to serve on the address in Self. Port zero is replaced by the
+// port that the system assigned.
 func (r *Runner) Listen() error {
 	ln, err := net.Listen("tcp", r.Self.Address)
 	if err != nil {
@@ -79,36 +83,38 @@
 	}
 	r.Self.Address = ln.Addr().String()
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST "+upstream.PathStreams, r.start)
-	mux.HandleFunc("GET "+upstream.PathStreams+"/{stream}", r.resume)
-	mux.HandleFunc("DELETE "+upstream.PathStreams+"/{stream}", r.cancel)
-	mux.HandleFunc("POST "+upstream.PathStreams+"/{stream}"+upstream.SuffixExport, r.export)
-	mux.HandleFunc("POST "+upstream.PathImports, r.importStream)
-	mux.HandleFunc("POST "+upstream.PathOrders, r.order)
+	mux.HandleFunc("POST "+upstream.PathStreams, r.handleStart)
+	mux.HandleFunc("GET "+upstream.PathStreams+"/{stream}", r.handleResume)
+	mux.HandleFunc("DELETE "+upstream.PathStreams+"/{stream}", r.handleCancel)
+	mux.HandleFunc("POST "+upstream.PathStreams+"/{stream}"+upstream.SuffixExport, r.handleExport)
+	mux.HandleFunc("POST "+upstream.PathImports, r.handleImport)
+	mux.HandleFunc("POST "+upstream.PathOrders, r.handleOrder)
 	r.server = &http.Server{Handler: mux}
 	go func() { _ = r.server.Serve(ln) }()
 	return nil
 }
 
-// Announcement is what to announce now: Self with the load and the cache
-// events since the last call.
+// Announcement returns the announcement to send: Self with the current load and
+// the cache events since the last call.
 func (r *Runner) Announcement() upstream.Announcement {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	a := r.Self
 	a.Running = len(r.slots)
-	a.Events = r.cache.take()
+	a.Events = r.cache.takeEvents()
 	return a
 }
 
-// Leave announces that the runner leaves, and asks to move its streams.
+// Leave marks the runner as leaving in its announcements and asks for its
+// streams to be moved.
 func (r *Runner) Leave() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.Self.Leaving = true
 }
 
-// Close ends the runner as a crash would.
+// Close stops the runner immediately, as a crash does: connections break and
+// streams are canceled.
 func (r *Runner) Close() {
 	_ = r.server.Close()
 	if r.OnClose != nil {
@@ -116,19 +122,19 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, x := range r.runs {
+	for _, x := range r.streams {
 		x.cancel()
 	}
 }
 
-// Canceled tells whether a stream was canceled.
+// Canceled reports whether a stream was canceled by a request.
 func (r *Runner) Canceled(stream string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.canceled[stream]
 }
 
-// Executions returns how often each stream was started.
+// Executions returns the number of starts of each stream.
 func (r *Runner) Executions() map[string]int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -139,7 +145,7 @@
 	return out
 }
 
-func (r *Runner) start(w http.ResponseWriter, req *http.Request) {
+func (r *Runner) handleStart(w http.ResponseWriter, req *http.Request) {
 	s := upstream.Start{}
 	if err := json.NewDecoder(req.Body).Decode(&s); err != nil || s.Stream == "" {
 		http.Error(w, "malformed start", http.StatusBadRequest)
@@ -151,61 +157,63 @@
 		return
 	}
 	if plan.CrashOn != "" && strings.Contains(s.Prompt, plan.CrashOn) {
-		r.note(s.Stream)
+		r.countExecution(s.Stream)
 		go r.Close()
 		return
 	}
-	x, fresh := r.begin(s, 0, 0, 0)
+	x, fresh := r.startStream(s, 0, 0, 0)
 	if !fresh {
 		http.Error(w, "stream exists", http.StatusConflict)
 		return
 	}
-	r.follow(w, req, x, 0)
+	r.writeFrames(w, req, x, 0)
 }
 
-// note counts an execution.
-func (r *Runner) note(stream string) {
+// countExecution counts an execution.
+func (r *Runner) countExecution(stream string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.executions[stream]++
 }
 
-// begin starts a run, or goes on with an imported one at an offset, with some
-// tokens generated and some of the prompt processed.
-func (r *Runner) begin(s upstream.Start, offset int64, tokens, processed int) (*run, bool) {
+// startStream starts a stream, or continues an imported one at an offset with some
+// tokens generated and part of the prompt processed. It returns false if the
+// stream exists already.
+func (r *Runner) startStream(s upstream.Start, offset int64, tokens, promptTokensDone int) (*streamState, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if x, ok := r.runs[s.Stream]; ok {
+	if x, ok := r.streams[s.Stream]; ok {
 		return x, false
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	x := &run{start: s, length: offset, tokens: tokens, changed: make(chan struct{}), cancel: cancel}
-	r.runs[s.Stream] = x
-	if processed == 0 {
+	x := &streamState{start: s, textBytes: offset, tokenCount: tokens, frameAdded: make(chan struct{}), cancel: cancel}
+	r.streams[s.Stream] = x
+	if promptTokensDone == 0 {
 		r.executions[s.Stream]++
-		observe(r.Observe, Execution{Upstream: r.Self.Name, Stream: s.Stream, Text: strings.Join(answerWords(s), ""), Blocks: s.Blocks})
+		notifyObserver(r.Observe, Execution{Upstream: r.Self.Name, Stream: s.Stream, Text: strings.Join(answerTokens(s), ""), Blocks: s.Blocks})
 	}
-	go r.generate(ctx, x, processed)
+	go r.generate(ctx, x, promptTokensDone)
 	return x, true
 }
 
-// generate emulates prefill, then one word a token.
-func (r *Runner) generate(ctx context.Context, x *run, processed int) {
+// generate waits for a slot, then emulates prefill and decoding, one word per
+// token.
+func (r *Runner) generate(ctx context.Context, x *streamState, promptTokensDone int) {
 	select {
 	case r.slots <- struct{}{}:
 	case <-ctx.Done():
-		r.push(x, upstream.Frame{Stream: x.start.Stream, Error: "canceled"}, 0)
+		r.appendFrame(x, upstream.Frame{Stream: x.start.Stream, Error: "canceled"}, 0)
 		return
 	}
 	defer func() { <-r.slots }()
 	prompt := len(x.start.Prompt)/4 + 1
-	cached := max(processed, r.cachedTokens(x.start, prompt))
-	observe(r.Observe, Execution{Upstream: r.Self.Name, Stream: x.start.Stream, Blocks: x.start.Blocks, Prefill: max(0, prompt-cached), Cached: cached})
-	done := wait(ctx, float64(max(0, prompt-cached))/r.Speed.PrefillPerSecond)
-	words := answerWords(x.start)
-	first := x.tokens
+	cached := max(promptTokensDone, r.cachedTokens(x.start, prompt))
+	notifyObserver(r.Observe, Execution{Upstream: r.Self.Name, Stream: x.start.Stream, Blocks: x.start.Blocks, Prefill: max(0, prompt-cached), Cached: cached})
+	done := sleep(ctx, float64(max(0, prompt-cached))/r.Speed.PrefillPerSecond)
+	words := answerTokens(x.start)
+	first := x.tokenCount
 	for i := first; i < len(words) && done; i++ {
-		if done = wait(ctx, 1/r.Speed.DecodePerSecond); !done {
+		if done = sleep(ctx, 1/r.Speed.DecodePerSecond); !done {
 			break
 		}
 		f := upstream.Frame{Stream: x.start.Stream, Text: words[i], Tokens: 1}
@@ -213,21 +221,21 @@
 			f.PromptTokens = prompt
 			f.CachedTokens = cached
 		}
-		r.push(x, f, 1)
+		r.appendFrame(x, f, 1)
 	}
 	if !done {
-		r.push(x, upstream.Frame{Stream: x.start.Stream, Error: "canceled"}, 0)
+		r.appendFrame(x, upstream.Frame{Stream: x.start.Stream, Error: "canceled"}, 0)
 		return
 	}
 	finish := "stop"
 	if len(words) == x.start.MaxTokens {
 		finish = "length"
 	}
-	r.push(x, upstream.Frame{Stream: x.start.Stream, End: true, Finish: finish, PromptTokens: prompt, CachedTokens: cached}, 0)
+	r.appendFrame(x, upstream.Frame{Stream: x.start.Stream, End: true, Finish: finish, PromptTokens: prompt, CachedTokens: cached}, 0)
 }
 
-// outputTokens takes the answer's length from a prompt that ends in "#N", and
-// the maximum otherwise.
+// outputTokens returns the length of the answer: N for a prompt that ends in
+// "#N", at most the maximum, and the maximum for others.
 func outputTokens(s upstream.Start) int {
 	_, after, ok := strings.Cut(s.Prompt, "#")
 	n, err := strconv.Atoi(strings.TrimSpace(after))
@@ -237,7 +245,7 @@
 	return min(n, s.MaxTokens)
 }
 
-func wait(ctx context.Context, seconds float64) bool {
+func sleep(ctx context.Context, seconds float64) bool {
 	select {
 	case <-time.After(time.Duration(seconds * float64(time.Second))):
 		return true
@@ -249,59 +257,59 @@
 func (r *Runner) cachedTokens(s upstream.Start, prompt int) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	hit := r.cache.use(s.Blocks)
+	hit := r.cache.lookupAndStore(s.Blocks)
 	if len(s.Blocks) == 0 {
 		return 0
 	}
 	return min(prompt-1, hit*prompt/len(s.Blocks))
 }
 
-func (r *Runner) push(x *run, f upstream.Frame, tokens int) {
+func (r *Runner) appendFrame(x *streamState, f upstream.Frame, tokens int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if x.ended {
+	if x.hasEnded {
 		return
 	}
-	f.Offset = x.length
-	x.length += int64(len(f.Text))
-	x.tokens += tokens
+	f.Offset = x.textBytes
+	x.textBytes += int64(len(f.Text))
+	x.tokenCount += tokens
 	x.frames = append(x.frames, f)
-	x.ended = f.End || f.Error != ""
-	close(x.changed)
-	x.changed = make(chan struct{})
+	x.hasEnded = f.End || f.Error != ""
+	close(x.frameAdded)
+	x.frameAdded = make(chan struct{})
 }
 
-func (r *Runner) resume(w http.ResponseWriter, req *http.Request) {
+func (r *Runner) handleResume(w http.ResponseWriter, req *http.Request) {
 	offset, err := strconv.ParseInt(req.URL.Query().Get("offset"), 10, 64)
 	r.mu.Lock()
-	x, ok := r.runs[req.PathValue("stream")]
+	x, ok := r.streams[req.PathValue("stream")]
 	r.mu.Unlock()
 	if !ok || err != nil {
 		http.Error(w, "no such stream", http.StatusNotFound)
 		return
 	}
-	r.follow(w, req, x, offset)
+	r.writeFrames(w, req, x, offset)
 }
 
-// follow writes the frames from an offset as they come, and empty lines while
-// there are none.
-func (r *Runner) follow(w http.ResponseWriter, req *http.Request, x *run, offset int64) {
+// writeFrames writes the frames from an offset as they are generated, and a
+// heartbeat line when none arrives within the heartbeat interval.
+func (r *Runner) writeFrames(w http.ResponseWriter, req *http.Request, x *streamState, offset int64) {
 	w.Header().Set("Content-Type", "application/x-ndjson")
 	w.WriteHeader(http.StatusOK)
-	out := &line{w: w, ctl: http.NewResponseController(w), trouble: r.trouble(), request: req}
-	next, told := 0, false
+	out := &frameWriter{w: w, controller: http.NewResponseController(w), plan: r.nextConnectionPlan(), request: req}
+	next, leavingSent := 0, false
 	for {
 		r.mu.Lock()
 		frames := x.frames[next:]
-		ended, changed, length := x.ended, x.changed, x.length
-		leaving := r.Self.Leaving && !told && !ended && x.tokens > 0
+		ended, changed, length := x.hasEnded, x.frameAdded, x.textBytes
+		leaving := r.Self.Leaving && !leavingSent && !ended && x.tokenCount > 0
 		r.mu.Unlock()
 		next += len(frames)
 		for _, f := range frames {
 			if f.Offset+int64(len(f.Text)) <= offset && !f.End && f.Error == "" {
 				continue
 			}
-			if !out.write(clip(f, offset)) {
+			if !out.write(trimBefore(f, offset)) {
 				return
 			}
 		}
@@ -309,15 +317,15 @@
 			return
 		}
 		if leaving {
-			told = true
-			if !out.put(upstream.Frame{Stream: x.start.Stream, Offset: max(offset, length), Leaving: true}) {
+			leavingSent = true
+			if !out.encode(upstream.Frame{Stream: x.start.Stream, Offset: max(offset, length), Leaving: true}) {
 				return
 			}
 		}
 		select {
 		case <-changed:
 		case <-time.After(upstream.HeartbeatMS * time.Millisecond):
-			if !out.heartbeat() {
+			if !out.writeHeartbeat() {
 				return
 			}
 		case <-req.Context().Done():
@@ -326,8 +334,8 @@
 	}
 }
 
-// clip cuts what lies before an offset off a frame.
-func clip(f upstream.Frame, offset int64) upstream.Frame {
+// trimBefore removes the part of a frame that lies before an offset.
+func trimBefore(f upstream.Frame, offset int64) upstream.Frame {
 	if f.Offset < offset && f.Offset+int64(len(f.Text)) >= offset {
 		f.Text = f.Text[offset-f.Offset:]
 		f.Offset = offset
@@ -335,9 +343,9 @@
 	return f
 }
 
-func (r *Runner) cancel(w http.ResponseWriter, req *http.Request) {
+func (r *Runner) handleCancel(w http.ResponseWriter, req *http.Request) {
 	r.mu.Lock()
-	x, ok := r.runs[req.PathValue("stream")]
+	x, ok := r.streams[req.PathValue("stream")]
 	if ok {
 		r.canceled[req.PathValue("stream")] = true
 	}
