--- a/internal/localsite/localsite.go
+++ b/internal/localsite/localsite.go
@@ -1,5 +1,5 @@
-// Package localsite runs a few daemons on loopback in one process, with real
-// sockets and files, for demonstrations, measurements and tests.
+// Package localsite runs several daemons on loopback in one process, with real
+// sockets and files. Demonstrations, measurements and tests use it.
 package localsite
 
 import (
@@ -22,82 +22,86 @@
 )
 
 const (
-	// portsEach is how many addresses a daemon has.
-	portsEach = 4
-	// defaultStopTimeout bounds a daemon's graceful shutdown.
+	// portsPerDaemon is the number of addresses of a daemon.
+	portsPerDaemon = 4
+	// defaultStopTimeout bounds the graceful shutdown of a daemon.
 	defaultStopTimeout = 12 * time.Second
-	// OperatorKey is the operator's credential.
+	// OperatorKey is the operators' credential on every daemon.
 	OperatorKey = "local-operator"
-	// UpstreamKey is the upstreams' credential.
+	// UpstreamKey is the upstreams' credential on every daemon.
 	UpstreamKey = "local-upstream"
 )
 
-// Place is where a daemon is.
+// Place is the location of a daemon.
 type Place struct {
 	Region     string
 	DataCentre string
 }
 
-// Options describe a site.
+// Options describes a site.
 type Options struct {
-	// Folder holds the replicas' data.
+	// Folder is the parent of the replicas' data folders.
 	Folder string
-	// Places has one element a daemon.
+	// Places lists the location of each daemon.
 	Places []Place
-	// Replicas is how many daemons, the first ones, keep the durable state.
+	// Replicas is the number of daemons, counted from the first, that run a
+	// replica of the durable state.
 	Replicas int
 	Log      *zap.Logger
-	// Observe, where set, hears of all daemons' events; it must not block.
+	// Observe, unless nil, is called with the events of all daemons. It must not
+	// block.
 	Observe func(promise.Event)
-	// StopTimeout bounds a daemon's graceful shutdown; zero means 12 seconds.
+	// StopTimeout bounds the graceful shutdown of a daemon; zero means 12
+	// seconds.
 	StopTimeout time.Duration
 }
 
-// Site is a few daemons. Its methods may be called from several goroutines,
-// but not twice at once for the same daemon.
+// Site is a group of daemons. Its methods may be called concurrently, except
+// for two calls that start or stop the same daemon.
 type Site struct {
-	opt      Options
+	options  Options
 	Settings []*settings.Settings
 
 	mu      sync.Mutex
 	daemons []*daemon.Daemon
 }
 
-// Name is the name of a daemon by its position.
+// Name returns the name of the daemon at a position.
 func Name(i int) string { return fmt.Sprintf("daemon-%d", i+1) }
 
-// New prepares the settings on loopback ports that were free a moment ago;
-// nothing runs yet.
-func New(opt Options) (*Site, error) {
-	n := len(opt.Places)
-	opt.StopTimeout = cmp.Or(opt.StopTimeout, defaultStopTimeout)
-	ports, err := freeport.Addresses(n * portsEach)
+// New returns a site whose daemons aren't started. It picks loopback ports that
+// are free at the time of the call, and returns an error if there are too few
+// or the settings are invalid.
+func New(options Options) (*Site, error) {
+	count := len(options.Places)
+	options.StopTimeout = cmp.Or(options.StopTimeout, defaultStopTimeout)
+	addresses, err := freeport.Addresses(count * portsPerDaemon)
 	if err != nil {
 		return nil, err
 	}
-	s := &Site{opt: opt, daemons: make([]*daemon.Daemon, n)}
+	s := &Site{options: options, daemons: make([]*daemon.Daemon, count)}
 	replicas := []settings.Peer{}
 	seeds := []string{}
-	for i := range n {
-		peers := ports[i*portsEach+1]
+	for i := range count {
+		peers := addresses[i*portsPerDaemon+1]
 		seeds = append(seeds, peers)
-		if i < opt.Replicas {
+		if i < options.Replicas {
 			replicas = append(replicas, settings.Peer{Name: Name(i), Address: peers})
 		}
 	}
-	for i, p := range opt.Places {
-		mine := ports[i*portsEach:]
+	for i, p := range options.Places {
+		own := addresses[i*portsPerDaemon:]
 		set := &settings.Settings{
 			Name: Name(i), Region: p.Region, DataCentre: p.DataCentre,
-			Addresses: settings.Addresses{Callers: mine[0], Peers: mine[1], Upstreams: mine[2], Admin: mine[3]},
+			Addresses: settings.Addresses{Callers: own[0], Peers: own[1], Upstreams: own[2], Admin: own[3]},
 			Replicas:  replicas, Seeds: seeds,
 			OperatorKeys: []string{config.HashKey(OperatorKey)}, UpstreamKeys: []string{config.HashKey(UpstreamKey)},
 		}
-		if i < opt.Replicas {
+		if i < options.Replicas {
 			set.Roles = []settings.Role{settings.Replica}
-			set.DataFolder = filepath.Join(opt.Folder, Name(i))
+			set.DataFolder = filepath.Join(options.Folder, Name(i))
 		}
-		checked, err := recheck(set)
+		checked, err := validate(set)
 		if err != nil {
 			return nil, err
 		}
@@ -106,8 +110,8 @@
 	return s, nil
 }
 
-// recheck passes settings through the same checks as a daemon's file.
-func recheck(set *settings.Settings) (*settings.Settings, error) {
+// validate applies the checks that a daemon applies to its settings file.
+func validate(set *settings.Settings) (*settings.Settings, error) {
 	data, err := json.Marshal(set)
 	if err != nil {
 		return nil, err
@@ -115,14 +119,15 @@
 	return settings.Parse(set.Name, data)
 }
 
-// Start starts one daemon, for the first time or again.
+// Start starts the daemon at a position, for the first time or after it was
+// stopped.
 func (s *Site) Start(ctx context.Context, i int) error {
-	d, err := daemon.New(s.Settings[i], s.opt.Log)
+	d, err := daemon.New(s.Settings[i], s.options.Log)
 	if err != nil {
 		return err
 	}
-	if s.opt.Observe != nil {
-		d.Observe(s.opt.Observe)
+	if s.options.Observe != nil {
+		d.Observe(s.options.Observe)
 	}
 	if err := d.Start(ctx); err != nil {
 		return err
@@ -133,13 +138,13 @@
 	return nil
 }
 
-// StartAll starts all daemons at once.
+// StartAll starts all daemons concurrently and joins their errors.
 func (s *Site) StartAll(ctx context.Context) error {
-	return s.each(func(i int) error { return s.Start(ctx, i) })
+	return s.forEachDaemon(func(i int) error { return s.Start(ctx, i) })
 }
 
-// each calls fn for all daemons at once and joins the errors.
-func (s *Site) each(fn func(i int) error) error {
+// forEachDaemon calls fn concurrently for all positions and joins the errors.
+func (s *Site) forEachDaemon(fn func(i int) error) error {
 	errs := make([]error, len(s.Settings))
 	wait := sync.WaitGroup{}
 	for i := range s.Settings {
@@ -149,8 +154,9 @@
 	return errors.Join(errs...)
 }
 
-// take returns a running daemon and forgets it.
-func (s *Site) take(i int) *daemon.Daemon {
+// detach removes a running daemon from the site and returns it, or nil if it
+// isn't running.
+func (s *Site) detach(i int) *daemon.Daemon {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	d := s.daemons[i]
@@ -158,58 +164,61 @@
 	return d
 }
 
-// Daemon returns a running daemon, or nil.
+// Daemon returns the running daemon at a position, or nil.
 func (s *Site) Daemon(i int) *daemon.Daemon {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.daemons[i]
 }
 
-// Stop stops one daemon gracefully; one that does not run is left alone.
+// Stop shuts one daemon down gracefully. It does nothing if the daemon isn't
+// running.
 func (s *Site) Stop(i int) error {
-	d := s.take(i)
+	d := s.detach(i)
 	if d == nil {
 		return nil
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), s.opt.StopTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), s.options.StopTimeout)
 	defer cancel()
 	if err := d.Stop(ctx); err != nil {
-		return fmt.Errorf("%s did not stop gracefully: %w", Name(i), err)
+		return fmt.Errorf("daemon %s did not shut down gracefully: %w", Name(i), err)
 	}
 	return nil
 }
 
-// StopAll stops all daemons at once, gracefully.
+// StopAll shuts all daemons down gracefully and concurrently, and joins their
+// errors.
 func (s *Site) StopAll() error {
-	return s.each(s.Stop)
+	return s.forEachDaemon(s.Stop)
 }
 
-// Kill ends one daemon without a drain.
+// Kill stops one daemon without draining it.
 func (s *Site) Kill(i int) {
-	if d := s.take(i); d != nil {
+	if d := s.detach(i); d != nil {
 		d.Kill()
 	}
 }
 
-// KillAll ends all daemons without a drain.
+// KillAll stops all daemons without draining them.
 func (s *Site) KillAll() {
-	_ = s.each(func(i int) error {
+	_ = s.forEachDaemon(func(i int) error {
 		s.Kill(i)
 		return nil
 	})
 }
 
-// Callers lists the callers' addresses.
+// Callers returns the daemons' addresses for callers.
 func (s *Site) Callers() []string {
 	return s.addresses(func(a settings.Addresses) string { return a.Callers })
 }
 
-// Upstreams lists the addresses for announcements.
+// Upstreams returns the daemons' addresses for upstreams, which accept
+// announcements.
 func (s *Site) Upstreams() []string {
 	return s.addresses(func(a settings.Addresses) string { return a.Upstreams })
 }
 
-// Admins lists the administrative addresses.
+// Admins returns the daemons' administrative addresses.
 func (s *Site) Admins() []string {
 	return s.addresses(func(a settings.Addresses) string { return a.Admin })
 }
