--- a/internal/e2e/doc.go
+++ b/internal/e2e/doc.go
@@ -1,4 +1,4 @@
-// Package e2e holds tests that run whole sites on loopback, with real sockets
-// and files, and bring faults about: the cells of the fault matrix that matter
-// most, as they show on the running system.
+// Package e2e tests complete sites on loopback, with real sockets and files,
+// while faults are injected. It covers the cells of the fault matrix
+// (internal/matrix) that matter most on a running system.
 package e2e
--- a/internal/e2e/faults_test.go
+++ b/internal/e2e/faults_test.go
@@ -17,31 +17,33 @@
 )
 
 const (
-	// tokens is the length of a measured answer: two seconds of decoding.
-	tokens = 100
-	// transfers is how many calls are in flight when a fault comes.
-	transfers = 12
+	// answerTokens is the length of an answer: two seconds at decodeRate.
+	answerTokens = 100
+	// transferCount is the number of calls sent around a fault.
+	transferCount = 12
 )
 
-func prompt(name string) string { return fmt.Sprintf("%s #%d", name, tokens) }
+func prompt(name string) string { return fmt.Sprintf("%s #%d", name, answerTokens) }
 
-// requireWhole checks an answer against what the stand-in gives to a prompt.
-func requireWhole(t *testing.T, name, text string, err error) {
+// requireCompleteAnswer compares an answer with the one that the stand-in gives
+// to the prompt.
+func requireCompleteAnswer(t *testing.T, name, text string, err error) {
 	t.Helper()
 	require.NoError(t, err)
 	require.Equal(t, standin.AnswerTo(prompt(name), 4096), text)
 }
 
-// underTransfers makes calls that may not be repeated at all entries, brings a
-// fault about while they run, and sends each again until it has an outcome.
-func (r *rig) underTransfers(faulty func()) {
+// duringTransfers sends non-idempotent calls to all entries, injects a fault
+// while they run, and retries each until it has an outcome. It fails if any
+// call was executed more than once.
+func (r *testSite) duringTransfers(inject func()) {
 	wait := sync.WaitGroup{}
-	for i := range transfers {
+	for i := range transferCount {
 		wait.Go(func() {
 			key := fmt.Sprintf("transfer-%d", i)
 			time.Sleep(time.Duration(i) * 40 * time.Millisecond)
-			r.until(key, func() error {
-				_, err := r.transfer(i%daemons, key)
+			r.retryUntil(key, func() error {
+				_, err := r.callTransfer(i%daemons, key)
 				if err != nil && fault.From(err).Kind == fault.Unknown {
 					return nil
 				}
@@ -49,106 +51,110 @@
 			})
 		})
 	}
-	time.Sleep(transfers / 2 * 40 * time.Millisecond)
-	faulty()
+	time.Sleep(transferCount / 2 * 40 * time.Millisecond)
+	inject()
 	wait.Wait()
-	for stream, n := range r.plain.Executions() {
+	for stream, n := range r.plainService.Executions() {
 		require.Equal(r.t, 1, n, stream)
 	}
 }
 
 func TestLeaderKilledUnderTransfers(t *testing.T) {
 	t.Parallel()
-	r := newRig(t)
-	r.underTransfers(func() { r.Kill(r.leader()) })
-	r.verdict()
+	r := newTestSite(t)
+	r.duringTransfers(func() { r.Kill(r.leaderIndex()) })
+	r.requirePromisesKept()
 }
 
 func TestDispatcherKilledUnderTransfers(t *testing.T) {
 	t.Parallel()
-	r := newRig(t)
-	r.underTransfers(func() { r.Kill(r.dispatcher(service)) })
-	r.verdict()
+	r := newTestSite(t)
+	r.duringTransfers(func() { r.Kill(r.dispatcherIndex(service)) })
+	r.requirePromisesKept()
 }
 
-// TestEntryKilledMidStream: the caller goes on at another entry and gets the
-// rest of the same stream.
+// TestEntryKilledMidStream guards against a lost or repeated answer when the
+// entry fails during a stream: the caller continues the same stream at another
+// entry.
 func TestEntryKilledMidStream(t *testing.T) {
 	t.Parallel()
-	r := newRig(t)
-	entry := (r.dispatcher(model) + 1) % daemons
+	r := newTestSite(t)
+	entry := (r.dispatcherIndex(model) + 1) % daemons
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		text, err := r.chat(entry, "mine", prompt("draft"))
-		requireWhole(t, "draft", text, err)
+		text, err := r.streamCompletion(entry, "mine", prompt("draft"))
+		requireCompleteAnswer(t, "draft", text, err)
 	}()
 	time.Sleep(time.Second)
 	r.Kill(entry)
 	<-done
-	r.verdict()
+	r.requirePromisesKept()
 }
 
-// TestRunnerKilledMidStream: the caller learns that the outcome is unknown; it
-// is never given a cut answer as whole, and the next request is served.
+// TestRunnerKilledMidStream guards against a truncated answer that is reported
+// as complete. The caller gets an unknown outcome, and the next request is
+// served.
 func TestRunnerKilledMidStream(t *testing.T) {
 	t.Parallel()
-	r := newRig(t)
+	r := newTestSite(t)
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		_, err := r.chat(0, "mine", prompt("draft"))
+		_, err := r.streamCompletion(0, "mine", prompt("draft"))
 		failure := (*fault.Error)(nil)
 		require.True(t, errors.As(err, &failure), "%v", err)
 		require.Equal(t, fault.Unknown, failure.Kind)
 	}()
 	time.Sleep(time.Second)
 	for _, x := range r.runners {
-		if busy(x, "mine", r) {
+		if hasExecuted(x, "mine", r) {
 			x.Close()
 		}
 	}
 	<-done
-	r.until("an answer by the other runner", func() error {
-		_, err := r.chat(1, "", prompt("next"))
+	r.retryUntil("an answer by the other runner", func() error {
+		_, err := r.streamCompletion(1, "", prompt("next"))
 		return err
 	})
-	r.verdict()
+	r.requirePromisesKept()
 }
 
-// busy tells whether a runner executes the request of a key.
-func busy(x *standin.Runner, key string, r *rig) bool {
+// hasExecuted reports whether a runner has executed the request with a key.
+func hasExecuted(x *standin.Runner, key string, r *testSite) bool {
 	r.mu.Lock()
 	stream := r.streams[key]
 	r.mu.Unlock()
 	return x.Executions()[stream] > 0
 }
 
-// TestSilentConnection: a connection that carries nothing any more is replaced
-// and the stream goes on, without another execution.
+// TestSilentConnection guards against a stream that hangs on a connection on
+// which nothing arrives: the connection is replaced and the stream continues
+// without a second execution.
 func TestSilentConnection(t *testing.T) {
 	t.Parallel()
-	r := newRig(t)
+	r := newTestSite(t)
 	for _, x := range r.runners {
 		x.SetPlan(standin.Plan{Fault: standin.Silent, AfterFrames: 10, Connections: 1})
 	}
-	text, err := r.chat(0, "mine", prompt("draft"))
-	requireWhole(t, "draft", text, err)
-	r.verdict()
+	text, err := r.streamCompletion(0, "mine", prompt("draft"))
+	requireCompleteAnswer(t, "draft", text, err)
+	r.requirePromisesKept()
 }
 
-// TestOperatorsRace: of two changes on one base one is accepted, and the other
-// operator is told who won; the winner's change resent gets the same version.
+// TestOperatorsRace guards against two accepted changes on one base version.
+// One is accepted, the other gets a conflict, and the accepted change gets the
+// same version when resent.
 func TestOperatorsRace(t *testing.T) {
 	t.Parallel()
-	r := newRig(t)
-	base := r.version(0)
+	r := newTestSite(t)
+	base := r.versionInForce(0)
 	results := make([]error, 2)
 	versions := make([]uint64, 2)
 	wait := sync.WaitGroup{}
 	for i := range results {
 		wait.Go(func() {
-			applied, err := r.apply(i, base, declared(10+i))
+			applied, err := r.applyConfig(i, base, configFiles(10+i))
 			results[i], versions[i] = err, applied.Version
 		})
 	}
@@ -159,106 +165,108 @@
 	}
 	require.NoError(t, results[winner])
 	require.Equal(t, fault.Conflict, fault.From(results[1-winner]).Kind)
-	again, err := r.apply(2, base, declared(10+winner))
+	again, err := r.applyConfig(2, base, configFiles(10+winner))
 	require.NoError(t, err)
 	require.Equal(t, versions[winner], again.Version)
-	r.verdict()
+	r.requirePromisesKept()
 }
 
-// TestRestartAfterManyChanges: a daemon that missed hundreds of changes has the
-// newest in force before it serves.
+// TestRestartAfterManyChanges guards against a daemon that serves an old
+// configuration after it missed more changes than the log retains.
 func TestRestartAfterManyChanges(t *testing.T) {
 	t.Parallel()
-	r := newRig(t)
-	absent := (r.leader() + 1) % daemons
-	present := (absent + 1) % daemons
-	require.NoError(t, r.Stop(absent))
+	r := newTestSite(t)
+	stopped := (r.leaderIndex() + 1) % daemons
+	running := (stopped + 1) % daemons
+	require.NoError(t, r.Stop(stopped))
 	const changes = 300
-	version := r.version(present)
+	version := r.versionInForce(running)
 	for i := range changes {
-		r.until("a change", func() error {
-			applied, err := r.apply(present, version, declared(2+i))
+		r.retryUntil("a change", func() error {
+			applied, err := r.applyConfig(running, version, configFiles(2+i))
 			if err == nil {
 				version = applied.Version
 			}
 			return err
 		})
 	}
-	require.NoError(t, r.Start(t.Context(), absent))
-	r.until("the newest version", func() error {
-		if got := r.version(absent); got != version {
-			return fmt.Errorf("version %d of %d", got, version)
+	require.NoError(t, r.Start(t.Context(), stopped))
+	r.retryUntil("the newest version", func() error {
+		if got := r.versionInForce(stopped); got != version {
+			return fmt.Errorf("version %d is in force, want %d", got, version)
 		}
 		return nil
 	})
-	r.verdict()
+	r.requirePromisesKept()
 }
 
-// TestSecondLossAfterRepair: a replica comes back with an empty disk, and as
-// soon as it has caught up another one is lost; nothing acknowledged is lost.
+// TestSecondLossAfterRepair guards against the loss of acknowledged state when
+// a replica returns with an empty disk and another one fails as soon as the
+// first has caught up.
 func TestSecondLossAfterRepair(t *testing.T) {
 	t.Parallel()
-	r := newRig(t)
-	first, err := r.transfer(0, "before")
+	r := newTestSite(t)
+	first, err := r.callTransfer(0, "before")
 	require.NoError(t, err)
-	emptied := (r.leader() + 1) % daemons
+	emptied := (r.leaderIndex() + 1) % daemons
 	r.Kill(emptied)
 	require.NoError(t, os.RemoveAll(filepath.Clean(r.Settings[emptied].DataFolder)))
 	require.NoError(t, r.Start(t.Context(), emptied))
-	r.until("the replica's return as a voter", func() error { return r.voterAgain(emptied) })
-	lost := r.leader()
-	if lost == emptied {
-		lost = (emptied + 1) % daemons
+	r.retryUntil("the replica's return as a voter", func() error { return r.checkIsVoter(emptied) })
+	killed := r.leaderIndex()
+	if killed == emptied {
+		killed = (emptied + 1) % daemons
 	}
-	r.Kill(lost)
-	survivor := daemons - emptied - lost
-	r.until("the recorded answer", func() error {
-		again, err := r.transfer(survivor, "before")
+	r.Kill(killed)
+	survivor := daemons - emptied - killed
+	r.retryUntil("the recorded answer", func() error {
+		again, err := r.callTransfer(survivor, "before")
 		if err == nil {
 			require.Equal(t, first, again)
 		}
 		return err
 	})
-	require.Equal(t, 2, len(r.plain.Executions()), "the warm-up and one transfer")
-	r.verdict()
+	require.Equal(t, 2, len(r.plainService.Executions()), "executions other than the warm-up and one transfer")
+	r.requirePromisesKept()
 }
 
-// voterAgain returns nil once a daemon's new replica is a voter beside the
-// others, and its lost one is not a member any more, by the leader's account.
-func (r *rig) voterAgain(i int) error {
+// checkIsVoter returns nil once the leader counts the new replica of a daemon
+// as an up-to-date voter and its lost replica is no longer a member.
+func (r *testSite) checkIsVoter(i int) error {
 	id := r.replicaStatus(i)[0].ID
-	members := r.replicaStatus(r.leader())[0].Members
+	members := r.replicaStatus(r.leaderIndex())[0].Members
 	if len(members) != daemons {
-		return fmt.Errorf("there are %d members", len(members))
+		return fmt.Errorf("the group has %d members, want one for each daemon", len(members))
 	}
 	for _, m := range members {
 		if m.ID == id && !m.Learner && m.Lag == 0 {
 			return nil
 		}
 	}
-	return fmt.Errorf("%s is no voter yet", localsite.Name(i))
+	return fmt.Errorf("%s is not an up-to-date voter yet", localsite.Name(i))
 }
 
-// TestCrashingRequest: a request that crashes each runner that runs it takes
-// down two at most, however often its caller sends it.
+// TestCrashingRequest guards against a request that crashes every runner that
+// executes it: it is quarantined after at most two crashes, however often its
+// caller resends it.
 func TestCrashingRequest(t *testing.T) {
 	t.Parallel()
-	r := newRig(t)
-	r.runner("runner-3")
-	r.runner("runner-4")
+	r := newTestSite(t)
+	r.startRunner("runner-3")
+	r.startRunner("runner-4")
 	for _, x := range r.runners {
 		x.SetPlan(standin.Plan{CrashOn: "poison"})
 	}
-	r.until("a quarantine", func() error {
-		_, err := r.chat(0, "", prompt("poison"))
+	r.retryUntil("a quarantine", func() error {
+		_, err := r.streamCompletion(0, "", prompt("poison"))
 		require.Error(t, err)
 		if k := fault.From(err).Kind; k != fault.Quarantined {
-			return fmt.Errorf("refused with %s", k)
+			return fmt.Errorf("the request was refused with %s", k)
 		}
 		return nil
 	})
-	require.LessOrEqual(t, r.ended.Load(), int32(2))
-	text, err := r.chat(1, "", prompt("innocent"))
-	requireWhole(t, "innocent", text, err)
-	r.verdict()
+	require.LessOrEqual(t, r.closedRunners.Load(), int32(2))
+	text, err := r.streamCompletion(1, "", prompt("innocent"))
+	requireCompleteAnswer(t, "innocent", text, err)
+	r.requirePromisesKept()
 }
--- a/internal/e2e/rig_test.go
+++ b/internal/e2e/rig_test.go
@@ -29,56 +29,56 @@
 	workspace = "judging"
 	model     = "logbook-model"
 	service   = "register-api"
-	// patience bounds each wait of a test; it is no measure of speed.
-	patience = 40 * time.Second
-	pause    = 50 * time.Millisecond
-	daemons  = 3
-	// decodeRate is output tokens a second of one stream.
+	// waitTimeout bounds each wait of a test; it does not check speed.
+	waitTimeout   = 40 * time.Second
+	retryInterval = 50 * time.Millisecond
+	daemons       = 3
+	// decodeRate is the output rate of one stream in tokens per second.
 	decodeRate = 50
 )
 
-// rig is three daemons, two runners, a plain service, and a record of all that
-// happens.
-type rig struct {
+// testSite is a site of three daemons, two runners and a plain service, with a
+// record of all events.
+type testSite struct {
 	*localsite.Site
-	t       *testing.T
-	runners []*standin.Runner
-	plain   *standin.Service
-	// ended counts the runners that have crashed or were closed.
-	ended atomic.Int32
+	t            *testing.T
+	runners      []*standin.Runner
+	plainService *standin.Service
+	// closedRunners counts the runners that crashed or were closed.
+	closedRunners atomic.Int32
 
-	mu      sync.Mutex
-	began   time.Time
-	events  []promise.Event
-	streams map[string]string
+	mu        sync.Mutex
+	startedAt time.Time
+	events    []promise.Event
+	streams   map[string]string
 }
 
-func newRig(t *testing.T) *rig {
+func newTestSite(t *testing.T) *testSite {
 	t.Helper()
-	r := &rig{t: t, began: time.Now(), streams: map[string]string{}}
+	r := &testSite{t: t, startedAt: time.Now(), streams: map[string]string{}}
 	place := localsite.Place{Region: "gauteng", DataCentre: "jhb-north"}
 	site, err := localsite.New(localsite.Options{
-		Folder: t.TempDir(), Places: []localsite.Place{place, place, place}, Replicas: daemons, Log: zap.NewNop(), Observe: r.record,
+		Folder: t.TempDir(), Places: []localsite.Place{place, place, place}, Replicas: daemons, Log: zap.NewNop(), Observe: r.recordEvent,
 	})
 	require.NoError(t, err)
 	r.Site = site
 	require.NoError(t, site.StartAll(t.Context()))
 	t.Cleanup(site.KillAll)
-	r.until("the first configuration", func() error {
-		_, err := r.apply(0, 0, declared(1))
+	r.retryUntil("the first configuration", func() error {
+		_, err := r.applyConfig(0, 0, configFiles(1))
 		return err
 	})
 	for i := range 2 {
-		r.runner(fmt.Sprintf("runner-%d", i+1))
+		r.startRunner(fmt.Sprintf("runner-%d", i+1))
 	}
 	r.startService()
-	r.until("a first answer", func() error { _, err := r.chat(0, "", "hello #1"); return err })
-	r.until("a first call", func() error { _, err := r.transfer(0, "warm-up"); return err })
+	r.retryUntil("a first answer", func() error { _, err := r.streamCompletion(0, "", "hello #1"); return err })
+	r.retryUntil("a first call", func() error { _, err := r.callTransfer(0, "warm-up"); return err })
 	return r
 }
 
-// declared is the configuration; its weight tells versions apart.
-func declared(weight int) operator.Files {
+// configFiles returns the configuration; the weight distinguishes its versions.
+func configFiles(weight int) operator.Files {
 	return operator.Files{
 		"tiers.json": json.RawMessage(`{"tiers":[{"name":"panel","goodput_ms":60000}],"regions":[{"name":"gauteng","data_centres":["jhb-north"]}],
 			"timeouts":{"request_ms":60000,"silence_ms":1000,"retention_ms":600000}}`),
@@ -89,46 +89,48 @@
 	}
 }
 
-func (r *rig) operator(i int) *client.Operator {
+func (r *testSite) operatorClient(i int) *client.Operator {
 	return &client.Operator{Address: r.Admins()[i], Key: localsite.OperatorKey}
 }
 
-func (r *rig) apply(i int, base uint64, files operator.Files) (operator.Applied, error) {
+func (r *testSite) applyConfig(i int, base uint64, files operator.Files) (operator.Applied, error) {
 	ctx, cancel := context.WithTimeout(r.t.Context(), 5*time.Second)
 	defer cancel()
-	return r.operator(i).Apply(ctx, operator.Apply{Base: base, Files: files})
+	return r.operatorClient(i).Apply(ctx, operator.Apply{Base: base, Files: files})
 }
 
-// version is the configuration's version in force on a daemon.
-func (r *rig) version(i int) uint64 {
+// versionInForce returns the configuration version in force on a daemon, or 0
+// if it can't be read.
+func (r *testSite) versionInForce(i int) uint64 {
 	ctx, cancel := context.WithTimeout(r.t.Context(), 5*time.Second)
 	defer cancel()
-	c, err := r.operator(i).Config(ctx)
+	c, err := r.operatorClient(i).Config(ctx)
 	if err != nil {
 		return 0
 	}
 	return c.Version
 }
 
-// until retries a step until it succeeds.
-func (r *rig) until(what string, step func() error) {
+// retryUntil repeats a step until it succeeds, and fails the test after
+// waitTimeout.
+func (r *testSite) retryUntil(what string, step func() error) {
 	r.t.Helper()
-	deadline := time.Now().Add(patience)
+	deadline := time.Now().Add(waitTimeout)
 	for {
 		err := step()
 		if err == nil {
 			return
 		}
-		require.True(r.t, time.Now().Before(deadline), "%s did not come: %v", what, err)
-		time.Sleep(pause)
+		require.True(r.t, time.Now().Before(deadline), "timed out waiting for %s: %v", what, err)
+		time.Sleep(retryInterval)
 	}
 }
 
-// record stamps an event with the rig's clock.
-func (r *rig) record(e promise.Event) {
+// recordEvent records an event with the time since the site was created.
+func (r *testSite) recordEvent(e promise.Event) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	e.At = time.Since(r.began)
+	e.At = time.Since(r.startedAt)
 	if e.Kind == promise.Dispatch {
 		r.streams[e.Key] = e.Stream
 	}
@@ -138,9 +140,9 @@
 	r.events = append(r.events, e)
 }
 
-func (r *rig) execution(x standin.Execution) {
+func (r *testSite) recordExecution(x standin.Execution) {
 	if x.Text != "" {
-		r.record(promise.Event{Kind: promise.Execute, Upstream: x.Upstream, Stream: x.Stream, SentHash: hash(x.Text)})
+		r.recordEvent(promise.Event{Kind: promise.Execute, Upstream: x.Upstream, Stream: x.Stream, SentHash: hash(x.Text)})
 	}
 }
 
@@ -149,15 +151,15 @@
 	return hex.EncodeToString(sum[:])
 }
 
-func (r *rig) announcement(name string, kind upstream.Kind, pool string) upstream.Announcement {
+func (r *testSite) announcement(name string, kind upstream.Kind, pool string) upstream.Announcement {
 	return upstream.Announcement{
 		Name: name, Kind: kind, Pool: pool, Address: "127.0.0.1:0", Region: "gauteng", DataCentre: "jhb-north",
 		Incarnation: uint64(time.Now().UnixNano()), Slots: 16,
 	}
 }
 
-// announce keeps an upstream announced until it is gone.
-func (r *rig) announce(gone <-chan struct{}, state func() upstream.Announcement) {
+// keepAnnounced announces an upstream until it is gone or the test ends.
+func (r *testSite) keepAnnounced(gone <-chan struct{}, state func() upstream.Announcement) {
 	ctx, cancel := context.WithCancel(r.t.Context())
 	r.t.Cleanup(cancel)
 	go func() {
@@ -171,31 +173,31 @@
 	go a.Run(ctx)
 }
 
-// runner starts a stand-in runner.
-func (r *rig) runner(name string) {
+// startRunner starts a stand-in runner.
+func (r *testSite) startRunner(name string) {
 	x := standin.NewRunner(r.announcement(name, upstream.Runner, model), standin.Speed{PrefillPerSecond: 100_000, DecodePerSecond: decodeRate})
-	x.Observe = r.execution
+	x.Observe = r.recordExecution
 	gone := make(chan struct{})
 	x.OnClose = sync.OnceFunc(func() {
-		r.ended.Add(1)
+		r.closedRunners.Add(1)
 		close(gone)
 	})
 	require.NoError(r.t, x.Listen())
 	r.t.Cleanup(x.Close)
 	r.runners = append(r.runners, x)
-	r.announce(gone, func() upstream.Announcement { return x.Self })
+	r.keepAnnounced(gone, func() upstream.Announcement { return x.Self })
 }
 
-func (r *rig) startService() {
-	r.plain = standin.NewService(r.announcement("register-1", upstream.Plain, service), 200*time.Millisecond)
-	r.plain.Observe = r.execution
-	require.NoError(r.t, r.plain.Listen())
-	r.t.Cleanup(r.plain.Close)
-	r.announce(nil, func() upstream.Announcement { return r.plain.Self })
+func (r *testSite) startService() {
+	r.plainService = standin.NewService(r.announcement("register-1", upstream.Plain, service), 200*time.Millisecond)
+	r.plainService.Observe = r.recordExecution
+	require.NoError(r.t, r.plainService.Listen())
+	r.t.Cleanup(r.plainService.Close)
+	r.keepAnnounced(nil, func() upstream.Announcement { return r.plainService.Self })
 }
 
-// caller sends to the given entries only, in order.
-func (r *rig) caller(entries ...int) *client.Caller {
+// callerClient returns a client that uses only the given entries, in order.
+func (r *testSite) callerClient(entries ...int) *client.Caller {
 	addresses := []string{}
 	for _, i := range entries {
 		addresses = append(addresses, r.Callers()[i])
@@ -203,9 +205,9 @@
 	return &client.Caller{Fixed: true, Entries: addresses, Key: callerKey}
 }
 
-// chat streams an answer through an entry; where it is lost, the next ones go
-// on with it.
-func (r *rig) chat(entry int, key, prompt string) (string, error) {
+// streamCompletion streams an answer through an entry. If the connection is
+// lost, the client continues at the next entries.
+func (r *testSite) streamCompletion(entry int, key, prompt string) (string, error) {
 	body, err := json.Marshal(struct {
 		Model     string `json:"model"`
 		Prompt    string `json:"prompt"`
@@ -213,54 +215,54 @@
 		Stream    bool   `json:"stream"`
 	}{model, prompt, 4096, true})
 	require.NoError(r.t, err)
-	ctx, cancel := context.WithTimeout(r.t.Context(), patience)
+	ctx, cancel := context.WithTimeout(r.t.Context(), waitTimeout)
 	defer cancel()
-	s, err := r.caller(entry, (entry+1)%daemons, (entry+2)%daemons).Stream(ctx, client.Request{Method: "POST", Path: "/v1/completions", Body: body, Key: key}, nil)
+	s, err := r.callerClient(entry, (entry+1)%daemons, (entry+2)%daemons).Stream(ctx, client.Request{Method: "POST", Path: "/v1/completions", Body: body, Key: key}, nil)
 	if err != nil {
-		r.refused(key, err)
+		r.recordFailure(key, err)
 		return "", err
 	}
-	r.record(promise.Event{Kind: promise.Answer, Workspace: workspace, Key: s.Key, Complete: true, ReceivedHash: hash(s.Text)})
+	r.recordEvent(promise.Event{Kind: promise.Answer, Workspace: workspace, Key: s.Key, Complete: true, ReceivedHash: hash(s.Text)})
 	return s.Text, nil
 }
 
-// transfer makes a call that may not be repeated.
-func (r *rig) transfer(entry int, key string) (string, error) {
-	ctx, cancel := context.WithTimeout(r.t.Context(), patience)
+// callTransfer makes a non-idempotent call.
+func (r *testSite) callTransfer(entry int, key string) (string, error) {
+	ctx, cancel := context.WithTimeout(r.t.Context(), waitTimeout)
 	defer cancel()
-	reply, err := r.caller(entry, (entry+1)%daemons, (entry+2)%daemons).Do(ctx, client.Request{Method: "POST", Path: "/services/" + service + "/transfers", Body: []byte(key), Key: key})
+	reply, err := r.callerClient(entry, (entry+1)%daemons, (entry+2)%daemons).Do(ctx, client.Request{Method: "POST", Path: "/services/" + service + "/transfers", Body: []byte(key), Key: key})
 	if err != nil {
-		r.refused(key, err)
+		r.recordFailure(key, err)
 		return "", err
 	}
-	r.record(promise.Event{Kind: promise.Answer, Workspace: workspace, Key: key, Complete: true, ReceivedHash: hash(string(reply.Body))})
+	r.recordEvent(promise.Event{Kind: promise.Answer, Workspace: workspace, Key: key, Complete: true, ReceivedHash: hash(string(reply.Body))})
 	return string(reply.Body), nil
 }
 
-func (r *rig) refused(key string, err error) {
+func (r *testSite) recordFailure(key string, err error) {
 	e := fault.From(err)
 	if e.Key != "" {
 		key = e.Key
 	}
-	r.record(promise.Event{Kind: promise.Refuse, Workspace: workspace, Key: key, Code: string(e.Kind), Ran: string(e.Ran)})
+	r.recordEvent(promise.Event{Kind: promise.Refuse, Workspace: workspace, Key: key, Code: string(e.Kind), Ran: string(e.Ran)})
 }
 
-// verdict checks all promises over what happened.
-func (r *rig) verdict() {
+// requirePromisesKept checks all promises over the recorded events.
+func (r *testSite) requirePromisesKept() {
 	r.t.Helper()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, v := range promise.Check(r.events, promise.Options{End: time.Since(r.began)}) {
+	for _, v := range promise.Check(r.events, promise.Options{End: time.Since(r.startedAt)}) {
 		r.t.Error(v)
 	}
 }
 
-// leader is the position of the daemon that leads the log.
-func (r *rig) leader() int {
+// leaderIndex returns the position of the daemon that leads the log.
+func (r *testSite) leaderIndex() int {
 	found := -1
-	r.until("a leader", func() error {
+	r.retryUntil("a leader", func() error {
 		for i := range daemons {
-			if r.Daemon(i) != nil && leads(r, i) {
+			if r.Daemon(i) != nil && leadsLog(r, i) {
 				found = i
 				return nil
 			}
@@ -270,12 +272,12 @@
 	return found
 }
 
-// dispatcher is the position of the daemon that dispatches a pool.
-func (r *rig) dispatcher(pool string) int {
+// dispatcherIndex returns the position of the daemon that dispatches a pool.
+func (r *testSite) dispatcherIndex(pool string) int {
 	found := -1
-	r.until("a dispatcher", func() error {
+	r.retryUntil("a dispatcher", func() error {
 		for i := range daemons {
-			if r.Daemon(i) != nil && dispatches(r, i, pool) {
+			if r.Daemon(i) != nil && dispatchesPool(r, i, pool) {
 				found = i
 				return nil
 			}
--- a/internal/e2e/where_test.go
+++ b/internal/e2e/where_test.go
@@ -8,8 +8,8 @@
 	"github.com/verbenastep/verbenastep/internal/port"
 )
 
-// leads tells whether a daemon's replica leads the log.
-func leads(r *rig, i int) bool {
+// leadsLog reports whether a daemon's replica leads the log.
+func leadsLog(r *testSite, i int) bool {
 	for _, st := range r.replicaStatus(i) {
 		if st.Group == port.GroupMain && st.Role == "leader" {
 			return true
@@ -18,8 +18,9 @@
 	return false
 }
 
-// dispatches tells whether a daemon holds a pool's lease, as it sees it.
-func dispatches(r *rig, i int, pool string) bool {
+// dispatchesPool reports whether a daemon holds a pool's lease, by its own
+// view.
+func dispatchesPool(r *testSite, i int, pool string) bool {
 	v, err := kernel.Find[port.View](r.Daemon(i).Kernel(), port.NameView)
 	if err != nil {
 		return false
@@ -28,8 +29,9 @@
 	return ok && strings.HasPrefix(holder.Name, localsite.Name(i))
 }
 
-// replicaStatus is a daemon's account of its replicas.
-func (r *rig) replicaStatus(i int) []port.ReplicaStatus {
+// replicaStatus returns the status of a daemon's replicas, as the daemon
+// reports it.
+func (r *testSite) replicaStatus(i int) []port.ReplicaStatus {
 	dump, _ := r.Daemon(i).Kernel().Dump()[port.NameReplica].([]port.ReplicaStatus)
 	return dump
 }
