--- a/internal/e2e/faults_test.go
+++ b/internal/e2e/faults_test.go
@@ -36,14 +36,14 @@
 // duringTransfers sends non-idempotent calls to all entries, injects a fault
 // while they run, and retries each until it has an outcome. It fails if any
 // call was executed more than once.
-func (r *testSite) duringTransfers(inject func()) {
+func (site *testSite) duringTransfers(inject func()) {
 	wait := sync.WaitGroup{}
 	for i := range transferCount {
 		wait.Go(func() {
 			key := fmt.Sprintf("transfer-%d", i)
 			time.Sleep(time.Duration(i) * 40 * time.Millisecond)
-			r.retryUntil(key, func() error {
-				_, err := r.callTransfer(i%daemons, key)
+			site.retryUntil(key, func() error {
+				_, err := site.callTransfer(i%daemons, key)
 				if err != nil && fault.From(err).Kind == fault.Unknown {
 					return nil
 				}
@@ -54,23 +54,23 @@
 	time.Sleep(transferCount / 2 * 40 * time.Millisecond)
 	inject()
 	wait.Wait()
-	for stream, n := range r.plainService.Executions() {
-		require.Equal(r.t, 1, n, stream)
+	for stream, n := range site.plainService.Executions() {
+		require.Equal(site.t, 1, n, stream)
 	}
 }
 
 func TestLeaderKilledUnderTransfers(t *testing.T) {
 	t.Parallel()
-	r := newTestSite(t)
-	r.duringTransfers(func() { r.Kill(r.leaderIndex()) })
-	r.requirePromisesKept()
+	site := newTestSite(t)
+	site.duringTransfers(func() { site.Kill(site.leaderIndex()) })
+	site.requirePromisesKept()
 }
 
 func TestDispatcherKilledUnderTransfers(t *testing.T) {
 	t.Parallel()
-	r := newTestSite(t)
-	r.duringTransfers(func() { r.Kill(r.dispatcherIndex(service)) })
-	r.requirePromisesKept()
+	site := newTestSite(t)
+	site.duringTransfers(func() { site.Kill(site.dispatcherIndex(service)) })
+	site.requirePromisesKept()
 }
 
 // TestEntryKilledMidStream guards against a lost or repeated answer when the
@@ -78,18 +78,18 @@
 // entry.
 func TestEntryKilledMidStream(t *testing.T) {
 	t.Parallel()
-	r := newTestSite(t)
-	entry := (r.dispatcherIndex(model) + 1) % daemons
+	site := newTestSite(t)
+	entry := (site.dispatcherIndex(model) + 1) % daemons
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		text, err := r.streamCompletion(entry, "mine", prompt("draft"))
+		text, err := site.streamCompletion(entry, "mine", prompt("draft"))
 		requireCompleteAnswer(t, "draft", text, err)
 	}()
 	time.Sleep(time.Second)
-	r.Kill(entry)
+	site.Kill(entry)
 	<-done
-	r.requirePromisesKept()
+	site.requirePromisesKept()
 }
 
 // TestRunnerKilledMidStream guards against a truncated answer that is reported
@@ -97,34 +97,34 @@
 // served.
 func TestRunnerKilledMidStream(t *testing.T) {
 	t.Parallel()
-	r := newTestSite(t)
+	site := newTestSite(t)
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		_, err := r.streamCompletion(0, "mine", prompt("draft"))
+		_, err := site.streamCompletion(0, "mine", prompt("draft"))
 		failure := (*fault.Error)(nil)
 		require.True(t, errors.As(err, &failure), "%v", err)
 		require.Equal(t, fault.Unknown, failure.Kind)
 	}()
 	time.Sleep(time.Second)
-	for _, x := range r.runners {
-		if hasExecuted(x, "mine", r) {
+	for _, x := range site.runners {
+		if hasExecuted(x, "mine", site) {
 			x.Close()
 		}
 	}
 	<-done
-	r.retryUntil("an answer by the other runner", func() error {
-		_, err := r.streamCompletion(1, "", prompt("next"))
+	site.retryUntil("an answer by the other runner", func() error {
+		_, err := site.streamCompletion(1, "", prompt("next"))
 		return err
 	})
-	r.requirePromisesKept()
+	site.requirePromisesKept()
 }
 
 // hasExecuted reports whether a runner has executed the request with a key.
-func hasExecuted(x *standin.Runner, key string, r *testSite) bool {
-	r.mu.Lock()
-	stream := r.streams[key]
-	r.mu.Unlock()
+func hasExecuted(x *standin.Runner, key string, site *testSite) bool {
+	site.mu.Lock()
+	stream := site.streams[key]
+	site.mu.Unlock()
 	return x.Executions()[stream] > 0
 }
 
@@ -133,13 +133,13 @@
 // without a second execution.
 func TestSilentConnection(t *testing.T) {
 	t.Parallel()
-	r := newTestSite(t)
-	for _, x := range r.runners {
+	site := newTestSite(t)
+	for _, x := range site.runners {
 		x.SetPlan(standin.Plan{Fault: standin.Silent, AfterFrames: 10, Connections: 1})
 	}
-	text, err := r.streamCompletion(0, "mine", prompt("draft"))
+	text, err := site.streamCompletion(0, "mine", prompt("draft"))
 	requireCompleteAnswer(t, "draft", text, err)
-	r.requirePromisesKept()
+	site.requirePromisesKept()
 }
 
 // TestOperatorsRace guards against two accepted changes on one base version.
@@ -147,14 +147,14 @@
 // same version when resent.
 func TestOperatorsRace(t *testing.T) {
 	t.Parallel()
-	r := newTestSite(t)
-	base := r.versionInForce(0)
+	site := newTestSite(t)
+	base := site.versionInForce(0)
 	results := make([]error, 2)
 	versions := make([]uint64, 2)
 	wait := sync.WaitGroup{}
 	for i := range results {
 		wait.Go(func() {
-			applied, err := r.applyConfig(i, base, configFiles(10+i))
+			applied, err := site.applyConfig(i, base, configFiles(10+i))
 			results[i], versions[i] = err, applied.Version
 		})
 	}
@@ -165,39 +165,39 @@
 	}
 	require.NoError(t, results[winner])
 	require.Equal(t, fault.Conflict, fault.From(results[1-winner]).Kind)
-	again, err := r.applyConfig(2, base, configFiles(10+winner))
+	again, err := site.applyConfig(2, base, configFiles(10+winner))
 	require.NoError(t, err)
 	require.Equal(t, versions[winner], again.Version)
-	r.requirePromisesKept()
+	site.requirePromisesKept()
 }
 
 // TestRestartAfterManyChanges guards against a daemon that serves an old
 // configuration after it missed more changes than the log retains.
 func TestRestartAfterManyChanges(t *testing.T) {
 	t.Parallel()
-	r := newTestSite(t)
-	stopped := (r.leaderIndex() + 1) % daemons
+	site := newTestSite(t)
+	stopped := (site.leaderIndex() + 1) % daemons
 	running := (stopped + 1) % daemons
-	require.NoError(t, r.Stop(stopped))
+	require.NoError(t, site.Stop(stopped))
 	const changes = 300
-	version := r.versionInForce(running)
+	version := site.versionInForce(running)
 	for i := range changes {
-		r.retryUntil("a change", func() error {
-			applied, err := r.applyConfig(running, version, configFiles(2+i))
+		site.retryUntil("a change", func() error {
+			applied, err := site.applyConfig(running, version, configFiles(2+i))
 			if err == nil {
 				version = applied.Version
 			}
 			return err
 		})
 	}
-	require.NoError(t, r.Start(t.Context(), stopped))
-	r.retryUntil("the newest version", func() error {
-		if got := r.versionInForce(stopped); got != version {
+	require.NoError(t, site.Start(t.Context(), stopped))
+	site.retryUntil("the newest version", func() error {
+		if got := site.versionInForce(stopped); got != version {
 			return fmt.Errorf("version %d is in force, want %d", got, version)
 		}
 		return nil
 	})
-	r.requirePromisesKept()
+	site.requirePromisesKept()
 }
 
 // TestSecondLossAfterRepair guards against the loss of acknowledged state when
@@ -205,36 +205,36 @@
 // first has caught up.
 func TestSecondLossAfterRepair(t *testing.T) {
 	t.Parallel()
-	r := newTestSite(t)
-	first, err := r.callTransfer(0, "before")
+	site := newTestSite(t)
+	first, err := site.callTransfer(0, "before")
 	require.NoError(t, err)
-	emptied := (r.leaderIndex() + 1) % daemons
-	r.Kill(emptied)
-	require.NoError(t, os.RemoveAll(filepath.Clean(r.Settings[emptied].DataFolder)))
-	require.NoError(t, r.Start(t.Context(), emptied))
-	r.retryUntil("the replica's return as a voter", func() error { return r.checkIsVoter(emptied) })
-	killed := r.leaderIndex()
+	emptied := (site.leaderIndex() + 1) % daemons
+	site.Kill(emptied)
+	require.NoError(t, os.RemoveAll(filepath.Clean(site.Settings[emptied].DataFolder)))
+	require.NoError(t, site.Start(t.Context(), emptied))
+	site.retryUntil("the replica's return as a voter", func() error { return site.checkIsVoter(emptied) })
+	killed := site.leaderIndex()
 	if killed == emptied {
 		killed = (emptied + 1) % daemons
 	}
-	r.Kill(killed)
+	site.Kill(killed)
 	survivor := daemons - emptied - killed
-	r.retryUntil("the recorded answer", func() error {
-		again, err := r.callTransfer(survivor, "before")
+	site.retryUntil("the recorded answer", func() error {
+		again, err := site.callTransfer(survivor, "before")
 		if err == nil {
 			require.Equal(t, first, again)
 		}
 		return err
 	})
-	require.Equal(t, 2, len(r.plainService.Executions()), "executions other than the warm-up and one transfer")
-	r.requirePromisesKept()
+	require.Equal(t, 2, len(site.plainService.Executions()), "executions other than the warm-up and one transfer")
+	site.requirePromisesKept()
 }
 
 // checkIsVoter returns nil once the leader counts the new replica of a daemon
 // as an up-to-date voter and its lost replica is no longer a member.
-func (r *testSite) checkIsVoter(i int) error {
-	id := r.replicaStatus(i)[0].ID
-	members := r.replicaStatus(r.leaderIndex())[0].Members
+func (site *testSite) checkIsVoter(i int) error {
+	id := site.replicaStatus(i)[0].ID
+	members := site.replicaStatus(site.leaderIndex())[0].Members
 	if len(members) != daemons {
 		return fmt.Errorf("the group has %d members, want one for each daemon", len(members))
 	}
@@ -251,22 +251,22 @@
 // caller resends it.
 func TestCrashingRequest(t *testing.T) {
 	t.Parallel()
-	r := newTestSite(t)
-	r.startRunner("runner-3")
-	r.startRunner("runner-4")
-	for _, x := range r.runners {
+	site := newTestSite(t)
+	site.startRunner("runner-3")
+	site.startRunner("runner-4")
+	for _, x := range site.runners {
 		x.SetPlan(standin.Plan{CrashOn: "poison"})
 	}
-	r.retryUntil("a quarantine", func() error {
-		_, err := r.streamCompletion(0, "", prompt("poison"))
+	site.retryUntil("a quarantine", func() error {
+		_, err := site.streamCompletion(0, "", prompt("poison"))
 		require.Error(t, err)
 		if k := fault.From(err).Kind; k != fault.Quarantined {
 			return fmt.Errorf("the request was refused with %s", k)
 		}
 		return nil
 	})
-	require.LessOrEqual(t, r.closedRunners.Load(), int32(2))
-	text, err := r.streamCompletion(1, "", prompt("innocent"))
+	require.LessOrEqual(t, site.closedRunners.Load(), int32(2))
+	text, err := site.streamCompletion(1, "", prompt("innocent"))
 	requireCompleteAnswer(t, "innocent", text, err)
-	r.requirePromisesKept()
+	site.requirePromisesKept()
 }
--- a/internal/e2e/rig_test.go
+++ b/internal/e2e/rig_test.go
@@ -55,26 +55,26 @@
 
 func newTestSite(t *testing.T) *testSite {
 	t.Helper()
-	r := &testSite{t: t, startedAt: time.Now(), streams: map[string]string{}}
+	site := &testSite{t: t, startedAt: time.Now(), streams: map[string]string{}}
 	place := localsite.Place{Region: "gauteng", DataCentre: "jhb-north"}
-	site, err := localsite.New(localsite.Options{
-		Folder: t.TempDir(), Places: []localsite.Place{place, place, place}, Replicas: daemons, Log: zap.NewNop(), Observe: r.recordEvent,
+	local, err := localsite.New(localsite.Options{
+		Folder: t.TempDir(), Places: []localsite.Place{place, place, place}, Replicas: daemons, Log: zap.NewNop(), Observe: site.recordEvent,
 	})
 	require.NoError(t, err)
-	r.Site = site
-	require.NoError(t, site.StartAll(t.Context()))
-	t.Cleanup(site.KillAll)
-	r.retryUntil("the first configuration", func() error {
-		_, err := r.applyConfig(0, 0, configFiles(1))
+	site.Site = local
+	require.NoError(t, local.StartAll(t.Context()))
+	t.Cleanup(local.KillAll)
+	site.retryUntil("the first configuration", func() error {
+		_, err := site.applyConfig(0, 0, configFiles(1))
 		return err
 	})
 	for i := range 2 {
-		r.startRunner(fmt.Sprintf("runner-%d", i+1))
+		site.startRunner(fmt.Sprintf("runner-%d", i+1))
 	}
-	r.startService()
-	r.retryUntil("a first answer", func() error { _, err := r.streamCompletion(0, "", "hello #1"); return err })
-	r.retryUntil("a first call", func() error { _, err := r.callTransfer(0, "warm-up"); return err })
-	return r
+	site.startService()
+	site.retryUntil("a first answer", func() error { _, err := site.streamCompletion(0, "", "hello #1"); return err })
+	site.retryUntil("a first call", func() error { _, err := site.callTransfer(0, "warm-up"); return err })
+	return site
 }
 
 // configFiles returns the configuration; the weight distinguishes its versions.
@@ -89,22 +89,22 @@
 	}
 }
 
-func (r *testSite) operatorClient(i int) *client.Operator {
-	return &client.Operator{Address: r.Admins()[i], Key: localsite.OperatorKey}
+func (site *testSite) operatorClient(i int) *client.Operator {
+	return &client.Operator{Address: site.Admins()[i], Key: localsite.OperatorKey}
 }
 
-func (r *testSite) applyConfig(i int, base uint64, files operator.Files) (operator.Applied, error) {
-	ctx, cancel := context.WithTimeout(r.t.Context(), 5*time.Second)
+func (site *testSite) applyConfig(i int, base uint64, files operator.Files) (operator.Applied, error) {
+	ctx, cancel := context.WithTimeout(site.t.Context(), 5*time.Second)
 	defer cancel()
-	return r.operatorClient(i).Apply(ctx, operator.Apply{Base: base, Files: files})
+	return site.operatorClient(i).Apply(ctx, operator.Apply{Base: base, Files: files})
 }
 
 // versionInForce returns the configuration version in force on a daemon, or 0
 // if it can't be read.
-func (r *testSite) versionInForce(i int) uint64 {
-	ctx, cancel := context.WithTimeout(r.t.Context(), 5*time.Second)
+func (site *testSite) versionInForce(i int) uint64 {
+	ctx, cancel := context.WithTimeout(site.t.Context(), 5*time.Second)
 	defer cancel()
-	c, err := r.operatorClient(i).Config(ctx)
+	c, err := site.operatorClient(i).Config(ctx)
 	if err != nil {
 		return 0
 	}
@@ -113,36 +113,36 @@
 
 // retryUntil repeats a step until it succeeds, and fails the test after
 // waitTimeout.
-func (r *testSite) retryUntil(what string, step func() error) {
-	r.t.Helper()
+func (site *testSite) retryUntil(what string, step func() error) {
+	site.t.Helper()
 	deadline := time.Now().Add(waitTimeout)
 	for {
 		err := step()
 		if err == nil {
 			return
 		}
-		require.True(r.t, time.Now().Before(deadline), "timed out waiting for %s: %v", what, err)
+		require.True(site.t, time.Now().Before(deadline), "timed out waiting for %s: %v", what, err)
 		time.Sleep(retryInterval)
 	}
 }
 
 // recordEvent records an event with the time since the site was created.
-func (r *testSite) recordEvent(e promise.Event) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	e.At = time.Since(r.startedAt)
+func (site *testSite) recordEvent(e promise.Event) {
+	site.mu.Lock()
+	defer site.mu.Unlock()
+	e.At = time.Since(site.startedAt)
 	if e.Kind == promise.Dispatch {
-		r.streams[e.Key] = e.Stream
+		site.streams[e.Key] = e.Stream
 	}
 	if e.Kind == promise.Answer {
-		e.Stream = r.streams[e.Key]
+		e.Stream = site.streams[e.Key]
 	}
-	r.events = append(r.events, e)
+	site.events = append(site.events, e)
 }
 
-func (r *testSite) recordExecution(x standin.Execution) {
+func (site *testSite) recordExecution(x standin.Execution) {
 	if x.Text != "" {
-		r.recordEvent(promise.Event{Kind: promise.Execute, Upstream: x.Upstream, Stream: x.Stream, SentHash: hash(x.Text)})
+		site.recordEvent(promise.Event{Kind: promise.Execute, Upstream: x.Upstream, Stream: x.Stream, SentHash: hash(x.Text)})
 	}
 }
 
@@ -151,7 +151,7 @@
 	return hex.EncodeToString(sum[:])
 }
 
-func (r *testSite) announcement(name string, kind upstream.Kind, pool string) upstream.Announcement {
+func (site *testSite) announcement(name string, kind upstream.Kind, pool string) upstream.Announcement {
 	return upstream.Announcement{
 		Name: name, Kind: kind, Pool: pool, Address: "127.0.0.1:0", Region: "gauteng", DataCentre: "jhb-north",
 		Incarnation: uint64(time.Now().UnixNano()), Slots: 16,
@@ -159,9 +159,9 @@
 }
 
 // keepAnnounced announces an upstream until it is gone or the test ends.
-func (r *testSite) keepAnnounced(gone <-chan struct{}, state func() upstream.Announcement) {
-	ctx, cancel := context.WithCancel(r.t.Context())
-	r.t.Cleanup(cancel)
+func (site *testSite) keepAnnounced(gone <-chan struct{}, state func() upstream.Announcement) {
+	ctx, cancel := context.WithCancel(site.t.Context())
+	site.t.Cleanup(cancel)
 	go func() {
 		select {
 		case <-gone:
@@ -169,100 +169,100 @@
 		case <-ctx.Done():
 		}
 	}()
-	a := &standin.Announcer{Daemons: r.Upstreams(), Key: localsite.UpstreamKey, State: state}
+	a := &standin.Announcer{Daemons: site.Upstreams(), Key: localsite.UpstreamKey, State: state}
 	go a.Run(ctx)
 }
 
 // startRunner starts a stand-in runner.
-func (r *testSite) startRunner(name string) {
-	x := standin.NewRunner(r.announcement(name, upstream.Runner, model), standin.Speed{PrefillPerSecond: 100_000, DecodePerSecond: decodeRate})
-	x.Observe = r.recordExecution
+func (site *testSite) startRunner(name string) {
+	x := standin.NewRunner(site.announcement(name, upstream.Runner, model), standin.Speed{PrefillPerSecond: 100_000, DecodePerSecond: decodeRate})
+	x.Observe = site.recordExecution
 	gone := make(chan struct{})
 	x.OnClose = sync.OnceFunc(func() {
-		r.closedRunners.Add(1)
+		site.closedRunners.Add(1)
 		close(gone)
 	})
-	require.NoError(r.t, x.Listen())
-	r.t.Cleanup(x.Close)
-	r.runners = append(r.runners, x)
-	r.keepAnnounced(gone, func() upstream.Announcement { return x.Self })
+	require.NoError(site.t, x.Listen())
+	site.t.Cleanup(x.Close)
+	site.runners = append(site.runners, x)
+	site.keepAnnounced(gone, func() upstream.Announcement { return x.Self })
 }
 
-func (r *testSite) startService() {
-	r.plainService = standin.NewService(r.announcement("register-1", upstream.Plain, service), 200*time.Millisecond)
-	r.plainService.Observe = r.recordExecution
-	require.NoError(r.t, r.plainService.Listen())
-	r.t.Cleanup(r.plainService.Close)
-	r.keepAnnounced(nil, func() upstream.Announcement { return r.plainService.Self })
+func (site *testSite) startService() {
+	site.plainService = standin.NewService(site.announcement("register-1", upstream.Plain, service), 200*time.Millisecond)
+	site.plainService.Observe = site.recordExecution
+	require.NoError(site.t, site.plainService.Listen())
+	site.t.Cleanup(site.plainService.Close)
+	site.keepAnnounced(nil, func() upstream.Announcement { return site.plainService.Self })
 }
 
 // callerClient returns a client that uses only the given entries, in order.
-func (r *testSite) callerClient(entries ...int) *client.Caller {
+func (site *testSite) callerClient(entries ...int) *client.Caller {
 	addresses := []string{}
 	for _, i := range entries {
-		addresses = append(addresses, r.Callers()[i])
+		addresses = append(addresses, site.Callers()[i])
 	}
 	return &client.Caller{Fixed: true, Entries: addresses, Key: callerKey}
 }
 
 // streamCompletion streams an answer through an entry. If the connection is
 // lost, the client continues at the next entries.
-func (r *testSite) streamCompletion(entry int, key, prompt string) (string, error) {
+func (site *testSite) streamCompletion(entry int, key, prompt string) (string, error) {
 	body, err := json.Marshal(struct {
 		Model     string `json:"model"`
 		Prompt    string `json:"prompt"`
 		MaxTokens int    `json:"max_tokens"`
 		Stream    bool   `json:"stream"`
 	}{model, prompt, 4096, true})
-	require.NoError(r.t, err)
-	ctx, cancel := context.WithTimeout(r.t.Context(), waitTimeout)
+	require.NoError(site.t, err)
+	ctx, cancel := context.WithTimeout(site.t.Context(), waitTimeout)
 	defer cancel()
-	s, err := r.callerClient(entry, (entry+1)%daemons, (entry+2)%daemons).Stream(ctx, client.Request{Method: "POST", Path: "/v1/completions", Body: body, Key: key}, nil)
+	s, err := site.callerClient(entry, (entry+1)%daemons, (entry+2)%daemons).Stream(ctx, client.Request{Method: "POST", Path: "/v1/completions", Body: body, Key: key}, nil)
 	if err != nil {
-		r.recordFailure(key, err)
+		site.recordFailure(key, err)
 		return "", err
 	}
-	r.recordEvent(promise.Event{Kind: promise.Answer, Workspace: workspace, Key: s.Key, Complete: true, ReceivedHash: hash(s.Text)})
+	site.recordEvent(promise.Event{Kind: promise.Answer, Workspace: workspace, Key: s.Key, Complete: true, ReceivedHash: hash(s.Text)})
 	return s.Text, nil
 }
 
 // callTransfer makes a non-idempotent call.
-func (r *testSite) callTransfer(entry int, key string) (string, error) {
-	ctx, cancel := context.WithTimeout(r.t.Context(), waitTimeout)
+func (site *testSite) callTransfer(entry int, key string) (string, error) {
+	ctx, cancel := context.WithTimeout(site.t.Context(), waitTimeout)
 	defer cancel()
-	reply, err := r.callerClient(entry, (entry+1)%daemons, (entry+2)%daemons).Do(ctx, client.Request{Method: "POST", Path: "/services/" + service + "/transfers", Body: []byte(key), Key: key})
+	reply, err := site.callerClient(entry, (entry+1)%daemons, (entry+2)%daemons).Do(ctx, client.Request{Method: "POST", Path: "/services/" + service + "/transfers", Body: []byte(key), Key: key})
 	if err != nil {
-		r.recordFailure(key, err)
+		site.recordFailure(key, err)
 		return "", err
 	}
-	r.recordEvent(promise.Event{Kind: promise.Answer, Workspace: workspace, Key: key, Complete: true, ReceivedHash: hash(string(reply.Body))})
+	site.recordEvent(promise.Event{Kind: promise.Answer, Workspace: workspace, Key: key, Complete: true, ReceivedHash: hash(string(reply.Body))})
 	return string(reply.Body), nil
 }
 
-func (r *testSite) recordFailure(key string, err error) {
+func (site *testSite) recordFailure(key string, err error) {
 	e := fault.From(err)
 	if e.Key != "" {
 		key = e.Key
 	}
-	r.recordEvent(promise.Event{Kind: promise.Refuse, Workspace: workspace, Key: key, Code: string(e.Kind), Ran: string(e.Ran)})
+	site.recordEvent(promise.Event{Kind: promise.Refuse, Workspace: workspace, Key: key, Code: string(e.Kind), Ran: string(e.Ran)})
 }
 
 // requirePromisesKept checks all promises over the recorded events.
-func (r *testSite) requirePromisesKept() {
-	r.t.Helper()
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	for _, v := range promise.Check(r.events, promise.Options{End: time.Since(r.startedAt)}) {
-		r.t.Error(v)
+func (site *testSite) requirePromisesKept() {
+	site.t.Helper()
+	site.mu.Lock()
+	defer site.mu.Unlock()
+	for _, v := range promise.Check(site.events, promise.Options{End: time.Since(site.startedAt)}) {
+		site.t.Error(v)
 	}
 }
 
 // leaderIndex returns the position of the daemon that leads the log.
-func (r *testSite) leaderIndex() int {
+func (site *testSite) leaderIndex() int {
 	found := -1
-	r.retryUntil("a leader", func() error {
+	site.retryUntil("a leader", func() error {
 		for i := range daemons {
-			if r.Daemon(i) != nil && leadsLog(r, i) {
+			if site.Daemon(i) != nil && leadsLog(site, i) {
 				found = i
 				return nil
 			}
@@ -273,11 +273,11 @@
 }
 
 // dispatcherIndex returns the position of the daemon that dispatches a pool.
-func (r *testSite) dispatcherIndex(pool string) int {
+func (site *testSite) dispatcherIndex(pool string) int {
 	found := -1
-	r.retryUntil("a dispatcher", func() error {
+	site.retryUntil("a dispatcher", func() error {
 		for i := range daemons {
-			if r.Daemon(i) != nil && dispatchesPool(r, i, pool) {
+			if site.Daemon(i) != nil && dispatchesPool(site, i, pool) {
 				found = i
 				return nil
 			}
--- a/internal/e2e/where_test.go
+++ b/internal/e2e/where_test.go
@@ -9,8 +9,8 @@
 )
 
 // leadsLog reports whether a daemon's replica leads the log.
-func leadsLog(r *testSite, i int) bool {
-	for _, st := range r.replicaStatus(i) {
+func leadsLog(site *testSite, i int) bool {
+	for _, st := range site.replicaStatus(i) {
 		if st.Group == port.GroupMain && st.Role == "leader" {
 			return true
 		}
@@ -20,8 +20,8 @@
 
 // dispatchesPool reports whether a daemon holds a pool's lease, by its own
 // view.
-func dispatchesPool(r *testSite, i int, pool string) bool {
-	v, err := kernel.Find[port.View](r.Daemon(i).Kernel(), port.NameView)
+func dispatchesPool(site *testSite, i int, pool string) bool {
+	v, err := kernel.Find[port.View](site.Daemon(i).Kernel(), port.NameView)
 	if err != nil {
 		return false
 	}
@@ -31,7 +31,7 @@
 
 // replicaStatus returns the status of a daemon's replicas, as the daemon
 // reports it.
-func (r *testSite) replicaStatus(i int) []port.ReplicaStatus {
-	dump, _ := r.Daemon(i).Kernel().Dump()[port.NameReplica].([]port.ReplicaStatus)
+func (site *testSite) replicaStatus(i int) []port.ReplicaStatus {
+	dump, _ := site.Daemon(i).Kernel().Dump()[port.NameReplica].([]port.ReplicaStatus)
 	return dump
 }
