--- a/internal/capacity/site.go
+++ b/internal/capacity/site.go
@@ -61,7 +61,7 @@
 		return nil, err
 	}
 	local, err := localsite.New(localsite.Options{
-		Folder: folder, Places: []localsite.Place{{Region: "r0", DataCentre: "d0"}}, Replicas: 1, Log: zap.NewNop(),
+		Folder: folder, Locations: []localsite.Location{{Region: "r0", DataCentre: "d0"}}, Replicas: 1, Log: zap.NewNop(),
 	})
 	if err != nil {
 		return nil, err
@@ -109,7 +109,7 @@
 	if err := s.runner.Listen(); err != nil {
 		return err
 	}
-	a := standin.Announcer{Daemons: s.local.Upstreams(), Key: localsite.UpstreamKey, State: func() upstream.Announcement { return s.runner.Self }}
+	a := standin.Announcer{Daemons: s.local.UpstreamAddresses(), Key: localsite.UpstreamKey, State: func() upstream.Announcement { return s.runner.Self }}
 	go a.Run(ctx)
 	return retry(func() error {
 		_, err := s.stream(ctx, 1)
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -115,16 +115,16 @@
 	if err := r.site.StartAll(ctx); err != nil {
 		return nil, err
 	}
-	r.say("%d daemons serve on loopback, the first at http://%s", daemonCount, r.site.Callers()[0])
+	r.say("%d daemons serve on loopback, the first at http://%s", daemonCount, r.site.CallerAddresses()[0])
 	if err := r.apply(ctx); err != nil {
 		return nil, err
 	}
-	r.back, err = startBackends(r.site.Upstreams(), r.rec)
+	r.back, err = startBackends(r.site.UpstreamAddresses(), r.rec)
 	defer r.back.stop()
 	if err != nil {
 		return nil, err
 	}
-	calls := newCallers(r.site.Callers(), r.whole.Workspaces, r.rec)
+	calls := newCallers(r.site.CallerAddresses(), r.whole.Workspaces, r.rec)
 	if err := r.ready(ctx, calls); err != nil {
 		return nil, err
 	}
@@ -138,7 +138,7 @@
 	if err != nil {
 		return err
 	}
-	op := client.Operator{Address: r.site.Admins()[0], Key: localsite.OperatorKey}
+	op := client.Operator{Address: r.site.AdminAddresses()[0], Key: localsite.OperatorKey}
 	version := uint64(0)
 	err = r.retry(ctx, func(ctx context.Context) error {
 		applied, err := op.Apply(ctx, operator.Apply{Files: operator.Files(files)})
@@ -148,7 +148,7 @@
 	if err != nil {
 		return err
 	}
-	for _, address := range r.site.Admins() {
+	for _, address := range r.site.AdminAddresses() {
 		op := client.Operator{Address: address, Key: localsite.OperatorKey}
 		err := r.retry(ctx, func(ctx context.Context) error { return inForce(ctx, op, version) })
 		if err != nil {
@@ -193,7 +193,7 @@
 
 // ready sends small requests until each entry serves both pools.
 func (r *run) ready(ctx context.Context, calls *callers) error {
-	for _, entry := range r.site.Callers() {
+	for _, entry := range r.site.CallerAddresses() {
 		for _, p := range []planned{warmModel(), warmService()} {
 			err := r.retry(ctx, func(ctx context.Context) error { return calls.sendTo(ctx, entry, p) })
 			if err != nil {
@@ -240,11 +240,11 @@
 
 func (r *run) drain(ctx context.Context, began time.Time, report *Report) error {
 	wait.For(ctx, time.Duration(drainAt*float64(loadTime)))
-	report.Drained = Step{Name: localsite.Name(drained), At: time.Since(began).Seconds()}
-	r.say("%s drains", localsite.Name(drained))
+	report.Drained = Step{Name: localsite.DaemonName(drained), At: time.Since(began).Seconds()}
+	r.say("%s drains", localsite.DaemonName(drained))
 	err := r.site.Stop(drained)
 	report.Drained.Until = time.Since(began).Seconds()
-	r.say("%s has stopped", localsite.Name(drained))
+	r.say("%s has stopped", localsite.DaemonName(drained))
 	return err
 }
 
@@ -263,7 +263,7 @@
 	report.Prefill.Processed, report.Prefill.Lost, report.Prefill.Repeated = r.rec.wasted(whole)
 	names := []string{}
 	for i := range daemonCount {
-		names = append(names, localsite.Name(i))
+		names = append(names, localsite.DaemonName(i))
 	}
 	report.Promises = judge(r.rec.all(), promise.Options{Daemons: names})
 	report.Held = report.Lost == 0 && len(report.Faults) == 0
--- a/internal/demo/site.go
+++ b/internal/demo/site.go
@@ -17,7 +17,7 @@
 )
 
 // places are where the daemons are.
-var places = []localsite.Place{
+var places = []localsite.Location{
 	{Region: "gauteng", DataCentre: "jhb-north"},
 	{Region: "gauteng", DataCentre: "pta-east"},
 	{Region: "western-cape", DataCentre: "cpt-south"},
@@ -26,7 +26,7 @@
 // newSite prepares three daemons whose events go to the recorder.
 func newSite(folder string, log *zap.Logger, rec *recorder) (*localsite.Site, error) {
 	return localsite.New(localsite.Options{
-		Folder: folder, Places: places, Replicas: daemonCount,
+		Folder: folder, Locations: places, Replicas: daemonCount,
 		Log: log, Observe: rec.record, StopTimeout: stopTimeout,
 	})
 }
--- a/internal/e2e/faults_test.go
+++ b/internal/e2e/faults_test.go
@@ -135,7 +135,7 @@
 	t.Parallel()
 	site := newTestSite(t)
 	for _, x := range site.runners {
-		x.SetPlan(standin.Plan{Fault: standin.Silent, AfterFrames: 10, Connections: 1})
+		x.SetFaultPlan(standin.FaultPlan{Fault: standin.Silent, AfterFrames: 10, Connections: 1})
 	}
 	text, err := site.streamCompletion(0, "mine", prompt("draft"))
 	requireCompleteAnswer(t, "draft", text, err)
@@ -243,7 +243,7 @@
 			return nil
 		}
 	}
-	return fmt.Errorf("%s is not an up-to-date voter yet", localsite.Name(i))
+	return fmt.Errorf("%s is not an up-to-date voter yet", localsite.DaemonName(i))
 }
 
 // TestCrashingRequest guards against a request that crashes every runner that
@@ -255,7 +255,7 @@
 	site.startRunner("runner-3")
 	site.startRunner("runner-4")
 	for _, x := range site.runners {
-		x.SetPlan(standin.Plan{CrashOn: "poison"})
+		x.SetFaultPlan(standin.FaultPlan{CrashOn: "poison"})
 	}
 	site.retryUntil("a quarantine", func() error {
 		_, err := site.streamCompletion(0, "", prompt("poison"))
--- a/internal/e2e/rig_test.go
+++ b/internal/e2e/rig_test.go
@@ -56,9 +56,9 @@
 func newTestSite(t *testing.T) *testSite {
 	t.Helper()
 	site := &testSite{t: t, startedAt: time.Now(), streams: map[string]string{}}
-	place := localsite.Place{Region: "gauteng", DataCentre: "jhb-north"}
+	place := localsite.Location{Region: "gauteng", DataCentre: "jhb-north"}
 	local, err := localsite.New(localsite.Options{
-		Folder: t.TempDir(), Places: []localsite.Place{place, place, place}, Replicas: daemons, Log: zap.NewNop(), Observe: site.recordEvent,
+		Folder: t.TempDir(), Locations: []localsite.Location{place, place, place}, Replicas: daemons, Log: zap.NewNop(), Observe: site.recordEvent,
 	})
 	require.NoError(t, err)
 	site.Site = local
@@ -90,7 +90,7 @@
 }
 
 func (site *testSite) operatorClient(i int) *client.Operator {
-	return &client.Operator{Address: site.Admins()[i], Key: localsite.OperatorKey}
+	return &client.Operator{Address: site.AdminAddresses()[i], Key: localsite.OperatorKey}
 }
 
 func (site *testSite) applyConfig(i int, base uint64, files operator.Files) (operator.Applied, error) {
@@ -169,7 +169,7 @@
 		case <-ctx.Done():
 		}
 	}()
-	a := &standin.Announcer{Daemons: site.Upstreams(), Key: localsite.UpstreamKey, State: state}
+	a := &standin.Announcer{Daemons: site.UpstreamAddresses(), Key: localsite.UpstreamKey, State: state}
 	go a.Run(ctx)
 }
 
@@ -200,7 +200,7 @@
 func (site *testSite) callerClient(entries ...int) *client.Caller {
 	addresses := []string{}
 	for _, i := range entries {
-		addresses = append(addresses, site.Callers()[i])
+		addresses = append(addresses, site.CallerAddresses()[i])
 	}
 	return &client.Caller{Fixed: true, Entries: addresses, Key: callerKey}
 }
--- a/internal/e2e/where_test.go
+++ b/internal/e2e/where_test.go
@@ -26,7 +26,7 @@
 		return false
 	}
 	holder, ok := port.ParseHolder(v.Lease(port.DispatchLeaseName(pool, "gauteng")).Holder)
-	return ok && strings.HasPrefix(holder.Name, localsite.Name(i))
+	return ok && strings.HasPrefix(holder.Name, localsite.DaemonName(i))
 }
 
 // replicaStatus returns the status of a daemon's replicas, as the daemon
--- a/internal/entry/observe_test.go
+++ b/internal/entry/observe_test.go
@@ -31,7 +31,7 @@
 	require.InDelta(t, 1, testutil.ToFloat64(o.goodput.WithLabelValues("top")), 0)
 	require.Equal(t, 2, testutil.CollectAndCount(o.first)+testutil.CollectAndCount(o.inter))
 
-	r.SetPlan(standin.Plan{Fault: standin.Refuse})
+	r.SetFaultPlan(standin.FaultPlan{Fault: standin.Refuse})
 	e.do(t, "POST", "/v1/chat/completions", chatBody("draft #2", false))
 	require.InDelta(t, 1, testutil.ToFloat64(o.requests.WithLabelValues("top", "logbook-model", "unavailable")), 0)
 }
--- a/internal/entry/session_test.go
+++ b/internal/entry/session_test.go
@@ -129,7 +129,7 @@
 	one, two := c.entry(t, "entry-1"), c.entry(t, "entry-2")
 	s := &session{t: t}
 	s.note("The connection falls silent in the middle: the stream goes on over a new one.")
-	r.SetPlan(standin.Plan{Fault: standin.Silent, AfterFrames: 2, Connections: 1})
+	r.SetFaultPlan(standin.FaultPlan{Fault: standin.Silent, AfterFrames: 2, Connections: 1})
 	s.call(one, "POST", "/v1/chat/completions", chatBody("draft #4", true), "Idempotency-Key", "draft-1")
 	s.note("The transfer's connection breaks after it was sent.")
 	up.SetFault(standin.Cut)
--- a/internal/entry/stream_test.go
+++ b/internal/entry/stream_test.go
@@ -56,13 +56,13 @@
 // TestSpoiledStreams: whatever one connection does, the caller gets the whole
 // answer and the engine runs the request once.
 func TestSpoiledStreams(t *testing.T) {
-	faults := []standin.Fault{"", standin.Silent, standin.Cut, standin.Truncated, standin.Crossed, standin.Doubled, standin.Late, standin.Early}
+	faults := []standin.Fault{"", standin.Silent, standin.Cut, standin.Truncated, standin.ForeignFrame, standin.DuplicateFrame, standin.MissingFrame, standin.PrematureEnd}
 	for _, f := range faults {
 		t.Run("fault "+string(f), func(t *testing.T) {
 			t.Parallel()
 			c := newCluster(t)
 			r := c.runner(t, 500)
-			r.SetPlan(standin.Plan{Fault: f, AfterFrames: 3, Connections: 2})
+			r.SetFaultPlan(standin.FaultPlan{Fault: f, AfterFrames: 3, Connections: 2})
 			e := c.entry(t, "entry-1")
 			got := e.do(t, "POST", "/v1/chat/completions", chatBody("draft #8", true), "Idempotency-Key", "k1")
 			require.Equal(t, http.StatusOK, got.status, got.body)
@@ -104,7 +104,7 @@
 func TestCrashingPromptIsUnknown(t *testing.T) {
 	c := newCluster(t)
 	r := c.runner(t, 500)
-	r.SetPlan(standin.Plan{CrashOn: "poison"})
+	r.SetFaultPlan(standin.FaultPlan{CrashOn: "poison"})
 	e := c.entry(t, "entry-1")
 	got := e.do(t, "POST", "/v1/chat/completions", chatBody("poison", false))
 	f := faultOf(t, got.body)
@@ -117,12 +117,12 @@
 func TestEngineRefusal(t *testing.T) {
 	c := newCluster(t)
 	r := c.runner(t, 500)
-	r.SetPlan(standin.Plan{Fault: standin.Refuse})
+	r.SetFaultPlan(standin.FaultPlan{Fault: standin.Refuse})
 	e := c.entry(t, "entry-1")
 	got := e.do(t, "POST", "/v1/chat/completions", chatBody("draft #8", false), "Idempotency-Key", "k1")
 	require.Equal(t, fault.MayHaveRun, faultOf(t, got.body).Ran)
 	require.Equal(t, "1", got.header.Get("Retry-After"))
-	r.SetPlan(standin.Plan{})
+	r.SetFaultPlan(standin.FaultPlan{})
 	again := e.do(t, "POST", "/v1/chat/completions", chatBody("draft #8", false), "Idempotency-Key", "k1")
 	require.Equal(t, fault.Unknown, faultOf(t, again.body).Kind)
 	require.Zero(t, total(r.Executions()))
@@ -196,7 +196,7 @@
 // one, or stays where that one refuses; no byte is missing and nothing is
 // computed again.
 func TestLeavingEngine(t *testing.T) {
-	for _, plan := range []standin.Plan{{}, {Fault: standin.Refuse}} {
+	for _, plan := range []standin.FaultPlan{{}, {Fault: standin.Refuse}} {
 		t.Run("target "+string(plan.Fault), func(t *testing.T) {
 			c := newCluster(t)
 			from := c.runner(t, 40)
@@ -208,7 +208,7 @@
 			}()
 			require.Eventually(t, func() bool { return total(from.Executions()) == 1 }, 5*time.Second, time.Millisecond)
 			to := c.runner(t, 500)
-			to.SetPlan(plan)
+			to.SetFaultPlan(plan)
 			from.Leave()
 			got := <-told
 			answer, whole := text(got.body)
--- a/internal/localsite/localsite.go
+++ b/internal/localsite/localsite.go
@@ -32,8 +32,8 @@
 	UpstreamKey = "local-upstream"
 )
 
-// Place is the location of a daemon.
-type Place struct {
+// Location is the region and data centre of a daemon.
+type Location struct {
 	Region     string
 	DataCentre string
 }
@@ -42,8 +42,8 @@
 type Options struct {
 	// Folder is the parent of the replicas' data folders.
 	Folder string
-	// Places lists the location of each daemon.
-	Places []Place
+	// Locations lists the location of each daemon.
+	Locations []Location
 	// Replicas is the number of daemons, counted from the first, that run a
 	// replica of the durable state.
 	Replicas int
@@ -66,14 +66,14 @@
 	daemons []*daemon.Daemon
 }
 
-// Name returns the name of the daemon at a position.
-func Name(i int) string { return fmt.Sprintf("daemon-%d", i+1) }
+// DaemonName returns the name of the daemon at a position.
+func DaemonName(i int) string { return fmt.Sprintf("daemon-%d", i+1) }
 
 // New returns a site whose daemons aren't started. It picks loopback ports that
 // are free at the time of the call, and returns an error if there are too few
 // or the settings are invalid.
 func New(options Options) (*Site, error) {
-	count := len(options.Places)
+	count := len(options.Locations)
 	options.StopTimeout = cmp.Or(options.StopTimeout, defaultStopTimeout)
 	addresses, err := freeport.Addresses(count * portsPerDaemon)
 	if err != nil {
@@ -86,20 +86,20 @@
 		peers := addresses[i*portsPerDaemon+1]
 		seeds = append(seeds, peers)
 		if i < options.Replicas {
-			replicas = append(replicas, settings.Peer{Name: Name(i), Address: peers})
+			replicas = append(replicas, settings.Peer{Name: DaemonName(i), Address: peers})
 		}
 	}
-	for i, p := range options.Places {
+	for i, p := range options.Locations {
 		own := addresses[i*portsPerDaemon:]
 		set := &settings.Settings{
-			Name: Name(i), Region: p.Region, DataCentre: p.DataCentre,
+			Name: DaemonName(i), Region: p.Region, DataCentre: p.DataCentre,
 			Addresses: settings.Addresses{Callers: own[0], Peers: own[1], Upstreams: own[2], Admin: own[3]},
 			Replicas:  replicas, Seeds: seeds,
 			OperatorKeys: []string{config.HashKey(OperatorKey)}, UpstreamKeys: []string{config.HashKey(UpstreamKey)},
 		}
 		if i < options.Replicas {
 			set.Roles = []settings.Role{settings.Replica}
-			set.DataFolder = filepath.Join(options.Folder, Name(i))
+			set.DataFolder = filepath.Join(options.Folder, DaemonName(i))
 		}
 		checked, err := validate(set)
 		if err != nil {
@@ -181,7 +181,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), s.options.StopTimeout)
 	defer cancel()
 	if err := d.Stop(ctx); err != nil {
-		return fmt.Errorf("daemon %s did not shut down gracefully: %w", Name(i), err)
+		return fmt.Errorf("daemon %s did not shut down gracefully: %w", DaemonName(i), err)
 	}
 	return nil
 }
@@ -207,19 +207,19 @@
 	})
 }
 
-// Callers returns the daemons' addresses for callers.
-func (s *Site) Callers() []string {
+// CallerAddresses returns the daemons' addresses for callers.
+func (s *Site) CallerAddresses() []string {
 	return s.addresses(func(a settings.Addresses) string { return a.Callers })
 }
 
-// Upstreams returns the daemons' addresses for upstreams, which accept
+// UpstreamAddresses returns the daemons' addresses for upstreams, which accept
 // announcements.
-func (s *Site) Upstreams() []string {
+func (s *Site) UpstreamAddresses() []string {
 	return s.addresses(func(a settings.Addresses) string { return a.Upstreams })
 }
 
-// Admins returns the daemons' administrative addresses.
-func (s *Site) Admins() []string {
+// AdminAddresses returns the daemons' administrative addresses.
+func (s *Site) AdminAddresses() []string {
 	return s.addresses(func(a settings.Addresses) string { return a.Admin })
 }
 
--- a/internal/standin/control.go
+++ b/internal/standin/control.go
@@ -90,8 +90,8 @@
 	writeReply(w, upstream.OrderReply{Fence: r.lastFence, Done: true})
 }
 
-// Loaded returns the loaded version of a model or adapter.
-func (r *Runner) Loaded(target string) (string, bool) {
+// LoadedVersion returns the loaded version of a model or adapter.
+func (r *Runner) LoadedVersion(target string) (string, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	v, ok := r.loaded[target]
--- a/internal/standin/fault.go
+++ b/internal/standin/fault.go
@@ -20,20 +20,20 @@
 	Cut Fault = "cut"
 	// Truncated closes the connection in the middle of a frame.
 	Truncated Fault = "truncated"
-	// Crossed sends a frame that names another stream before the correct one.
-	Crossed Fault = "crossed"
-	// Doubled sends a frame twice.
-	Doubled Fault = "doubled"
-	// Late omits a frame and sends the one after it.
-	Late Fault = "late"
-	// Early sends an end frame before the end of the stream.
-	Early Fault = "early"
+	// ForeignFrame sends a frame that names another stream before the correct one.
+	ForeignFrame Fault = "crossed"
+	// DuplicateFrame sends a frame twice.
+	DuplicateFrame Fault = "doubled"
+	// MissingFrame omits a frame and sends the one after it.
+	MissingFrame Fault = "late"
+	// PrematureEnd sends an end frame before the end of the stream.
+	PrematureEnd Fault = "early"
 	// Refuse rejects each start and import without executing it.
 	Refuse Fault = "refuse"
 )
 
-// Plan describes how a runner misbehaves; the zero value means not at all.
-type Plan struct {
+// FaultPlan describes how a runner misbehaves; the zero value means not at all.
+type FaultPlan struct {
 	Fault Fault
 	// AfterFrames is the number of frames that a connection carries before the
 	// fault.
@@ -47,15 +47,15 @@
 	IgnoreFences bool
 }
 
-// SetPlan replaces the plan. Open connections keep the previous one.
-func (r *Runner) SetPlan(p Plan) {
+// SetFaultPlan replaces the plan. Open connections keep the previous one.
+func (r *Runner) SetFaultPlan(p FaultPlan) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.faultPlan = p
 	r.faultyConnections = 0
 }
 
-func (r *Runner) currentPlan() Plan {
+func (r *Runner) currentPlan() FaultPlan {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.faultPlan
@@ -63,11 +63,11 @@
 
 // nextConnectionPlan returns the plan for a new connection and counts the
 // connection.
-func (r *Runner) nextConnectionPlan() Plan {
+func (r *Runner) nextConnectionPlan() FaultPlan {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.faultPlan.Connections > 0 && r.faultyConnections >= r.faultPlan.Connections {
-		return Plan{}
+		return FaultPlan{}
 	}
 	r.faultyConnections++
 	return r.faultPlan
@@ -78,7 +78,7 @@
 type frameWriter struct {
 	w          http.ResponseWriter
 	controller *http.ResponseController
-	plan       Plan
+	plan       FaultPlan
 	request    *http.Request
 	frameCount int
 }
@@ -120,16 +120,16 @@
 		_, _ = fw.w.Write(data[:len(data)/2])
 		_ = fw.controller.Flush()
 		panic(http.ErrAbortHandler)
-	case Crossed:
+	case ForeignFrame:
 		other := f
 		other.Stream = "another-" + f.Stream
 		return fw.encode(other) && fw.encode(f)
-	case Doubled:
+	case DuplicateFrame:
 		fw.encode(f)
 		return fw.encode(f)
-	case Late:
+	case MissingFrame:
 		return true
-	case Early:
+	case PrematureEnd:
 		return fw.encode(upstream.Frame{Stream: f.Stream, Offset: f.Offset + int64(len(f.Text)) + 1, End: true, Finish: "stop"})
 	}
 	return fw.encode(f)
--- a/internal/standin/runner.go
+++ b/internal/standin/runner.go
@@ -53,7 +53,7 @@
 	mu        sync.Mutex
 	streams   map[string]*streamState
 	cache     cache
-	faultPlan Plan
+	faultPlan FaultPlan
 	// faultyConnections counts the connections to which the plan's fault applied.
 	faultyConnections int
 	// executions counts the starts of each stream.
--- a/internal/standin/runner_test.go
+++ b/internal/standin/runner_test.go
@@ -100,12 +100,12 @@
 func TestOrderWithOldFenceIsRefused(t *testing.T) {
 	for _, ignore := range []bool{false, true} {
 		r := startRunner(t, 50)
-		r.SetPlan(Plan{IgnoreFences: ignore})
+		r.SetFaultPlan(FaultPlan{IgnoreFences: ignore})
 		_, err := dialRunner(t, r).Order(t.Context(), upstream.Order{Fence: 7, Action: upstream.Load, Target: "m", Version: "2"})
 		require.NoError(t, err)
 		_, err = dialRunner(t, r).Order(t.Context(), upstream.Order{Fence: 6, Action: upstream.Unload, Target: "m"})
 		require.Equal(t, ignore, err == nil)
-		_, loaded := r.Loaded("m")
+		_, loaded := r.LoadedVersion("m")
 		require.Equal(t, !ignore, loaded)
 	}
 }
