--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -118,16 +118,16 @@
 	if err := r.site.StartAll(ctx); err != nil {
 		return nil, err
 	}
-	r.printProgress("%d daemons are serving on loopback, the first at http://%s", daemonCount, r.site.Callers()[0])
+	r.printProgress("%d daemons are serving on loopback, the first at http://%s", daemonCount, r.site.CallerAddresses()[0])
 	if err := r.applyConfig(ctx); err != nil {
 		return nil, err
 	}
-	r.standIns, err = startStandIns(r.site.Upstreams(), r.rec)
+	r.standIns, err = startStandIns(r.site.UpstreamAddresses(), r.rec)
 	defer r.standIns.stop()
 	if err != nil {
 		return nil, err
 	}
-	calls := newCallers(r.site.Callers(), r.config.Workspaces, r.rec)
+	calls := newCallers(r.site.CallerAddresses(), r.config.Workspaces, r.rec)
 	if err := r.waitReady(ctx, calls); err != nil {
 		return nil, err
 	}
@@ -142,7 +142,7 @@
 	if err != nil {
 		return err
 	}
-	op := client.Operator{Address: r.site.Admins()[0], Key: localsite.OperatorKey}
+	op := client.Operator{Address: r.site.AdminAddresses()[0], Key: localsite.OperatorKey}
 	version := uint64(0)
 	err = r.retry(ctx, func(ctx context.Context) error {
 		applied, err := op.Apply(ctx, operator.Apply{Files: operator.Files(files)})
@@ -152,7 +152,7 @@
 	if err != nil {
 		return err
 	}
-	for _, address := range r.site.Admins() {
+	for _, address := range r.site.AdminAddresses() {
 		op := client.Operator{Address: address, Key: localsite.OperatorKey}
 		err := r.retry(ctx, func(ctx context.Context) error { return checkInForce(ctx, op, version) })
 		if err != nil {
@@ -200,7 +200,7 @@
 
 // waitReady sends small requests until each entry serves both pools.
 func (r *demoRun) waitReady(ctx context.Context, calls *callers) error {
-	for _, entry := range r.site.Callers() {
+	for _, entry := range r.site.CallerAddresses() {
 		for _, p := range []plannedRequest{warmUpCompletion(), warmUpServiceCall()} {
 			err := r.retry(ctx, func(ctx context.Context) error { return calls.sendTo(ctx, entry, p) })
 			if err != nil {
@@ -249,11 +249,11 @@
 // drainDaemon stops drainedDaemon gracefully at drainFraction of the load.
 func (r *demoRun) drainDaemon(ctx context.Context, start time.Time, report *Report) error {
 	wait.Sleep(ctx, time.Duration(drainFraction*float64(loadDuration)))
-	report.DrainedDaemon = Step{Name: localsite.Name(drainedDaemon), At: time.Since(start).Seconds()}
-	r.printProgress("%s is draining", localsite.Name(drainedDaemon))
+	report.DrainedDaemon = Step{Name: localsite.DaemonName(drainedDaemon), At: time.Since(start).Seconds()}
+	r.printProgress("%s is draining", localsite.DaemonName(drainedDaemon))
 	err := r.site.Stop(drainedDaemon)
 	report.DrainedDaemon.Until = time.Since(start).Seconds()
-	r.printProgress("%s has stopped", localsite.Name(drainedDaemon))
+	r.printProgress("%s has stopped", localsite.DaemonName(drainedDaemon))
 	return err
 }
 
@@ -273,7 +273,7 @@
 	report.Prefill.Processed, report.Prefill.Lost, report.Prefill.Repeated = r.rec.prefillTotals(completed)
 	names := []string{}
 	for i := range daemonCount {
-		names = append(names, localsite.Name(i))
+		names = append(names, localsite.DaemonName(i))
 	}
 	report.Promises = checkPromises(r.rec.recorded(), promise.Options{Daemons: names})
 	report.Held = report.LostRequests == 0 && len(report.StopErrors) == 0
--- a/internal/demo/site.go
+++ b/internal/demo/site.go
@@ -17,7 +17,7 @@
 )
 
 // places are the regions and data centres of the daemons.
-var places = []localsite.Place{
+var places = []localsite.Location{
 	{Region: "gauteng", DataCentre: "jhb-north"},
 	{Region: "gauteng", DataCentre: "pta-east"},
 	{Region: "western-cape", DataCentre: "cpt-south"},
@@ -27,7 +27,7 @@
 // started yet.
 func newSite(folder string, log *zap.Logger, rec *recorder) (*localsite.Site, error) {
 	return localsite.New(localsite.Options{
-		Folder: folder, Places: places, Replicas: daemonCount,
+		Folder: folder, Locations: places, Replicas: daemonCount,
 		Log: log, Observe: rec.record, StopTimeout: stopTimeout,
 	})
 }
--- a/internal/e2e/where_test.go
+++ b/internal/e2e/where_test.go
@@ -8,9 +8,9 @@
 	"github.com/verbenastep/verbenastep/internal/port"
 )
 
-// leads tells whether a daemon's replica leads the log.
-func leads(r *rig, i int) bool {
-	for _, st := range r.replicaStatus(i) {
+// leadsLog reports whether a daemon's replica leads the log.
+func leadsLog(site *testSite, i int) bool {
+	for _, st := range site.replicaStatus(i) {
 		if st.Group == port.GroupMain && st.Role == "leader" {
 			return true
 		}
@@ -18,18 +18,20 @@
 	return false
 }
 
-// dispatches tells whether a daemon holds a pool's lease, as it sees it.
-func dispatches(r *rig, i int, pool string) bool {
-	v, err := kernel.Find[port.View](r.Daemon(i).Kernel(), port.NameView)
+// dispatchesPool reports whether a daemon holds a pool's lease, by its own
+// view.
+func dispatchesPool(site *testSite, i int, pool string) bool {
+	v, err := kernel.Find[port.View](site.Daemon(i).Kernel(), port.NameView)
 	if err != nil {
 		return false
 	}
 	holder, ok := port.ParseHolder(v.Lease(port.DispatchLeaseName(pool, "gauteng")).Holder)
-	return ok && strings.HasPrefix(holder.Name, localsite.Name(i))
+	return ok && strings.HasPrefix(holder.Name, localsite.DaemonName(i))
 }
 
-// replicaStatus is a daemon's account of its replicas.
-func (r *rig) replicaStatus(i int) []port.ReplicaStatus {
-	dump, _ := r.Daemon(i).Kernel().Dump()[port.NameReplica].([]port.ReplicaStatus)
+// replicaStatus returns the status of a daemon's replicas, as the daemon
+// reports it.
+func (site *testSite) replicaStatus(i int) []port.ReplicaStatus {
+	dump, _ := site.Daemon(i).Kernel().Dump()[port.NameReplica].([]port.ReplicaStatus)
 	return dump
 }
--- a/internal/entry/observe_test.go
+++ b/internal/entry/observe_test.go
@@ -33,7 +33,7 @@
 	require.InDelta(t, 1, testutil.ToFloat64(o.goodput.WithLabelValues("top")), 0)
 	require.Equal(t, 2, testutil.CollectAndCount(o.firstTokenSeconds)+testutil.CollectAndCount(o.interTokenSeconds))
 
-	r.SetPlan(standin.Plan{Fault: standin.Refuse})
+	r.SetFaultPlan(standin.FaultPlan{Fault: standin.Refuse})
 	e.do(t, "POST", "/v1/chat/completions", chatBody("draft #2", false))
 	require.InDelta(t, 1, testutil.ToFloat64(o.requests.WithLabelValues("top", "logbook-model", "unavailable")), 0)
 }
--- a/internal/entry/session_test.go
+++ b/internal/entry/session_test.go
@@ -132,7 +132,7 @@
 	first, second := c.startEntry(t, "entry-1"), c.startEntry(t, "entry-2")
 	s := &transcript{t: t}
 	s.note("The connection stops carrying data during the answer; the stream is resumed over a new one.")
-	r.SetPlan(standin.Plan{Fault: standin.Silent, AfterFrames: 2, Connections: 1})
+	r.SetFaultPlan(standin.FaultPlan{Fault: standin.Silent, AfterFrames: 2, Connections: 1})
 	s.call(first, "POST", "/v1/chat/completions", chatBody("draft #4", true), "Idempotency-Key", "draft-1")
 	s.note("The connection breaks after the transfer was sent.")
 	up.SetFault(standin.Cut)
--- a/internal/entry/stream_test.go
+++ b/internal/entry/stream_test.go
@@ -56,13 +56,13 @@
 // TestFaultyConnections checks that under every fault of single connections the
 // caller gets the complete answer and the engine runs the request once.
 func TestFaultyConnections(t *testing.T) {
-	faults := []standin.Fault{"", standin.Silent, standin.Cut, standin.Truncated, standin.Crossed, standin.Doubled, standin.Late, standin.Early}
+	faults := []standin.Fault{"", standin.Silent, standin.Cut, standin.Truncated, standin.ForeignFrame, standin.DuplicateFrame, standin.MissingFrame, standin.PrematureEnd}
 	for _, f := range faults {
 		t.Run("fault "+string(f), func(t *testing.T) {
 			t.Parallel()
 			c := newCluster(t)
 			r := c.startRunner(t, 500)
-			r.SetPlan(standin.Plan{Fault: f, AfterFrames: 3, Connections: 2})
+			r.SetFaultPlan(standin.FaultPlan{Fault: f, AfterFrames: 3, Connections: 2})
 			e := c.startEntry(t, "entry-1")
 			got := e.do(t, "POST", "/v1/chat/completions", chatBody("draft #8", true), "Idempotency-Key", "k1")
 			require.Equal(t, http.StatusOK, got.status, got.body)
@@ -106,7 +106,7 @@
 func TestPromptCrashesEngine(t *testing.T) {
 	c := newCluster(t)
 	r := c.startRunner(t, 500)
-	r.SetPlan(standin.Plan{CrashOn: "poison"})
+	r.SetFaultPlan(standin.FaultPlan{CrashOn: "poison"})
 	e := c.startEntry(t, "entry-1")
 	got := e.do(t, "POST", "/v1/chat/completions", chatBody("poison", false))
 	f := faultOf(t, got.body)
@@ -119,12 +119,12 @@
 func TestRunnerRefusal(t *testing.T) {
 	c := newCluster(t)
 	r := c.startRunner(t, 500)
-	r.SetPlan(standin.Plan{Fault: standin.Refuse})
+	r.SetFaultPlan(standin.FaultPlan{Fault: standin.Refuse})
 	e := c.startEntry(t, "entry-1")
 	got := e.do(t, "POST", "/v1/chat/completions", chatBody("draft #8", false), "Idempotency-Key", "k1")
 	require.Equal(t, fault.MayHaveRun, faultOf(t, got.body).Ran)
 	require.Equal(t, "1", got.header.Get("Retry-After"))
-	r.SetPlan(standin.Plan{})
+	r.SetFaultPlan(standin.FaultPlan{})
 	retried := e.do(t, "POST", "/v1/chat/completions", chatBody("draft #8", false), "Idempotency-Key", "k1")
 	require.Equal(t, fault.Unknown, faultOf(t, retried.body).Kind)
 	require.Zero(t, total(r.Executions()))
@@ -199,7 +199,7 @@
 // cache to another engine, or stays if that one refuses, without missing bytes or
 // a second execution.
 func TestLeavingEngine(t *testing.T) {
-	for _, plan := range []standin.Plan{{}, {Fault: standin.Refuse}} {
+	for _, plan := range []standin.FaultPlan{{}, {Fault: standin.Refuse}} {
 		t.Run("target "+string(plan.Fault), func(t *testing.T) {
 			c := newCluster(t)
 			from := c.startRunner(t, 40)
@@ -211,7 +211,7 @@
 			}()
 			require.Eventually(t, func() bool { return total(from.Executions()) == 1 }, 5*time.Second, time.Millisecond)
 			to := c.startRunner(t, 500)
-			to.SetPlan(plan)
+			to.SetFaultPlan(plan)
 			from.Leave()
 			got := <-responses
 			answer, complete := joinDeltas(got.body)
