--- a/cmd/verbenastep/main.go
+++ b/cmd/verbenastep/main.go
@@ -1,4 +1,4 @@
-// Command verbenastep is the operators' command.
+// Command verbenastep is the command-line tool for operators and callers.
 package main
 
 import (
@@ -14,8 +14,8 @@
 	os.Exit(run())
 }
 
-// run ends the command's work at the first signal; a second one ends the
-// process at once.
+// run executes the command line and returns its exit code. The first interrupt or
+// termination signal cancels the command; a second one ends the process at once.
 func run() int {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
--- a/cmd/verbenastepd/main.go
+++ b/cmd/verbenastepd/main.go
@@ -1,4 +1,4 @@
-// Command verbenastepd is the daemon that runs on each entry instance.
+// Command verbenastepd is the daemon. Its settings file selects its roles.
 package main
 
 import (
@@ -59,23 +59,25 @@
 	fmt.Fprint(w, "\nexit codes: 0 stopped gracefully, 1 failed, 2 faulty settings; docs/SETTINGS.md explains them\n")
 }
 
+// serve runs the daemon until a signal and returns the exit code. The first
+// signal drains the daemon; a second one stops it at once.
 func serve(file string, set *settings.Settings, log *zap.Logger) int {
 	d, err := daemon.New(set, log, platform.Services(set, log)...)
 	if err != nil {
-		log.Error("daemon could not be assembled", zap.Error(err))
+		log.Error("daemon could not be created", zap.Error(err))
 		return exitFailed
 	}
 	signals := make(chan os.Signal, 2)
 	signal.Notify(signals, syscall.SIGINT, syscall.SIGTERM)
 	reload := make(chan os.Signal, 1)
 	signal.Notify(reload, syscall.SIGHUP)
-	go follow(file, set, log, reload)
+	go watchSettings(file, set, log, reload)
 	if err := d.Start(context.Background()); err != nil {
 		log.Error("daemon did not start", zap.Error(err))
 		return exitFailed
 	}
 	<-signals
-	log.Info("draining; a second signal ends at once")
+	log.Info("draining; a second signal stops the daemon without waiting")
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go func() {
@@ -89,36 +91,37 @@
 	return exitOK
 }
 
-// rereadEvery is the pause between two looks at the settings file, which may
-// change without a signal.
-const rereadEvery = 2 * time.Second
+// settingsPollInterval is the interval at which the settings file is checked for
+// changes, since it may be replaced without a signal to the daemon.
+const settingsPollInterval = 2 * time.Second
 
-// follow reads the settings file again at each signal, and where it has
-// changed, and takes over what a running daemon can change.
-func follow(file string, set *settings.Settings, log *zap.Logger, reload <-chan os.Signal) {
-	changed := time.Time{}
+// watchSettings reloads the settings file at each signal and whenever its
+// modification time changes, and applies the settings that can change in a
+// running daemon. Invalid settings are logged and ignored. It never returns.
+func watchSettings(file string, set *settings.Settings, log *zap.Logger, reload <-chan os.Signal) {
+	modTime := time.Time{}
 	if info, err := os.Stat(file); err == nil {
-		changed = info.ModTime()
+		modTime = info.ModTime()
 	}
 	for {
-		asked := false
+		signaled := false
 		select {
 		case <-reload:
-			asked = true
-		case <-time.After(rereadEvery):
+			signaled = true
+		case <-time.After(settingsPollInterval):
 		}
 		info, err := os.Stat(file)
-		if err == nil && !asked && info.ModTime().Equal(changed) {
+		if err == nil && !signaled && info.ModTime().Equal(modTime) {
 			continue
 		}
 		if err == nil {
-			changed = info.ModTime()
+			modTime = info.ModTime()
 		}
 		next, err := settings.Load(file)
 		if err != nil {
-			log.Warn("settings were not reloaded; the daemon goes on with what it has", zap.Bool("signal", asked), zap.Error(err))
+			log.Warn("settings were not reloaded; the previous settings stay in force", zap.Bool("signal", signaled), zap.Error(err))
 			continue
 		}
-		log.Info("settings reloaded", zap.Bool("signal", asked), zap.Bool("seeds_changed", set.Reload(next)))
+		log.Info("settings reloaded", zap.Bool("signal", signaled), zap.Bool("seeds_changed", set.Reload(next)))
 	}
 }
--- a/internal/cli/bench.go
+++ b/internal/cli/bench.go
@@ -10,7 +10,7 @@
 	"github.com/verbenastep/verbenastep/internal/schedbench"
 )
 
-// benchMarkers enclose the part of a page that the command rewrites.
+// Markers around the part of a page that the bench command rewrites.
 const (
 	benchBegin = "<!-- begin: verbenastep bench sched -->\n"
 	benchEnd   = "<!-- end: verbenastep bench sched -->\n"
@@ -34,13 +34,13 @@
 			if err := schedbench.Run(tables); err != nil {
 				return err
 			}
-			return rewrite(page, tables.Bytes())
+			return rewriteTables(page, tables.Bytes())
 		},
 	}
 }
 
-// rewrite replaces the marked part of a page.
-func rewrite(page string, tables []byte) error {
+// rewriteTables replaces the part of the page between the markers with tables.
+func rewriteTables(page string, tables []byte) error {
 	data, err := os.ReadFile(page)
 	if err != nil {
 		return err
--- a/internal/cli/caller.go
+++ b/internal/cli/caller.go
@@ -11,22 +11,22 @@
 	"github.com/verbenastep/verbenastep/api/client"
 )
 
-// entries is the entries that a caller's command speaks with.
-type entries struct {
+// callerTarget holds the addresses of the entries that a caller's command uses.
+type callerTarget struct {
 	addresses string
 }
 
-func (e *entries) flags(f *flag.FlagSet) {
+func (e *callerTarget) registerFlags(f *flag.FlagSet) {
 	f.StringVar(&e.addresses, "entry", "127.0.0.1:7101", "callers' `ADDRESSES` of daemons to ask for the directory, comma-separated")
 }
 
 func whereCommand() *Command {
-	e := &entries{}
+	e := &callerTarget{}
 	return &Command{
 		Name: "where", Summary: "show which entries callers may use, and for how long", Example: "verbenastep where -entry 127.0.0.1:7101",
-		Flags: e.flags,
+		Flags: e.registerFlags,
 		Run: func(ctx context.Context, std IO, _ []string) error {
-			c := client.Caller{Entries: split(e.addresses)}
+			c := client.Caller{Entries: splitAddresses(e.addresses)}
 			d, err := c.Directory(ctx)
 			if err != nil {
 				return err
@@ -43,9 +43,9 @@
 	}
 }
 
-// sending is one run of the send command.
-type sending struct {
-	entries   entries
+// sendOptions holds the flags of the send command.
+type sendOptions struct {
+	target    callerTarget
 	key       string
 	id        string
 	model     string
@@ -61,18 +61,18 @@
 }
 
 func sendCommand() *Command {
-	s := &sending{}
+	s := &sendOptions{}
 	return &Command{
 		Name: "send", Summary: "send a request as a caller: a model's completion or a service's call", Args: "[PROMPT]",
 		Example: `verbenastep send -model logbook-model -stream "Who owned chassis 1234 in 1961?"`,
-		Flags:   s.flags,
+		Flags:   s.registerFlags,
 		Run:     s.run,
 	}
 }
 
-func (s *sending) flags(f *flag.FlagSet) {
-	s.entries.flags(f)
-	f.StringVar(&s.key, "workspace", "", "the workspace's `KEY`; better given in "+workspaceVariable)
+func (s *sendOptions) registerFlags(f *flag.FlagSet) {
+	s.target.registerFlags(f)
+	f.StringVar(&s.key, "workspace", "", "the workspace's `KEY`; better given in "+workspaceKeyEnv)
 	f.StringVar(&s.id, "id", "", "the request's own `KEY`, sent as Idempotency-Key; a resend with it never runs twice")
 	f.StringVar(&s.model, "model", "", "`NAME` of the model to ask")
 	f.StringVar(&s.form, "form", "chat", "chat or text")
@@ -86,8 +86,8 @@
 	f.Int64Var(&s.offset, "offset", 0, "where to pick it up, in bytes")
 }
 
-// sent is the command's result.
-type sent struct {
+// sendResult is the output of the send command.
+type sendResult struct {
 	Key     string `json:"key"`
 	Entry   string `json:"entry"`
 	Status  int    `json:"status,omitempty"`
@@ -96,34 +96,34 @@
 	Resumed int    `json:"resumed,omitempty"`
 }
 
-func (s *sending) run(ctx context.Context, std IO, args []string) error {
-	chosen := 0
+func (s *sendOptions) run(ctx context.Context, std IO, args []string) error {
+	modes := 0
 	for _, v := range []string{s.model, s.service, s.resume} {
 		if v != "" {
-			chosen++
+			modes++
 		}
 	}
-	if chosen != 1 {
+	if modes != 1 {
 		return &usageError{problem: "give one of -model, -service and -resume"}
 	}
-	c := &client.Caller{Entries: split(s.entries.addresses), Key: orVariable(s.key, workspaceVariable)}
+	c := &client.Caller{Entries: splitAddresses(s.target.addresses), Key: valueOrEnv(s.key, workspaceKeyEnv)}
 	switch {
 	case s.resume != "":
-		return s.streamed(std, func(fn func(string)) (*client.Stream, error) { return c.PickUp(ctx, s.resume, s.offset, fn) })
+		return s.printStream(std, func(fn func(string)) (*client.Stream, error) { return c.PickUp(ctx, s.resume, s.offset, fn) })
 	case s.service != "":
-		return s.call(ctx, std, c)
+		return s.callService(ctx, std, c)
 	}
-	r, err := s.completion(args)
+	r, err := s.completionRequest(args)
 	if err != nil {
 		return err
 	}
 	if s.stream {
-		return s.streamed(std, func(fn func(string)) (*client.Stream, error) { return c.Stream(ctx, r, fn) })
+		return s.printStream(std, func(fn func(string)) (*client.Stream, error) { return c.Stream(ctx, r, fn) })
 	}
-	return s.whole(ctx, std, c, r)
+	return s.sendWhole(ctx, std, c, r)
 }
 
-func (s *sending) completion(args []string) (client.Request, error) {
+func (s *sendOptions) completionRequest(args []string) (client.Request, error) {
 	prompt := strings.Join(args, " ")
 	if prompt == "" {
 		return client.Request{}, &usageError{problem: "give a prompt"}
@@ -136,14 +136,15 @@
 	return c.Request(s.id), nil
 }
 
-// streamed shows one stream as it comes.
-func (s *sending) streamed(std IO, open func(fn func(string)) (*client.Stream, error)) error {
-	show := func(text string) {
+// printStream prints the text of a stream as it arrives. Where the stream breaks
+// off, it prints the flags that resume it.
+func (s *sendOptions) printStream(std IO, open func(fn func(string)) (*client.Stream, error)) error {
+	printText := func(text string) {
 		if !std.JSON {
 			_, _ = io.WriteString(std.Out, text)
 		}
 	}
-	st, err := open(show)
+	st, err := open(printText)
 	if err != nil {
 		if st != nil && len(st.Text) > 0 {
 			fmt.Fprintf(std.Err, "\nthe answer broke off after %d bytes; pick it up with -resume %s -offset %d\n", len(st.Text), st.Key, s.offset+int64(len(st.Text)))
@@ -151,26 +152,26 @@
 		return err
 	}
 	if std.JSON {
-		return printJSON(std.Out, sent{Key: st.Key, Entry: st.Entry, Status: http.StatusOK, Text: st.Text, Finish: st.Finish, Resumed: st.Resumed})
+		return printJSON(std.Out, sendResult{Key: st.Key, Entry: st.Entry, Status: http.StatusOK, Text: st.Text, Finish: st.Finish, Resumed: st.Resumed})
 	}
 	fmt.Fprintln(std.Out)
 	fmt.Fprintf(std.Err, "request %s, ended by %s at %s\n", st.Key, st.Finish, st.Entry)
 	return nil
 }
 
-func (s *sending) whole(ctx context.Context, std IO, c *client.Caller, r client.Request) error {
+func (s *sendOptions) sendWhole(ctx context.Context, std IO, c *client.Caller, r client.Request) error {
 	reply, err := c.Do(ctx, r)
 	if err != nil {
 		return err
 	}
-	out := sent{Key: reply.Key, Entry: reply.Entry, Status: reply.Status}
+	out := sendResult{Key: reply.Key, Entry: reply.Entry, Status: reply.Status}
 	if out.Text, out.Finish, err = reply.Completion(); err != nil {
 		return err
 	}
-	return printSent(std, out)
+	return printSendResult(std, out)
 }
 
-func (s *sending) call(ctx context.Context, std IO, c *client.Caller) error {
+func (s *sendOptions) callService(ctx context.Context, std IO, c *client.Caller) error {
 	body := []byte(s.data)
 	if s.data == "-" {
 		read, err := io.ReadAll(std.In)
@@ -184,8 +185,8 @@
 	if err != nil {
 		return err
 	}
-	out := sent{Key: reply.Key, Entry: reply.Entry, Status: reply.Status, Text: string(reply.Body)}
-	if err := printSent(std, out); err != nil {
+	out := sendResult{Key: reply.Key, Entry: reply.Entry, Status: reply.Status, Text: string(reply.Body)}
+	if err := printSendResult(std, out); err != nil {
 		return err
 	}
 	if reply.Status >= http.StatusBadRequest {
@@ -194,7 +195,7 @@
 	return nil
 }
 
-func printSent(std IO, out sent) error {
+func printSendResult(std IO, out sendResult) error {
 	if std.JSON {
 		return printJSON(std.Out, out)
 	}
--- a/internal/cli/capacity.go
+++ b/internal/cli/capacity.go
@@ -32,6 +32,8 @@
 	}
 }
 
+// measureTo measures the capacity, writes the points to a CSV file and plots them
+// into the folder.
 func measureTo(std IO, folder, file string) error {
 	points, err := capacity.Measure(func(group string) { fmt.Fprintf(std.Err, "measuring %s\n", group) })
 	if err != nil {
@@ -54,6 +56,7 @@
 	return capacity.Plot(folder, points)
 }
 
+// renderPage rewrites the tables of a page from the points in a CSV file.
 func renderPage(page, file string) error {
 	in, err := os.Open(file)
 	if err != nil {
@@ -64,13 +67,13 @@
 	if err != nil {
 		return err
 	}
-	text, err := os.ReadFile(page)
+	current, err := os.ReadFile(page)
 	if err != nil {
 		return err
 	}
-	made, err := capacity.Render(string(text), points)
+	rendered, err := capacity.Render(string(current), points)
 	if err != nil {
 		return err
 	}
-	return os.WriteFile(page, []byte(made), 0o644)
+	return os.WriteFile(page, []byte(rendered), 0o644)
 }
--- a/internal/cli/check.go
+++ b/internal/cli/check.go
@@ -12,8 +12,8 @@
 	"github.com/verbenastep/verbenastep/internal/schema"
 )
 
-// checked is the result of a check without faults.
-type checked struct {
+// checkResult is the output of the check command for a valid folder.
+type checkResult struct {
 	Folder string `json:"folder"`
 	Files  int    `json:"files"`
 	Digest string `json:"digest"`
@@ -24,12 +24,12 @@
 		Name: "check", Summary: "check a folder of configuration files", Args: "FOLDER", Example: "verbenastep check examples/karoo",
 		Flags: func(*flag.FlagSet) {},
 		Run: func(_ context.Context, std IO, args []string) error {
-			files, err := checkedFolder(args)
+			files, err := readValidFolder(args)
 			if err != nil {
 				return err
 			}
 			if std.JSON {
-				return printJSON(std.Out, checked{Folder: args[0], Files: len(files), Digest: files.Digest()})
+				return printJSON(std.Out, checkResult{Folder: args[0], Files: len(files), Digest: files.Digest()})
 			}
 			fmt.Fprintf(std.Out, "%s: %s valid\n", args[0], plural(len(files), "file"))
 			return nil
@@ -37,18 +37,19 @@
 	}
 }
 
-// faultsError is every fault of a folder.
+// faultsError reports all faults in a folder of configuration files.
 type faultsError struct {
 	faults config.Faults
 }
 
-// Error lists the faults, one a line.
+// Error returns the faults, one per line.
 func (e *faultsError) Error() string { return e.faults.Error() }
 
 func (e *faultsError) detail() any { return e.faults }
 
-// checkedFolder reads the one folder named and checks its files.
-func checkedFolder(args []string) (config.Files, error) {
+// readValidFolder reads the folder that args names and validates its files. The
+// result is in compact form.
+func readValidFolder(args []string) (config.Files, error) {
 	if len(args) != 1 {
 		return nil, &usageError{problem: "name one folder of configuration files"}
 	}
@@ -66,7 +67,8 @@
 	return files.Compact()
 }
 
-// ReadFolder reads all JSON files below a folder.
+// ReadFolder returns the content of all JSON files below a folder, keyed by the
+// slash-separated path relative to it.
 func ReadFolder(folder string) (config.Files, error) {
 	files := config.Files{}
 	err := filepath.WalkDir(folder, func(p string, d os.DirEntry, err error) error {
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -1,4 +1,7 @@
-// Package cli is the operators' and callers' command.
+// Package cli implements the verbenastep command: subcommands for operators and
+// callers, their flags, output and exit codes. cmd/verbenastep is its only
+// caller. The exit codes and the -json output are stable, so that scripts can
+// rely on them.
 package cli
 
 import (
@@ -14,26 +17,26 @@
 	"github.com/verbenastep/verbenastep/api/fault"
 )
 
-// Exit codes.
+// Exit codes of the command.
 const (
-	// ExitOK says that the command did what it was asked.
+	// ExitOK reports success.
 	ExitOK = 0
-	// ExitFailed says that something is wrong: a fault in the files, a broken
-	// promise, a difference.
+	// ExitFailed reports a failure or a negative result: invalid files, a
+	// violated invariant, a difference.
 	ExitFailed = 1
-	// ExitUsage says that the command line is wrong.
+	// ExitUsage reports an invalid command line.
 	ExitUsage = 2
-	// ExitConflict says that another change or request came first.
+	// ExitConflict reports that another change or request came first.
 	ExitConflict = 3
-	// ExitRefused says that the system refused and nothing ran.
+	// ExitRefused reports that the system refused the request and nothing ran.
 	ExitRefused = 4
-	// ExitUnknown says that nobody can tell whether the request ran.
+	// ExitUnknown reports that it can't be determined whether the request ran.
 	ExitUnknown = 5
-	// ExitUnreachable says that no daemon answered.
+	// ExitUnreachable reports that no daemon could be reached.
 	ExitUnreachable = 6
 )
 
-// exitCodes explains the codes on the help page.
+// exitCodes describes the exit codes on help pages.
 const exitCodes = `exit codes: 0 done, 1 failed or different, 2 wrong usage, 3 conflict,
   4 refused and not run, 5 outcome unknown, 6 no daemon answers`
 
@@ -41,31 +44,32 @@
 type Command struct {
 	Name    string
 	Summary string
-	// Args names the arguments after the flags.
+	// Args describes the positional arguments on the help page.
 	Args string
-	// Example is one line a user can type.
+	// Example is a complete command line.
 	Example string
-	// Flags declares the command's flags on the set.
+	// Flags registers the command's flags on the flag set.
 	Flags func(f *flag.FlagSet)
-	// Run does the work; its error is printed.
+	// Run executes the command; a returned error is printed and mapped to an
+	// exit code.
 	Run func(ctx context.Context, io IO, args []string) error
 }
 
-// IO is where a command reads and writes.
+// IO holds the streams and the output format of a command.
 type IO struct {
 	In  io.Reader
 	Out io.Writer
 	Err io.Writer
-	// JSON asks for machine-readable output and errors.
+	// JSON selects machine-readable output and errors.
 	JSON bool
 }
 
-// Std returns the process's own streams.
+// Std returns the standard streams of the process.
 func Std() IO {
 	return IO{In: os.Stdin, Out: os.Stdout, Err: os.Stderr}
 }
 
-// commands returns all subcommands in the order of the help page.
+// commands returns all subcommands in the order in which help lists them.
 func commands() []*Command {
 	return []*Command{
 		demoCommand(),
@@ -77,26 +81,27 @@
 	}
 }
 
-// Main runs the command line and returns the exit code.
+// Main runs the subcommand that args names and returns the exit code. Errors go
+// to std.Err.
 func Main(ctx context.Context, std IO, args []string) int {
 	if len(args) == 0 {
-		usage(std.Err)
+		printUsage(std.Err)
 		return ExitUsage
 	}
 	if args[0] == "-h" || args[0] == "--help" || args[0] == "help" {
-		usage(std.Out)
+		printUsage(std.Out)
 		return ExitOK
 	}
 	for _, c := range commands() {
 		if c.Name == args[0] {
-			return run(ctx, std, c, args[1:])
+			return runCommand(ctx, std, c, args[1:])
 		}
 	}
 	fmt.Fprintf(std.Err, "verbenastep: no command %q; see verbenastep help\n", args[0])
 	return ExitUsage
 }
 
-func usage(w io.Writer) {
+func printUsage(w io.Writer) {
 	fmt.Fprintln(w, "usage: verbenastep COMMAND [flags] [arguments]")
 	fmt.Fprintln(w)
 	for _, c := range commands() {
@@ -105,20 +110,21 @@
 	fmt.Fprintf(w, "\nverbenastep COMMAND -h explains a command's flags.\n%s\n", exitCodes)
 }
 
-// flags returns a command's flag set, with the ones that all have.
-func flags(c *Command, std *IO) *flag.FlagSet {
+// newFlagSet returns a command's flag set, including the flags that all
+// commands share. -json is stored in std.JSON.
+func newFlagSet(c *Command, std *IO) *flag.FlagSet {
 	f := flag.NewFlagSet(c.Name, flag.ContinueOnError)
 	c.Flags(f)
 	f.BoolVar(&std.JSON, "json", false, "write output and errors as JSON")
 	return f
 }
 
-func run(ctx context.Context, std IO, c *Command, args []string) int {
-	f := flags(c, &std)
+func runCommand(ctx context.Context, std IO, c *Command, args []string) int {
+	f := newFlagSet(c, &std)
 	f.SetOutput(io.Discard)
 	err := f.Parse(args)
 	if errors.Is(err, flag.ErrHelp) {
-		help(std.Out, c, f)
+		printHelp(std.Out, c, f)
 		return ExitOK
 	}
 	if err != nil {
@@ -133,19 +139,19 @@
 	return exitCode(err)
 }
 
-func help(w io.Writer, c *Command, f *flag.FlagSet) {
+func printHelp(w io.Writer, c *Command, f *flag.FlagSet) {
 	fmt.Fprintf(w, "usage: %s\n%s\n\nexample: %s\n\n", strings.TrimSpace("verbenastep "+c.Name+" [flags] "+c.Args), c.Summary, c.Example)
 	f.SetOutput(w)
 	f.PrintDefaults()
 	fmt.Fprintf(w, "\n%s\n", exitCodes)
 }
 
-// usageError says that the command line is wrong.
+// usageError reports an invalid command line.
 type usageError struct {
 	problem string
 }
 
-// Error gives the problem.
+// Error returns the problem.
 func (e *usageError) Error() string { return e.problem }
 
 func printError(std IO, c *Command, err error) {
@@ -156,55 +162,56 @@
 	for _, line := range strings.Split(err.Error(), "\n") {
 		fmt.Fprintf(std.Err, "verbenastep: %s\n", line)
 	}
-	wrong := (*usageError)(nil)
-	if errors.As(err, &wrong) {
+	usageErr := (*usageError)(nil)
+	if errors.As(err, &usageErr) {
 		fmt.Fprintf(std.Err, "see verbenastep %s -h\n", c.Name)
 	}
 }
 
-// jsonError is an error's machine-readable form.
+// jsonError is the machine-readable form of an error.
 type jsonError struct {
 	Error    any `json:"error"`
 	ExitCode int `json:"exit_code"`
 }
 
-// plainError is the detail of an error that has no fields of its own.
-type plainError struct {
+// messageDetail is the machine-readable form of an error that has only a
+// message.
+type messageDetail struct {
 	Message string `json:"message"`
 }
 
-// detailed is an error with a machine-readable form.
-type detailed interface {
+// detailedError is an error with a machine-readable form of its own.
+type detailedError interface {
 	detail() any
 }
 
 func errorDetail(err error) any {
-	known := (*fault.Error)(nil)
-	rich := detailed(nil)
+	faultErr := (*fault.Error)(nil)
+	detailed := detailedError(nil)
 	switch {
-	case errors.As(err, &rich):
-		return rich.detail()
-	case errors.As(err, &known):
-		return known
+	case errors.As(err, &detailed):
+		return detailed.detail()
+	case errors.As(err, &faultErr):
+		return faultErr
 	}
-	return plainError{Message: err.Error()}
+	return messageDetail{Message: err.Error()}
 }
 
 func exitCode(err error) int {
-	wrong := (*usageError)(nil)
-	known := (*fault.Error)(nil)
+	usageErr := (*usageError)(nil)
+	faultErr := (*fault.Error)(nil)
 	switch {
-	case errors.As(err, &wrong):
+	case errors.As(err, &usageErr):
 		return ExitUsage
-	case !errors.As(err, &known):
+	case !errors.As(err, &faultErr):
 		return ExitFailed
-	case known.Kind == fault.Conflict:
+	case faultErr.Kind == fault.Conflict:
 		return ExitConflict
-	case known.Kind == client.Unreachable:
+	case faultErr.Kind == client.Unreachable:
 		return ExitUnreachable
-	case known.Ran == fault.NotRun:
+	case faultErr.Ran == fault.NotRun:
 		return ExitRefused
-	case known.Ran == fault.MayHaveRun:
+	case faultErr.Ran == fault.MayHaveRun:
 		return ExitUnknown
 	}
 	return ExitFailed
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -16,26 +16,27 @@
 	"github.com/verbenastep/verbenastep/api/operator"
 )
 
-// result is what one command line gave.
-type result struct {
+// commandResult is the exit code and output of one command line.
+type commandResult struct {
 	code int
 	out  string
 	err  string
 }
 
-func command(t *testing.T, args ...string) result {
+func runCLI(t *testing.T, args ...string) commandResult {
 	t.Helper()
-	return commandIn(t.Context(), args...)
+	return runCLIContext(t.Context(), args...)
 }
 
-func commandIn(ctx context.Context, args ...string) result {
+func runCLIContext(ctx context.Context, args ...string) commandResult {
 	out, errs := bytes.Buffer{}, bytes.Buffer{}
 	code := Main(ctx, IO{In: strings.NewReader(""), Out: &out, Err: &errs}, args)
-	return result{code: code, out: out.String(), err: errs.String()}
+	return commandResult{code: code, out: out.String(), err: errs.String()}
 }
 
-// golden compares all that a user sees; addresses differ by run.
-func golden(t *testing.T, name string, r result, addresses ...string) {
+// assertGolden compares output and exit code with a golden file. Addresses differ
+// from run to run and are replaced by a fixed word.
+func assertGolden(t *testing.T, name string, r commandResult, addresses ...string) {
 	t.Helper()
 	text := r.out + "--- stderr\n" + r.err + "--- exit code " + string(rune('0'+r.code)) + "\n"
 	for _, a := range addresses {
@@ -44,34 +45,34 @@
 	goldie.New(t).Assert(t, name, []byte(text))
 }
 
-func TestHelpOfEveryCommand(t *testing.T) {
-	t.Setenv(operatorVariable, "planted-operator-key")
-	t.Setenv(workspaceVariable, "planted-workspace-key")
-	all := command(t, "help")
+func TestHelpCoversEveryCommandAndHidesKeys(t *testing.T) {
+	t.Setenv(operatorKeyEnv, "planted-operator-key")
+	t.Setenv(workspaceKeyEnv, "planted-workspace-key")
+	all := runCLI(t, "help")
 	require.Equal(t, ExitOK, all.code)
 	for _, c := range commands() {
 		require.Contains(t, all.out, c.Name+" ")
 		require.Contains(t, all.out, c.Summary)
-		r := command(t, c.Name, "-h")
+		r := runCLI(t, c.Name, "-h")
 		require.Equal(t, ExitOK, r.code)
 		require.Contains(t, r.out, "example: ")
 		require.Contains(t, r.out, "-json")
-		require.NotContains(t, r.out, "planted", "help shows a key")
+		require.NotContains(t, r.out, "planted", "help shows a key from the environment")
 	}
 	for _, name := range []string{"apply", "check", "demo", "diff", "explain", "send", "where"} {
-		golden(t, "help-"+name, command(t, name, "-h"))
+		assertGolden(t, "help-"+name, runCLI(t, name, "-h"))
 	}
 }
 
 func TestCompletionNamesEveryCommand(t *testing.T) {
-	r := command(t, "completion", "bash")
+	r := runCLI(t, "completion", "bash")
 	require.Equal(t, ExitOK, r.code)
 	for _, c := range commands() {
 		require.Contains(t, r.out, "    "+c.Name+") flags=\"")
 	}
 }
 
-func TestUsageErrors(t *testing.T) {
+func TestUsageErrorsExitWithUsageCode(t *testing.T) {
 	lines := map[string][]string{
 		"unknown":   {"aply"},
 		"flag":      {"get", "-colour"},
@@ -83,35 +84,38 @@
 		"json-flag": {"explain", "-json"},
 	}
 	for name, line := range lines {
-		r := command(t, line...)
+		r := runCLI(t, line...)
 		require.Equal(t, ExitUsage, r.code, name)
-		golden(t, "usage-"+name, r)
+		assertGolden(t, "usage-"+name, r)
 	}
 }
 
 func TestCheckReportsEveryFaultWithItsFile(t *testing.T) {
-	golden(t, "check-faults", command(t, "check", "testdata/faulty"))
-	golden(t, "check-faults-json", command(t, "check", "-json", "testdata/faulty"))
-	golden(t, "check-valid", command(t, "check", "testdata/valid"))
-	golden(t, "check-missing", command(t, "check", "testdata/none"))
+	assertGolden(t, "check-faults", runCLI(t, "check", "testdata/faulty"))
+	assertGolden(t, "check-faults-json", runCLI(t, "check", "-json", "testdata/faulty"))
+	assertGolden(t, "check-valid", runCLI(t, "check", "testdata/valid"))
+	assertGolden(t, "check-missing", runCLI(t, "check", "testdata/none"))
 }
 
-// fakeDaemon answers as a daemon's administrative address would.
+// fakeDaemon serves the administrative API of a daemon.
 type fakeDaemon struct {
 	config  operator.Config
 	applies []operator.Apply
-	// lost counts applies whose answer is lost; refuse answers all others.
-	lost int
-	// starting counts questions that break off before it answers any.
-	starting int
-	whenLost func()
-	refuse   *fault.Error
-	status   []operator.Status
+	// lostReplies is the number of applies whose connection is closed without a
+	// reply; refusal, if set, answers the others.
+	lostReplies int
+	// failedStarts is the number of requests whose connection is closed before
+	// the daemon answers any.
+	failedStarts int
+	// onLostReply, if set, is called for each lost reply.
+	onLostReply func()
+	refusal     *fault.Error
+	status      []operator.Status
 }
 
 func (d *fakeDaemon) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	if d.starting > 0 {
-		d.starting--
+	if d.failedStarts > 0 {
+		d.failedStarts--
 		panic(http.ErrAbortHandler)
 	}
 	switch {
@@ -139,15 +143,15 @@
 		panic(err)
 	}
 	d.applies = append(d.applies, a)
-	if d.lost > 0 {
-		d.lost--
-		if d.whenLost != nil {
-			d.whenLost()
+	if d.lostReplies > 0 {
+		d.lostReplies--
+		if d.onLostReply != nil {
+			d.onLostReply()
 		}
 		panic(http.ErrAbortHandler)
 	}
-	if d.refuse != nil {
-		d.write(w, d.refuse)
+	if d.refusal != nil {
+		d.write(w, d.refusal)
 		return
 	}
 	d.write(w, operator.Applied{Version: a.Base + 1, Digest: "sha256:new"})
@@ -160,10 +164,11 @@
 	_ = json.NewEncoder(w).Encode(v)
 }
 
-// fake starts a daemon that has version 4 in force.
-func fake(t *testing.T) (*fakeDaemon, string) {
+// startFakeDaemon starts a fake daemon with version 4 in force and returns its
+// address.
+func startFakeDaemon(t *testing.T) (*fakeDaemon, string) {
 	t.Helper()
-	t.Setenv(operatorVariable, "right")
+	t.Setenv(operatorKeyEnv, "right")
 	files, err := ReadFolder("testdata/older")
 	require.NoError(t, err)
 	files, err = files.Compact()
@@ -175,15 +180,15 @@
 }
 
 func TestDiffShowsValuesByPath(t *testing.T) {
-	_, address := fake(t)
-	golden(t, "diff", command(t, "diff", "-daemon", address, "testdata/valid"))
-	golden(t, "diff-same", command(t, "diff", "-daemon", address, "testdata/older"))
+	_, address := startFakeDaemon(t)
+	assertGolden(t, "diff", runCLI(t, "diff", "-daemon", address, "testdata/valid"))
+	assertGolden(t, "diff-same", runCLI(t, "diff", "-daemon", address, "testdata/older"))
 }
 
 func TestApplyResendsALostChangeOnTheSameBase(t *testing.T) {
-	d, address := fake(t)
-	d.lost = 2
-	r := command(t, "apply", "-daemon", address, "testdata/valid")
+	d, address := startFakeDaemon(t)
+	d.lostReplies = 2
+	r := runCLI(t, "apply", "-daemon", address, "testdata/valid")
 	require.Equal(t, ExitOK, r.code, r.err)
 	require.Len(t, d.applies, 3)
 	for _, a := range d.applies {
@@ -192,76 +197,76 @@
 	}
 }
 
-func TestApplyWaitsForADaemonThatStarts(t *testing.T) {
-	d, address := fake(t)
-	d.starting = 2
-	r := command(t, "apply", "-daemon", address, "testdata/valid")
+func TestApplyRetriesUntilADaemonAnswers(t *testing.T) {
+	d, address := startFakeDaemon(t)
+	d.failedStarts = 2
+	r := runCLI(t, "apply", "-daemon", address, "testdata/valid")
 	require.Equal(t, ExitOK, r.code, r.err)
 	require.Equal(t, 1, strings.Count(r.err, "no daemon answers yet"))
 	require.Len(t, d.applies, 1)
 }
 
-func TestApplyOfUnknownFateSaysHowToGoOn(t *testing.T) {
-	d, address := fake(t)
+func TestApplyWithUnknownOutcomeNamesTheBaseToRepeat(t *testing.T) {
+	d, address := startFakeDaemon(t)
 	ctx, cancel := context.WithCancel(t.Context())
-	d.lost = 2
-	d.whenLost = func() {
-		if d.lost == 0 {
+	d.lostReplies = 2
+	d.onLostReply = func() {
+		if d.lostReplies == 0 {
 			cancel()
 		}
 	}
-	r := commandIn(ctx, "apply", "-base", "4", "-daemon", address, "testdata/valid")
+	r := runCLIContext(ctx, "apply", "-base", "4", "-daemon", address, "testdata/valid")
 	require.Equal(t, ExitUnknown, r.code, r.err)
 	require.Contains(t, r.err, "apply the same files with -base 4")
 	require.Len(t, d.applies, 2)
 }
 
-func TestApplyConflictShowsWinnerAndDifference(t *testing.T) {
-	d, address := fake(t)
-	d.refuse = fault.New(fault.Conflict, "merge your change and apply again", "version 4 of registrar won")
-	r := command(t, "apply", "-daemon", address, "-base", "3", "testdata/valid")
+func TestApplyConflictShowsVersionInForceAndDifferences(t *testing.T) {
+	d, address := startFakeDaemon(t)
+	d.refusal = fault.New(fault.Conflict, "merge your change and apply again", "version 4 of registrar won")
+	r := runCLI(t, "apply", "-daemon", address, "-base", "3", "testdata/valid")
 	require.Len(t, d.applies, 1)
 	require.EqualValues(t, 3, d.applies[0].Base)
-	golden(t, "apply-conflict", r)
-	golden(t, "apply-conflict-json", command(t, "apply", "-json", "-daemon", address, "-base", "3", "testdata/valid"))
+	assertGolden(t, "apply-conflict", r)
+	assertGolden(t, "apply-conflict-json", runCLI(t, "apply", "-json", "-daemon", address, "-base", "3", "testdata/valid"))
 }
 
-func TestApplyWaitsUntilNobodyLags(t *testing.T) {
-	d, address := fake(t)
+func TestApplyWaitsUntilNoDaemonLags(t *testing.T) {
+	d, address := startFakeDaemon(t)
 	d.status = []operator.Status{
 		{Members: []operator.MemberStatus{{Name: "d1", Version: 5}, {Name: "d2", Version: 4, Lags: true}}},
 		{Members: []operator.MemberStatus{{Name: "d1", Version: 5}, {Name: "d2", Version: 5}}},
 	}
-	golden(t, "apply-wait", command(t, "apply", "-wait", "-daemon", address, "testdata/valid"))
+	assertGolden(t, "apply-wait", runCLI(t, "apply", "-wait", "-daemon", address, "testdata/valid"))
 }
 
 func TestApplyNeverSendsFaultyFiles(t *testing.T) {
-	d, address := fake(t)
-	r := command(t, "apply", "-daemon", address, "testdata/faulty")
+	d, address := startFakeDaemon(t)
+	r := runCLI(t, "apply", "-daemon", address, "testdata/faulty")
 	require.Equal(t, ExitFailed, r.code)
 	require.Empty(t, d.applies)
 }
 
-func TestStatusShowsWhoLags(t *testing.T) {
-	d, address := fake(t)
+func TestStatusMarksLaggingDaemons(t *testing.T) {
+	d, address := startFakeDaemon(t)
 	d.status = []operator.Status{{Daemon: "d1", Version: 5, Members: []operator.MemberStatus{
 		{Name: "d1", Region: "gauteng", DataCentre: "jhb-north", Callers: "10.0.0.1:7101", Version: 5, Replica: true},
 		{Name: "d2", Region: "western-cape", DataCentre: "cpt-south", Callers: "10.0.0.2:7101", Version: 4, Lags: true},
 	}}}
-	golden(t, "status", command(t, "status", "-daemon", address))
+	assertGolden(t, "status", runCLI(t, "status", "-daemon", address))
 }
 
-func TestNextDaemonIsAskedWhereOneIsGone(t *testing.T) {
-	_, address := fake(t)
+func TestExplainQueriesAllDaemonsPastAnUnreachableOne(t *testing.T) {
+	_, address := startFakeDaemon(t)
 	gone := httptest.NewServer(nil)
 	gone.Close()
-	r := command(t, "explain", "-daemon", gone.Listener.Addr().String()+","+address, "known")
-	golden(t, "explain", r, address)
-	require.Equal(t, ExitRefused, command(t, "explain", "-daemon", address, "other").code)
-	require.Equal(t, ExitUnreachable, command(t, "get", "-daemon", gone.Listener.Addr().String()).code)
+	r := runCLI(t, "explain", "-daemon", gone.Listener.Addr().String()+","+address, "known")
+	assertGolden(t, "explain", r, address)
+	require.Equal(t, ExitRefused, runCLI(t, "explain", "-daemon", address, "other").code)
+	require.Equal(t, ExitUnreachable, runCLI(t, "get", "-daemon", gone.Listener.Addr().String()).code)
 }
 
-func TestWrongKeyIsRefused(t *testing.T) {
-	_, address := fake(t)
-	golden(t, "wrong-key", command(t, "get", "-daemon", address, "-key", "wrong"))
+func TestWrongOperatorKeyIsRefused(t *testing.T) {
+	_, address := startFakeDaemon(t)
+	assertGolden(t, "wrong-key", runCLI(t, "get", "-daemon", address, "-key", "wrong"))
 }
--- a/internal/cli/completion.go
+++ b/internal/cli/completion.go
@@ -8,8 +8,9 @@
 	"strings"
 )
 
-// script completes commands and flags, and file names elsewhere.
-const script = `# Completion for bash; load it with: source <(verbenastep completion bash)
+// bashScript is the format of the completion script: it completes commands and
+// flags, and file names in all other positions.
+const bashScript = `# Completion for bash; load it with: source <(verbenastep completion bash)
 _verbenastep() {
   local word=${COMP_WORDS[COMP_CWORD]} flags=""
   if [ "$COMP_CWORD" -eq 1 ]; then
@@ -45,10 +46,10 @@
 	cases := strings.Builder{}
 	for _, c := range commands() {
 		names = append(names, c.Name)
-		list := []string{}
-		flags(c, &IO{}).VisitAll(func(f *flag.Flag) { list = append(list, "-"+f.Name) })
-		fmt.Fprintf(&cases, "    %s) flags=\"%s\" ;;\n", c.Name, strings.Join(list, " "))
+		flagNames := []string{}
+		newFlagSet(c, &IO{}).VisitAll(func(f *flag.Flag) { flagNames = append(flagNames, "-"+f.Name) })
+		fmt.Fprintf(&cases, "    %s) flags=\"%s\" ;;\n", c.Name, strings.Join(flagNames, " "))
 	}
-	_, err := fmt.Fprintf(w, script, strings.Join(names, " "), cases.String())
+	_, err := fmt.Fprintf(w, bashScript, strings.Join(names, " "), cases.String())
 	return err
 }
--- a/internal/cli/demo.go
+++ b/internal/cli/demo.go
@@ -12,8 +12,8 @@
 	"github.com/verbenastep/verbenastep/internal/settings"
 )
 
-// errBroken says that the checker found a broken promise.
-var errBroken = errors.New("not every promise held; run it again with -v for the daemons' logs")
+// errBroken reports that the demo's checker found a violated invariant.
+var errInvariantViolated = errors.New("not every promise held; run it again with -v for the daemons' logs")
 
 func demoCommand() *Command {
 	opt := demo.Options{}
@@ -44,7 +44,7 @@
 				report.Print(std.Out)
 			}
 			if err == nil && !report.Held {
-				err = errBroken
+				err = errInvariantViolated
 			}
 			return err
 		},
--- a/internal/cli/diff.go
+++ b/internal/cli/diff.go
@@ -14,7 +14,8 @@
 	"github.com/verbenastep/verbenastep/core/config"
 )
 
-// change is one value that differs. A missing side is nil.
+// change is one value that differs between two configurations. Old is nil for an
+// added value, New for a removed one.
 type change struct {
 	File string          `json:"file"`
 	Path string          `json:"path"`
@@ -22,41 +23,41 @@
 	New  json.RawMessage `json:"new,omitempty"`
 }
 
-// differentError says that a folder differs from what is in force.
-type differentError struct {
+// differenceError reports that a folder differs from the configuration in force.
+type differenceError struct {
 	changes []change
 	version uint64
 }
 
-// Error counts the changes.
-func (e *differentError) Error() string {
+// Error returns the number of differences.
+func (e *differenceError) Error() string {
 	return fmt.Sprintf("%s from version %d", plural(len(e.changes), "difference"), e.version)
 }
 
-func (e *differentError) detail() any { return e.changes }
+func (e *differenceError) detail() any { return e.changes }
 
 func diffCommand() *Command {
-	t := &target{}
+	t := &operatorTarget{}
 	return &Command{
 		Name: "diff", Summary: "show what applying a folder would change; exit code 1 where anything would", Args: "FOLDER", Example: "verbenastep diff examples/karoo",
-		Flags: t.flags,
+		Flags: t.registerFlags,
 		Run: func(ctx context.Context, std IO, args []string) error {
-			files, err := checkedFolder(args)
+			files, err := readValidFolder(args)
 			if err != nil {
 				return err
 			}
-			current, err := ask(ctx, t, currentConfig)
+			current, err := queryFirst(ctx, t, currentConfig)
 			if err != nil {
 				return err
 			}
-			changes := compare(config.Files(current.Files), files)
+			changes := compareFiles(config.Files(current.Files), files)
 			if std.JSON {
 				err = printJSON(std.Out, changes)
 			} else {
 				printChanges(std.Out, changes)
 			}
 			if err == nil && len(changes) > 0 {
-				err = &differentError{changes: changes, version: current.Version}
+				err = &differenceError{changes: changes, version: current.Version}
 			}
 			return err
 		},
@@ -80,59 +81,62 @@
 	}
 }
 
-// compare lists the values that differ, by file and path.
-func compare(from, to config.Files) []change {
+// compareFiles returns the values that differ, ordered by file and path.
+func compareFiles(from, to config.Files) []change {
 	paths := slices.Concat(from.Paths(), to.Paths())
 	slices.Sort(paths)
 	out := []change{}
 	for _, p := range slices.Compact(paths) {
-		w := &walk{file: p}
+		w := &fileComparison{file: p}
 		w.compare("$", from[p], to[p])
 		out = append(out, w.out...)
 	}
 	return out
 }
 
-// walk compares two documents of one file.
-type walk struct {
+// fileComparison collects the differences between two versions of a file.
+type fileComparison struct {
 	file string
 	out  []change
 }
 
-// compare descends as long as both sides are objects, or lists of named ones.
-func (w *walk) compare(path string, old, now json.RawMessage) {
-	if bytes.Equal(old, now) {
+// compare records the differences below path. It descends while both sides are
+// objects or lists of named objects; a difference in nothing but their order is
+// recorded for the path as a whole.
+func (w *fileComparison) compare(path string, old, updated json.RawMessage) {
+	if bytes.Equal(old, updated) {
 		return
 	}
-	a, isA := members(old)
-	b, isB := members(now)
-	if !isA || !isB {
-		w.out = append(w.out, change{File: w.file, Path: path, Old: old, New: now})
+	oldMembers, oldHasMembers := namedMembers(old)
+	newMembers, newHasMembers := namedMembers(updated)
+	if !oldHasMembers || !newHasMembers {
+		w.out = append(w.out, change{File: w.file, Path: path, Old: old, New: updated})
 		return
 	}
 	names := []string{}
-	for n := range a {
+	for n := range oldMembers {
 		names = append(names, n)
 	}
-	for n := range b {
+	for n := range newMembers {
 		names = append(names, n)
 	}
 	slices.Sort(names)
-	before := len(w.out)
+	recorded := len(w.out)
 	for _, n := range slices.Compact(names) {
-		w.compare(path+n, a[n], b[n])
+		w.compare(path+n, oldMembers[n], newMembers[n])
 	}
-	if len(w.out) == before {
-		w.out = append(w.out, change{File: w.file, Path: path + " (order)", Old: old, New: now})
+	if len(w.out) == recorded {
+		w.out = append(w.out, change{File: w.file, Path: path + " (order)", Old: old, New: updated})
 	}
 }
 
-// members returns an object's values under ".field", or those of a list of
-// named objects under "[name]".
-func members(data json.RawMessage) (map[string]json.RawMessage, bool) {
+// namedMembers returns the values of an object by ".field", or the items of a
+// list of uniquely named objects by "[name]". It returns false for any other
+// value.
+func namedMembers(data json.RawMessage) (map[string]json.RawMessage, bool) {
 	object := map[string]json.RawMessage{}
 	if json.Unmarshal(data, &object) == nil && object != nil {
-		return prefixed(object), true
+		return prefixFields(object), true
 	}
 	items := []json.RawMessage{}
 	if json.Unmarshal(data, &items) != nil {
@@ -151,7 +155,7 @@
 	return out, len(out) == len(items)
 }
 
-func prefixed(object map[string]json.RawMessage) map[string]json.RawMessage {
+func prefixFields(object map[string]json.RawMessage) map[string]json.RawMessage {
 	out := make(map[string]json.RawMessage, len(object))
 	for k, v := range object {
 		out["."+strings.TrimSpace(k)] = v
--- a/internal/cli/operator.go
+++ b/internal/cli/operator.go
@@ -19,12 +19,12 @@
 )
 
 func getCommand() *Command {
-	t := &target{}
+	t := &operatorTarget{}
 	return &Command{
 		Name: "get", Summary: "show the configuration in force", Args: "[FILE]", Example: "verbenastep get tiers.json",
-		Flags: t.flags,
+		Flags: t.registerFlags,
 		Run: func(ctx context.Context, std IO, args []string) error {
-			c, err := ask(ctx, t, func(ctx context.Context, o *client.Operator) (operator.Config, error) { return o.Config(ctx) })
+			c, err := queryFirst(ctx, t, func(ctx context.Context, o *client.Operator) (operator.Config, error) { return o.Config(ctx) })
 			if err != nil {
 				return err
 			}
@@ -41,12 +41,12 @@
 }
 
 func statusCommand() *Command {
-	t := &target{}
+	t := &operatorTarget{}
 	return &Command{
 		Name: "status", Summary: "show the live daemons and who lags", Example: "verbenastep status -daemon 127.0.0.1:7401,127.0.0.1:7402",
-		Flags: t.flags,
+		Flags: t.registerFlags,
 		Run: func(ctx context.Context, std IO, _ []string) error {
-			st, err := ask(ctx, t, status)
+			st, err := queryFirst(ctx, t, status)
 			if err != nil {
 				return err
 			}
@@ -78,40 +78,40 @@
 }
 
 func dumpCommand() *Command {
-	t := &target{}
+	t := &operatorTarget{}
 	return &Command{
 		Name: "dump", Summary: "show the state of a daemon's services", Args: "[SERVICE]", Example: "verbenastep dump config.view",
-		Flags: t.flags,
+		Flags: t.registerFlags,
 		Run: func(ctx context.Context, std IO, args []string) error {
-			state, err := ask(ctx, t, func(ctx context.Context, o *client.Operator) (operator.State, error) { return o.State(ctx) })
+			state, err := queryFirst(ctx, t, func(ctx context.Context, o *client.Operator) (operator.State, error) { return o.State(ctx) })
 			if err != nil {
 				return err
 			}
 			if len(args) == 0 {
 				return printJSON(std.Out, state)
 			}
-			one, ok := state[args[0]]
+			service, ok := state[args[0]]
 			if !ok {
 				return fault.New(fault.NotFound, "verbenastep dump lists the services", "the daemon has no service %q", args[0])
 			}
-			return printJSON(std.Out, one)
+			return printJSON(std.Out, service)
 		},
 	}
 }
 
-// explained is what one daemon knows of a request.
-type explained struct {
+// explanation is what one daemon knows about a request.
+type explanation struct {
 	Daemon  string          `json:"daemon"`
 	Request json.RawMessage `json:"request"`
 }
 
 func explainCommand() *Command {
-	t := &target{}
+	t := &operatorTarget{}
 	files := ""
 	return &Command{
 		Name: "explain", Summary: "show why a request went where it did, waited, or was refused", Args: "KEY", Example: "verbenastep explain -daemon 127.0.0.1:7401,127.0.0.1:7402,127.0.0.1:7403 transfer-17",
 		Flags: func(f *flag.FlagSet) {
-			t.flags(f)
+			t.registerFlags(f)
 			f.StringVar(&files, "logs", "", "read the daemons' logs from these `FILES`, with commas between, or - for standard input, instead of asking")
 		},
 		Run: func(ctx context.Context, std IO, args []string) error {
@@ -121,7 +121,7 @@
 			if files != "" {
 				return explainLogs(std, files, args[0])
 			}
-			found, err := explain(ctx, t, args[0])
+			found, err := queryExplanations(ctx, t, args[0])
 			if err != nil {
 				return err
 			}
@@ -130,15 +130,15 @@
 	}
 }
 
-// explainLogs tells from logs what became of a request.
+// explainLogs prints what the daemons' logs say about a request.
 func explainLogs(std IO, files, request string) error {
 	lines := []logs.Line{}
 	for _, name := range strings.Split(files, ",") {
-		more, err := readLog(std, name)
+		fileLines, err := readLog(std, name)
 		if err != nil {
 			return err
 		}
-		lines = append(lines, more...)
+		lines = append(lines, fileLines...)
 	}
 	report, found := logs.Explain(lines, request)
 	if !found {
@@ -162,24 +162,26 @@
 	return logs.Read(f)
 }
 
-// explain asks all daemons: each knows what it saw itself.
-func explain(ctx context.Context, t *target, key string) ([]explained, error) {
-	found := []explained{}
-	last := error(&usageError{problem: "-daemon names no address"})
+// queryExplanations asks every daemon about a request, since each knows only
+// what it handled itself. It fails only if no daemon knows the request, with the
+// error of the last daemon that answered or else of the first.
+func queryExplanations(ctx context.Context, t *operatorTarget, key string) ([]explanation, error) {
+	found := []explanation{}
+	lastErr := error(&usageError{problem: "-daemon names no address"})
 	for i, c := range t.clients() {
 		request, err := c.Explain(ctx, key)
 		if err == nil {
-			found = append(found, explained{Daemon: c.Address, Request: request})
+			found = append(found, explanation{Daemon: c.Address, Request: request})
 			continue
 		}
 		if i == 0 || !unreachable(err) {
-			last = err
+			lastErr = err
 		}
 	}
 	if len(found) > 0 {
 		return found, nil
 	}
-	return nil, last
+	return nil, lastErr
 }
 
 func printJSON(w io.Writer, v any) error {
@@ -189,9 +191,10 @@
 	return enc.Encode(v)
 }
 
-func plural(n int, one string) string {
+// plural formats a count with its noun, given in the singular.
+func plural(n int, noun string) string {
 	if n == 1 {
-		return "1 " + one
+		return "1 " + noun
 	}
-	return fmt.Sprintf("%d %ss", n, one)
+	return fmt.Sprintf("%d %ss", n, noun)
 }
--- a/internal/cli/replica.go
+++ b/internal/cli/replica.go
@@ -19,16 +19,16 @@
 )
 
 func replicasCommand() *Command {
-	t := &target{}
+	t := &operatorTarget{}
 	remove := ""
 	return &Command{
 		Name: "replicas", Summary: "show the log's replicas, their terms and lag, or remove one", Example: "verbenastep replicas -daemon 127.0.0.1:7401",
 		Flags: func(f *flag.FlagSet) {
-			t.flags(f)
+			t.registerFlags(f)
 			f.StringVar(&remove, "remove", "", "take the replica `NAME` out of the group first")
 		},
 		Run: func(ctx context.Context, std IO, _ []string) error {
-			list, err := ask(ctx, t, func(ctx context.Context, o *client.Operator) ([]operator.Replica, error) {
+			list, err := queryFirst(ctx, t, func(ctx context.Context, o *client.Operator) ([]operator.Replica, error) {
 				if remove != "" {
 					return o.RemoveReplica(ctx, remove)
 				}
@@ -55,15 +55,15 @@
 }
 
 func backupCommand() *Command {
-	t := &target{}
+	t := &operatorTarget{}
 	return &Command{
 		Name: "backup", Summary: "write a snapshot of the durable state", Args: "FILE", Example: "verbenastep backup state.snapshot",
-		Flags: t.flags,
+		Flags: t.registerFlags,
 		Run: func(ctx context.Context, std IO, args []string) error {
 			if len(args) != 1 {
 				return &usageError{problem: "name one file to write"}
 			}
-			data, err := ask(ctx, t, func(ctx context.Context, o *client.Operator) ([]byte, error) { return o.Backup(ctx) })
+			data, err := queryFirst(ctx, t, func(ctx context.Context, o *client.Operator) ([]byte, error) { return o.Backup(ctx) })
 			if err != nil {
 				return err
 			}
@@ -79,7 +79,7 @@
 	}
 }
 
-// checkBackup tells whether a backup would restore.
+// checkBackup returns an error if a backup can't be restored.
 func checkBackup(name string, data []byte) error {
 	s, err := wal.DecodeSnapshot(name, data)
 	if err != nil {
@@ -88,6 +88,7 @@
 	return state.New().Restore(s.Data)
 }
 
+// writeFile writes the file durably, creating its folder where needed.
 func writeFile(path string, data []byte) error {
 	folder, err := wal.OpenFolder(filepath.Dir(path))
 	if err != nil {
@@ -114,7 +115,7 @@
 			if err := checkBackup(args[0], data); err != nil {
 				return err
 			}
-			if began(folder) {
+			if hasLog(folder) {
 				return fault.New(fault.Conflict, "move the data folders of all replicas away first, see docs/operations/replicas.md", "%s holds a log already", folder)
 			}
 			if err := writeFile(replica.RestoreFile(folder, port.GroupMain), data); err != nil {
@@ -126,7 +127,8 @@
 	}
 }
 
-func began(folder string) bool {
+// hasLog reports whether the data folder already holds a replicated log.
+func hasLog(folder string) bool {
 	_, err := os.Stat(replica.LogFolder(folder, port.GroupMain))
 	return err == nil
 }
--- a/internal/cli/standin.go
+++ b/internal/cli/standin.go
@@ -33,26 +33,28 @@
 		Run: func(ctx context.Context, std IO, _ []string) error {
 			a.Kind = upstream.Kind(kind)
 			a.Incarnation = uint64(time.Now().UnixNano())
-			up, self := newStandin(a, speed)
-			if err := up.Listen(); err != nil {
+			server, announcement := newStandin(a, speed)
+			if err := server.Listen(); err != nil {
 				return err
 			}
-			defer up.Close()
-			fmt.Fprintf(std.Err, "standin %s serves %s on %s\n", a.Name, a.Pool, self().Address)
-			ann := &standin.Announcer{Daemons: strings.Split(daemons, ","), Key: key, State: self}
-			ann.Run(ctx)
+			defer server.Close()
+			fmt.Fprintf(std.Err, "standin %s serves %s on %s\n", a.Name, a.Pool, announcement().Address)
+			announcer := &standin.Announcer{Daemons: strings.Split(daemons, ","), Key: key, State: announcement}
+			announcer.Run(ctx)
 			return nil
 		},
 	}
 }
 
-// listener is what both kinds of stand-in offer.
-type listener interface {
+// standinServer is the part that both kinds of stand-in upstream share.
+type standinServer interface {
 	Listen() error
 	Close()
 }
 
-func newStandin(a upstream.Announcement, speed standin.Speed) (listener, func() upstream.Announcement) {
+// newStandin returns a stand-in of the announced kind and a function that returns
+// its current announcement.
+func newStandin(a upstream.Announcement, speed standin.Speed) (standinServer, func() upstream.Announcement) {
 	if a.Kind == upstream.Plain {
 		s := standin.NewService(a, 20*time.Millisecond)
 		return s, func() upstream.Announcement { return s.Self }
--- a/internal/cli/version.go
+++ b/internal/cli/version.go
@@ -8,10 +8,10 @@
 	"runtime/debug"
 )
 
-// versionInfo is what the command was built from.
+// versionInfo is the output of the version command.
 type versionInfo struct {
 	Version string `json:"version"`
-	// Commit is empty where the build recorded none.
+	// Commit is empty if the build recorded no revision.
 	Commit string `json:"commit,omitempty"`
 	Go     string `json:"go"`
 }
