--- a/api/client/caller.go
+++ b/api/client/caller.go
@@ -16,61 +16,68 @@
 )
 
 const (
-	// HeaderKey carries the caller's own key for a request.
+	// HeaderKey is the request header that carries the caller's own key for a
+	// request.
 	HeaderKey = "Idempotency-Key"
-	// HeaderRequest carries the request's key back, the caller's or one issued.
+	// HeaderRequest is the response header that carries the request's key, either
+	// the caller's own or one that the entry issued.
 	HeaderRequest = "Verbenastep-Request"
-	// pathDirectory answers which entries to use.
+	// pathDirectory serves a Directory.
 	pathDirectory = "/v1/directory"
-	// pathAnswers gives the rest of an answer by key and offset.
+	// pathAnswers is followed by a request's key and serves its answer from an
+	// offset on.
 	pathAnswers = "/v1/answers/"
-	// directoryTimeout bounds one question to the directory.
+	// directoryTimeout bounds one directory request.
 	directoryTimeout = 2 * time.Second
 )
 
-// ConnectionLost is the kind of the client's own error where a connection
-// broke and the answer could not be picked up.
+// ConnectionLost is the kind of the error that the client itself reports when a
+// connection broke and the answer could not be resumed.
 const ConnectionLost fault.Kind = "connection_lost"
 
-// Directory says which entries callers may use, and for how long.
+// Directory lists the entries that callers may use, and for how long.
 type Directory struct {
-	// Addresses are the callers' addresses, the best first.
+	// Addresses are the callers' addresses of entries, in order of preference.
 	Addresses []string `json:"addresses"`
-	// Seconds is how long the answer may be kept.
+	// Seconds is how long the list may be cached.
 	Seconds int `json:"seconds"`
 }
 
-// Caller sends requests of one workspace. It asks the directory which entries
-// to use, spreads requests over them, and moves on from an entry that can't be
-// reached. It is safe for concurrent use.
+// Caller sends the requests of one workspace. It gets the list of entries from
+// the directory and caches it, distributes requests over the entries, and fails
+// over from an entry that can't be reached. It is safe for concurrent use; its
+// exported fields must not change after the first call.
 type Caller struct {
-	// Entries are callers' addresses, IP:port, to ask for the directory.
+	// Entries are the callers' addresses, IP:port, of entries to ask for the
+	// directory.
 	Entries []string
-	// Fixed keeps to Entries without asking the directory.
+	// Fixed restricts the caller to Entries; the directory is not asked.
 	Fixed bool
 	// Key is the workspace's bearer key.
 	Key string
 
-	mu    sync.Mutex
-	known Directory
-	until time.Time
-	next  int
+	mu        sync.Mutex
+	directory Directory
+	expiresAt time.Time
+	nextFirst int
 }
 
-// Directory asks the entries, one after the other, which addresses to use.
+// Directory gets the directory from the first entry that answers and caches it.
+// It asks cached addresses before Entries. The error is that of the last entry
+// asked, of kind Unreachable.
 func (c *Caller) Directory(ctx context.Context) (Directory, error) {
-	last := error(fault.New(Unreachable, "name the callers' address of a daemon", "no entry is named"))
-	for _, address := range append(c.cached(), c.Entries...) {
+	lastErr := error(fault.New(Unreachable, "name the callers' address of a daemon", "no entry is named"))
+	for _, address := range append(c.cachedAddresses(), c.Entries...) {
 		d, err := askDirectory(ctx, address)
 		if err == nil && len(d.Addresses) > 0 {
-			c.keep(d)
+			c.cacheDirectory(d)
 			return d, nil
 		}
 		if err != nil {
-			last = unanswered(address, "callers'", err)
+			lastErr = unreachableError(address, "callers'", err)
 		}
 	}
-	return Directory{}, last
+	return Directory{}, lastErr
 }
 
 func askDirectory(ctx context.Context, address string) (Directory, error) {
@@ -93,26 +100,30 @@
 	return d, err
 }
 
-func (c *Caller) cached() []string {
+// cachedAddresses returns a copy of the cached directory's addresses, even after
+// it has expired.
+func (c *Caller) cachedAddresses() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return append([]string{}, c.known.Addresses...)
+	return append([]string{}, c.directory.Addresses...)
 }
 
-func (c *Caller) keep(d Directory) {
+func (c *Caller) cacheDirectory(d Directory) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.known = d
-	c.until = time.Now().Add(time.Duration(d.Seconds) * time.Second)
+	c.directory = d
+	c.expiresAt = time.Now().Add(time.Duration(d.Seconds) * time.Second)
 }
 
-// entries returns the addresses to try, a different one first each time.
-func (c *Caller) entries(ctx context.Context) ([]string, error) {
+// candidateEntries returns the entries to try, in order. Successive calls rotate
+// the directory's list to spread the load. The directory is asked when the cache
+// has expired.
+func (c *Caller) candidateEntries(ctx context.Context) ([]string, error) {
 	if c.Fixed {
 		return c.Entries, nil
 	}
 	c.mu.Lock()
-	fresh := len(c.known.Addresses) > 0 && time.Now().Before(c.until)
+	fresh := len(c.directory.Addresses) > 0 && time.Now().Before(c.expiresAt)
 	c.mu.Unlock()
 	if !fresh {
 		if _, err := c.Directory(ctx); err != nil {
@@ -121,57 +132,59 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.next++
-	all := c.known.Addresses
-	first := c.next % len(all)
+	c.nextFirst++
+	all := c.directory.Addresses
+	first := c.nextFirst % len(all)
 	return append(append([]string{}, all[first:]...), all[:first]...), nil
 }
 
-// Request is one request of a caller.
+// Request is one request of a caller to an entry.
 type Request struct {
 	Method string
-	// Path is below the entry's root, such as "/v1/chat/completions".
+	// Path is the path on the entry, with the query, such as "/v1/chat/completions".
 	Path string
 	Body []byte
-	// ContentType is the body's; empty means JSON.
+	// ContentType is the body's media type; empty means application/json.
 	ContentType string
-	// Key is the caller's own key; empty lets the entry issue one.
+	// Key is the caller's own idempotency key; if empty, the entry issues one.
 	Key string
 }
 
-// Reply is a whole answer that was not streamed.
+// Reply is a complete answer that was not streamed.
 type Reply struct {
 	Status      int
 	ContentType string
 	Body        []byte
-	// Key is the request's key and Entry the address that answered.
+	// Key is the request's key, Entry the address that answered.
 	Key   string
 	Entry string
 }
 
-// Do sends a request and reads its whole answer. An entry that can't be
-// reached, or that drains, is passed over. With a key a request whose
-// connection broke is sent again to another entry; without one its outcome is
-// unknown. Errors of the system are *fault.Error.
+// Do sends a request and reads the complete answer. It skips an entry that can't
+// be reached or is draining. If the connection breaks, a request with a key is
+// sent again to another entry, while one without a key fails with an unknown
+// outcome. A service's own answer with an error status is a Reply; every refusal
+// of the system and lost connection is a *fault.Error.
 func (c *Caller) Do(ctx context.Context, r Request) (*Reply, error) {
-	entries, err := c.entries(ctx)
+	entries, err := c.candidateEntries(ctx)
 	if err != nil {
 		return nil, err
 	}
-	last := error(nil)
+	lastErr := error(nil)
 	for _, address := range entries {
 		reply, err := c.attempt(ctx, address, r)
 		if err == nil {
 			return reply, nil
 		}
-		last = err
-		if !mayMove(err, r) {
+		lastErr = err
+		if !mayTryNextEntry(err, r) {
 			break
 		}
 	}
-	return nil, asFault(last, r)
+	return nil, asFault(lastErr, r)
 }
 
+// attempt sends the request to one entry and reads the complete answer.
 func (c *Caller) attempt(ctx context.Context, address string, r Request) (*Reply, error) {
 	resp, err := c.send(ctx, address, r)
 	if err != nil {
@@ -209,11 +222,11 @@
 	return http.DefaultClient.Do(req)
 }
 
-// maxRefusal is the longest refusal that is read, in bytes.
-const maxRefusal = 64 << 10
+// maxRefusalBytes bounds how much of a refusal's body is read.
+const maxRefusalBytes = 64 << 10
 
-// decodeRefusal tells the system's refusal from a service's own answer with an
-// error status.
+// decodeRefusal decodes a refusal by the system. It returns false for a service's
+// own answer with an error status.
 func decodeRefusal(data []byte) (*fault.Error, bool) {
 	body := struct {
 		Error *fault.Error `json:"error"`
@@ -224,8 +237,9 @@
 	return body.Error, body.Error.Kind != "" && body.Error.Ran != ""
 }
 
+// refusal returns the error of a response whose status is not OK.
 func refusal(resp *http.Response) error {
-	data, err := io.ReadAll(io.LimitReader(resp.Body, maxRefusal))
+	data, err := io.ReadAll(io.LimitReader(resp.Body, maxRefusalBytes))
 	if err != nil {
 		return err
 	}
@@ -236,21 +250,25 @@
 	return e.WithRan(fault.MayHaveRun)
 }
 
-// mayMove tells whether another entry may be tried.
-func mayMove(err error, r Request) bool {
-	refused := (*fault.Error)(nil)
-	if errors.As(err, &refused) {
-		return refused.Kind == fault.Draining && refused.Ran == fault.NotRun
+// mayTryNextEntry reports whether the request may be sent to another entry after
+// err: a draining entry refused it, nothing was sent, or its key prevents a second
+// run.
+func mayTryNextEntry(err error, r Request) bool {
+	faultErr := (*fault.Error)(nil)
+	if errors.As(err, &faultErr) {
+		return faultErr.Kind == fault.Draining && faultErr.Ran == fault.NotRun
 	}
 	return notSent(err) || r.Key != ""
 }
 
-// notSent tells that no byte of the request left.
+// notSent reports whether no byte of the request was sent, because the connection
+// could not be established.
 func notSent(err error) bool {
 	op := (*net.OpError)(nil)
 	return errors.As(err, &op) && op.Op == "dial"
 }
 
+// asFault converts the error of a request to the one that the caller gets.
 func asFault(err error, r Request) *fault.Error {
 	found := (*fault.Error)(nil)
 	if errors.As(err, &found) {
@@ -264,7 +282,7 @@
 	return e.WithRan(fault.MayHaveRun)
 }
 
-// answerPath is where the rest of an answer lies.
+// answerPath returns the path of the rest of an answer from an offset in bytes.
 func answerPath(key string, offset int64) string {
 	return pathAnswers + key + "?offset=" + strconv.FormatInt(offset, 10)
 }
--- a/api/client/caller_test.go
+++ b/api/client/caller_test.go
@@ -14,58 +14,60 @@
 	"github.com/verbenastep/verbenastep/api/fault"
 )
 
-const whole = "one two three four "
+const fullAnswer = "one two three four "
 
-// entry is a fake entry that streams the answer above and cuts it once.
-type entry struct {
-	// cut is the offset, in bytes, at which the first stream breaks; zero
-	// means never.
-	cut int
-	// directory is what it answers; posts counts requests that it took.
-	directory func() []string
-	posts     atomic.Int32
-	picks     atomic.Int32
-	refuse    *fault.Error
-	forgets   bool
+// fakeEntry is an entry that streams fullAnswer and can break off the first stream.
+type fakeEntry struct {
+	// breakAt is the offset, in bytes, at which a posted request's stream breaks;
+	// zero means never.
+	breakAt int
+	// directory returns the addresses that the directory lists; posts and resumes
+	// count the requests sent and resumed here.
+	directory     func() []string
+	posts         atomic.Int32
+	resumes       atomic.Int32
+	refusal       *fault.Error
+	answerUnknown bool
 }
 
-func (e *entry) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (e *fakeEntry) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	switch {
 	case r.URL.Path == pathDirectory:
 		_ = json.NewEncoder(w).Encode(Directory{Addresses: e.directory(), Seconds: 60})
-	case e.refuse != nil:
-		w.WriteHeader(e.refuse.HTTPStatus())
-		_ = json.NewEncoder(w).Encode(map[string]*fault.Error{"error": e.refuse})
+	case e.refusal != nil:
+		w.WriteHeader(e.refusal.HTTPStatus())
+		_ = json.NewEncoder(w).Encode(map[string]*fault.Error{"error": e.refusal})
 	case r.Method == http.MethodPost:
 		e.posts.Add(1)
 		w.Header().Set(HeaderRequest, "k1")
-		stream(w, 0, e.cut)
-	case e.forgets:
+		writeStream(w, 0, e.breakAt)
+	case e.answerUnknown:
 		w.WriteHeader(http.StatusNotFound)
 		_ = json.NewEncoder(w).Encode(map[string]*fault.Error{"error": fault.New(fault.NotFound, "send it again", "no answer")})
 	default:
-		e.picks.Add(1)
+		e.resumes.Add(1)
 		offset, _ := strconv.Atoi(r.URL.Query().Get("offset"))
-		stream(w, offset, 0)
+		writeStream(w, offset, 0)
 	}
 }
 
-// stream writes three bytes an event; a cut breaks the connection.
-func stream(w http.ResponseWriter, offset, cut int) {
-	for offset < len(whole) {
-		if cut > 0 && offset >= cut {
+// writeStream writes the answer from an offset with three bytes per event, and
+// breaks the connection at breakAt if that is not zero.
+func writeStream(w http.ResponseWriter, offset, breakAt int) {
+	for offset < len(fullAnswer) {
+		if breakAt > 0 && offset >= breakAt {
 			_ = http.NewResponseController(w).Flush()
 			panic(http.ErrAbortHandler)
 		}
-		next := min(offset+3, len(whole))
-		fmt.Fprintf(w, "id: %d\ndata: {\"choices\":[{\"delta\":{\"content\":%q}}]}\n\n", next, whole[offset:next])
+		next := min(offset+3, len(fullAnswer))
+		fmt.Fprintf(w, "id: %d\ndata: {\"choices\":[{\"delta\":{\"content\":%q}}]}\n\n", next, fullAnswer[offset:next])
 		offset = next
 	}
 	fmt.Fprintf(w, "id: %d\ndata: {\"choices\":[{\"finish_reason\":\"stop\"}]}\n\ndata: [DONE]\n\n", offset)
 }
 
-// site starts entries that all name one another.
-func site(t *testing.T, entries ...*entry) *Caller {
+// startEntries starts entries whose directories list all of them.
+func startEntries(t *testing.T, entries ...*fakeEntry) *Caller {
 	t.Helper()
 	addresses := []string{}
 	for _, e := range entries {
@@ -77,35 +79,35 @@
 	return &Caller{Entries: addresses[:1], Key: "key"}
 }
 
-func TestStreamIsPickedUpAtItsOffset(t *testing.T) {
-	e := &entry{cut: 7}
+func TestStreamResumesAtItsOffset(t *testing.T) {
+	e := &fakeEntry{breakAt: 7}
 	got := ""
-	s, err := site(t, e).Stream(t.Context(), Request{Method: http.MethodPost, Path: "/v1/chat/completions"}, func(text string) { got += text })
+	s, err := startEntries(t, e).Stream(t.Context(), Request{Method: http.MethodPost, Path: "/v1/chat/completions"}, func(text string) { got += text })
 	require.NoError(t, err)
-	require.Equal(t, whole, s.Text)
-	require.Equal(t, whole, got, "a piece came twice or not at all")
+	require.Equal(t, fullAnswer, s.Text)
+	require.Equal(t, fullAnswer, got, "text was delivered twice or not at all")
 	require.Equal(t, "stop", s.Finish)
 	require.Equal(t, 1, s.Resumed)
 	require.EqualValues(t, 1, e.posts.Load(), "the request was sent again")
-	require.EqualValues(t, 1, e.picks.Load())
+	require.EqualValues(t, 1, e.resumes.Load())
 }
 
-func TestForgottenStreamIsResentOnlyUnderTheCallersKey(t *testing.T) {
-	keyed := &entry{cut: 7, forgets: true}
-	_, err := site(t, keyed).Stream(t.Context(), Request{Method: http.MethodPost, Path: "/v1/chat/completions", Key: "k1"}, nil)
+func TestUnknownStreamIsResentOnlyUnderTheCallersKey(t *testing.T) {
+	keyed := &fakeEntry{breakAt: 7, answerUnknown: true}
+	_, err := startEntries(t, keyed).Stream(t.Context(), Request{Method: http.MethodPost, Path: "/v1/chat/completions", Key: "k1"}, nil)
 	require.Error(t, err)
 	require.Greater(t, keyed.posts.Load(), int32(1))
-	unkeyed := &entry{cut: 7, forgets: true}
-	s, err := site(t, unkeyed).Stream(t.Context(), Request{Method: http.MethodPost, Path: "/v1/chat/completions"}, nil)
-	require.Error(t, err, "a cut answer looks whole")
-	require.Equal(t, whole[:9], s.Text)
+	unkeyed := &fakeEntry{breakAt: 7, answerUnknown: true}
+	s, err := startEntries(t, unkeyed).Stream(t.Context(), Request{Method: http.MethodPost, Path: "/v1/chat/completions"}, nil)
+	require.Error(t, err, "a truncated answer was reported as complete")
+	require.Equal(t, fullAnswer[:9], s.Text)
 	require.EqualValues(t, 1, unkeyed.posts.Load())
 }
 
-func TestDrainingEntryIsPassedOver(t *testing.T) {
-	draining := &entry{refuse: fault.New(fault.Draining, "use another entry", "this entry drains")}
-	other := &entry{}
-	c := site(t, draining, other)
+func TestDrainingEntryIsSkipped(t *testing.T) {
+	draining := &fakeEntry{refusal: fault.New(fault.Draining, "use another entry", "this entry drains")}
+	other := &fakeEntry{}
+	c := startEntries(t, draining, other)
 	for range 2 {
 		_, err := c.Stream(t.Context(), Request{Method: http.MethodPost, Path: "/v1/chat/completions"}, nil)
 		require.NoError(t, err)
@@ -113,24 +115,24 @@
 	require.EqualValues(t, 2, other.posts.Load())
 }
 
-func TestRefusalComesThroughAsItIs(t *testing.T) {
-	e := &entry{refuse: fault.New(fault.Overloaded, "come back", "shed")}
-	c := site(t, e, &entry{refuse: e.refuse})
+func TestRefusalIsReturnedUnchanged(t *testing.T) {
+	e := &fakeEntry{refusal: fault.New(fault.Overloaded, "come back", "shed")}
+	c := startEntries(t, e, &fakeEntry{refusal: e.refusal})
 	_, err := c.Do(t.Context(), Request{Method: http.MethodGet, Path: "/services/s/x"})
 	require.Equal(t, fault.Overloaded, fault.From(err).Kind)
 	require.Equal(t, fault.NotRun, fault.From(err).Ran)
 }
 
-func TestBrokenConnectionIsNeverCalledNotRun(t *testing.T) {
-	e := &entry{cut: 1}
-	c := site(t, e)
+func TestBrokenConnectionReportsMayHaveRun(t *testing.T) {
+	e := &fakeEntry{breakAt: 1}
+	c := startEntries(t, e)
 	_, err := c.Do(t.Context(), Request{Method: http.MethodPost, Path: "/services/s/x"})
 	require.Equal(t, ConnectionLost, fault.From(err).Kind)
 	require.Equal(t, fault.MayHaveRun, fault.From(err).Ran)
 	require.EqualValues(t, 1, e.posts.Load())
 }
 
-func TestNobodyThere(t *testing.T) {
+func TestUnreachableEntryReportsNotRun(t *testing.T) {
 	gone := httptest.NewServer(nil)
 	gone.Close()
 	c := &Caller{Entries: []string{gone.Listener.Addr().String()}}
@@ -139,7 +141,7 @@
 	require.Equal(t, fault.NotRun, fault.From(err).Ran)
 }
 
-func TestCompletionOfBothForms(t *testing.T) {
+func TestCompletionEncodesAndDecodesBothForms(t *testing.T) {
 	chat := Completion{Form: Chat, Model: "m", Prompt: "p", Stream: true}.Request("k")
 	require.Equal(t, "/v1/chat/completions", chat.Path)
 	require.Equal(t, "k", chat.Key)
--- a/api/client/completion.go
+++ b/api/client/completion.go
@@ -7,10 +7,10 @@
 	"github.com/verbenastep/verbenastep/api/fault"
 )
 
-// Form is which of the two completion calls is made.
+// Form selects one of the two completion calls.
 type Form string
 
-// Forms.
+// Forms of completion.
 const (
 	// Chat is POST /v1/chat/completions.
 	Chat Form = "chat"
@@ -18,17 +18,18 @@
 	Text Form = "text"
 )
 
-// Completion asks a model to go on from a prompt.
+// Completion describes a completion request to a model.
 type Completion struct {
 	Form   Form
 	Model  string
 	Prompt string
-	// MaxTokens bounds the answer; zero leaves it to the system.
+	// MaxTokens limits the tokens of the answer; with zero the system sets the
+	// limit.
 	MaxTokens int
 	Stream    bool
 }
 
-// completionBody is the body of both calls.
+// completionBody is the request body of both completion calls.
 type completionBody struct {
 	Model     string        `json:"model"`
 	Prompt    string        `json:"prompt,omitempty"`
@@ -42,8 +43,8 @@
 	Content string `json:"content"`
 }
 
-// Request returns the call, under the caller's own key or, where that is
-// empty, one that the entry issues.
+// Request returns the request for the completion. key is the caller's own
+// idempotency key; if empty, the entry issues one.
 func (c Completion) Request(key string) Request {
 	body := completionBody{Model: c.Model, Prompt: c.Prompt, MaxTokens: c.MaxTokens, Stream: c.Stream}
 	path := "/v1/completions"
@@ -52,13 +53,14 @@
 		body.Prompt = ""
 		body.Messages = []chatMessage{{Role: "user", Content: c.Prompt}}
 	}
-	// Strings and numbers always encode.
+	// A struct of strings and numbers can't fail to encode.
 	data, _ := json.Marshal(body)
 	return Request{Method: http.MethodPost, Path: path, Body: data, Key: key}
 }
 
-// Completion reads a whole completion of either form: its text, and why it
-// ended.
+// Completion decodes a completion of either form into its text and finish reason.
+// It fails with a *fault.Error that says that the request ran if the body is not a
+// completion.
 func (r *Reply) Completion() (text, finish string, err error) {
 	answer := struct {
 		Choices []struct {
--- a/api/client/replicas.go
+++ b/api/client/replicas.go
@@ -8,19 +8,20 @@
 	"github.com/verbenastep/verbenastep/api/operator"
 )
 
-// Replicas gets the positions of the log's replicas.
+// Replicas returns the position of each replica of the log.
 func (o *Operator) Replicas(ctx context.Context) ([]operator.Replica, error) {
 	out := []operator.Replica{}
 	return out, o.call(ctx, http.MethodGet, operator.PathReplicas, nil, &out)
 }
 
-// RemoveReplica takes a replica out of the group and gets the positions of all.
+// RemoveReplica removes a replica from the group and returns the positions of all
+// replicas.
 func (o *Operator) RemoveReplica(ctx context.Context, name string) ([]operator.Replica, error) {
 	out := []operator.Replica{}
 	return out, o.call(ctx, http.MethodDelete, operator.PathReplicas+"?name="+url.QueryEscape(name), nil, &out)
 }
 
-// Backup gets a snapshot of the durable state.
+// Backup returns an encoded snapshot of the durable state.
 func (o *Operator) Backup(ctx context.Context) ([]byte, error) {
 	out := operator.Backup{}
 	err := o.call(ctx, http.MethodGet, operator.PathBackup, nil, &out)
--- a/api/client/stream.go
+++ b/api/client/stream.go
@@ -15,31 +15,33 @@
 )
 
 const (
-	// maxEvent is the longest server-sent event, in bytes.
-	maxEvent = 4 << 20
-	// resumeTries bounds new connections for one stream without progress.
-	resumeTries = 8
-	// resumePause is the wait before the entries are tried again.
-	resumePause = 250 * time.Millisecond
-	// endOfStream is the data of the last event.
+	// maxEventBytes is the maximum size of a line of a server-sent event.
+	maxEventBytes = 4 << 20
+	// maxResumeAttempts bounds consecutive rounds over the entries without
+	// progress of the stream.
+	maxResumeAttempts = 8
+	// resumeDelay is the delay before the entries are tried again.
+	resumeDelay = 250 * time.Millisecond
+	// endOfStream is the data of the event that ends a stream.
 	endOfStream = "[DONE]"
 )
 
-// Stream is a whole answer that was streamed.
+// Stream is a streamed answer. It is incomplete if it is returned with an error.
 type Stream struct {
 	Text   string
 	Finish string
-	// Key is the request's key, the caller's or one issued.
+	// Key is the request's key, either the caller's own or one that the entry
+	// issued.
 	Key string
-	// Entry is the address that gave the end; Resumed counts how often the
-	// stream was picked up again over a new connection.
+	// Entry is the address that delivered the end of the answer. Resumed counts
+	// how often the stream was tried again after its connection was lost.
 	Entry   string
 	Resumed int
-	// First is when the first text came.
+	// First is the time at which the first text arrived.
 	First time.Time
 }
 
-// chunk is what an event's data holds of both completion forms.
+// chunk is the part of an event's data that is read, for both completion forms.
 type chunk struct {
 	Choices []struct {
 		Delta struct {
@@ -51,106 +53,114 @@
 	Error *fault.Error `json:"error"`
 }
 
-// Stream sends a completion with "stream": true and hands each piece of text
-// to fn, which may be nil. Where the connection is lost it picks the answer up
-// at another entry, by key and offset. The answer is whole if and only if the
-// error is nil; errors of the system are *fault.Error.
+// Stream sends a completion request whose body has "stream": true and calls fn,
+// which may be nil, with each piece of text in order. If the connection is lost,
+// it resumes the answer by key and offset at any entry. The answer is complete if
+// and only if the error is nil. Errors are *fault.Error; the Stream returned with
+// one holds the text received so far.
 func (c *Caller) Stream(ctx context.Context, r Request, fn func(text string)) (*Stream, error) {
 	return c.stream(ctx, &streaming{caller: c, request: r, out: &Stream{Key: r.Key}, fn: fn})
 }
 
-// PickUp gives the rest of an answer from an offset, in bytes, at any entry.
-// The offset counts as received: the stream's text begins there.
+// PickUp streams the rest of an answer from an offset in bytes, from any entry.
+// The Stream's text begins at the offset. fn, errors and resumption are as for
+// Stream.
 func (c *Caller) PickUp(ctx context.Context, key string, offset int64, fn func(text string)) (*Stream, error) {
-	return c.stream(ctx, &streaming{caller: c, out: &Stream{Key: key}, fn: fn, offset: offset, begun: true})
+	return c.stream(ctx, &streaming{caller: c, out: &Stream{Key: key}, fn: fn, offset: offset, accepted: true})
 }
 
+// stream tries the entries until the answer is complete, the error doesn't allow
+// another attempt, or no attempt makes progress.
 func (c *Caller) stream(ctx context.Context, s *streaming) (*Stream, error) {
-	tries := 0
+	attempts := 0
 	for {
 		before := len(s.out.Text)
-		err := s.round(ctx)
+		err := s.tryEntries(ctx)
 		if err == nil {
 			return s.out, nil
 		}
-		tries++
+		attempts++
 		if len(s.out.Text) > before {
-			tries = 0
+			attempts = 0
 		}
-		if !s.mayResume(err) || tries >= resumeTries || ctx.Err() != nil {
+		if !s.mayResume(err) || attempts >= maxResumeAttempts || ctx.Err() != nil {
 			return s.out, asFault(err, Request{Key: s.out.Key})
 		}
 		s.out.Resumed++
 		select {
-		case <-time.After(resumePause):
+		case <-time.After(resumeDelay):
 		case <-ctx.Done():
 		}
 	}
 }
 
-// streaming is one stream under way.
+// streaming is the state of a stream in progress.
 type streaming struct {
 	caller  *Caller
 	request Request
 	out     *Stream
 	fn      func(string)
-	// offset is where the text begins in the answer, in bytes.
+	// offset is the position in the answer, in bytes, at which out.Text begins.
 	offset int64
-	// begun says that an entry has accepted the request.
-	begun bool
+	// accepted is set once an entry has accepted the request.
+	accepted bool
 }
 
+// mayResume reports whether another round may follow err: the system did not
+// refuse, and either the answer has a key or nothing was sent.
 func (s *streaming) mayResume(err error) bool {
-	refused := (*fault.Error)(nil)
-	return !errors.As(err, &refused) && (s.out.Key != "" || notSent(err))
+	faultErr := (*fault.Error)(nil)
+	return !errors.As(err, &faultErr) && (s.out.Key != "" || notSent(err))
 }
 
-// round tries each entry once.
-func (s *streaming) round(ctx context.Context) error {
-	entries, err := s.caller.entries(ctx)
+// tryEntries tries each entry at most once until one delivers the end.
+func (s *streaming) tryEntries(ctx context.Context) error {
+	entries, err := s.caller.candidateEntries(ctx)
 	if err != nil {
 		return err
 	}
-	last := error(nil)
+	lastErr := error(nil)
 	for _, address := range entries {
-		if last = s.from(ctx, address); last == nil {
+		if lastErr = s.streamFrom(ctx, address); lastErr == nil {
 			s.out.Entry = address
 			return nil
 		}
-		if !s.moveOn(last) {
-			return last
+		if !s.mayTryNextEntry(lastErr) {
+			return lastErr
 		}
 	}
-	return last
+	return lastErr
 }
 
-// moveOn tells whether the next entry may have the answer, or may take the
-// request.
-func (s *streaming) moveOn(err error) bool {
-	refused := (*fault.Error)(nil)
-	if !errors.As(err, &refused) {
-		return s.begun || mayMove(err, s.request)
+// mayTryNextEntry reports whether, after err, the next entry may hold the answer or
+// may be sent the request.
+func (s *streaming) mayTryNextEntry(err error) bool {
+	faultErr := (*fault.Error)(nil)
+	if !errors.As(err, &faultErr) {
+		return s.accepted || mayTryNextEntry(err, s.request)
 	}
-	if s.begun && refused.Kind == fault.NotFound {
+	if s.accepted && faultErr.Kind == fault.NotFound {
 		return true
 	}
-	return refused.Kind == fault.Draining && refused.Ran == fault.NotRun
+	return faultErr.Kind == fault.Draining && faultErr.Ran == fault.NotRun
 }
 
-// from opens the stream at one entry. A request that was begun is picked up;
-// where the entry doesn't know it, a caller's own key lets it be sent again.
-func (s *streaming) from(ctx context.Context, address string) error {
-	if s.begun {
-		pick := Request{Method: http.MethodGet, Path: answerPath(s.out.Key, s.received())}
-		err := s.open(ctx, address, pick)
-		missing := (*fault.Error)(nil)
-		if !errors.As(err, &missing) || missing.Kind != fault.NotFound || s.request.Key == "" {
+// streamFrom reads the stream from one entry. An accepted request is resumed. If
+// the entry doesn't know it, the request is sent again, but only under the caller's
+// own key, which prevents a second run.
+func (s *streaming) streamFrom(ctx context.Context, address string) error {
+	if s.accepted {
+		resumption := Request{Method: http.MethodGet, Path: answerPath(s.out.Key, s.receivedBytes())}
+		err := s.open(ctx, address, resumption)
+		faultErr := (*fault.Error)(nil)
+		if !errors.As(err, &faultErr) || faultErr.Kind != fault.NotFound || s.request.Key == "" {
 			return err
 		}
 	}
 	return s.open(ctx, address, s.request)
 }
 
+// open sends the request to one entry and reads the events of its response.
 func (s *streaming) open(ctx context.Context, address string, r Request) error {
 	resp, err := s.caller.send(ctx, address, r)
 	if err != nil {
@@ -163,14 +173,15 @@
 	if key := resp.Header.Get(HeaderRequest); key != "" {
 		s.out.Key = key
 	}
-	s.begun = true
-	return s.read(resp.Body)
+	s.accepted = true
+	return s.readEvents(resp.Body)
 }
 
-// read takes events until the explicit end.
-func (s *streaming) read(body io.Reader) error {
+// readEvents reads events until the one that ends the stream. A body that ends
+// without it is an error.
+func (s *streaming) readEvents(body io.Reader) error {
 	lines := bufio.NewScanner(body)
-	lines.Buffer(nil, maxEvent)
+	lines.Buffer(nil, maxEventBytes)
 	id := int64(-1)
 	for lines.Scan() {
 		name, value, _ := strings.Cut(lines.Text(), ":")
@@ -185,7 +196,7 @@
 		case name == "data" && value == endOfStream:
 			return nil
 		case name == "data":
-			if err := s.take(id, value); err != nil {
+			if err := s.applyEvent(id, value); err != nil {
 				return err
 			}
 		}
@@ -196,11 +207,12 @@
 	return io.ErrUnexpectedEOF
 }
 
-// errGap says that a stream went on beyond what was received.
+// errGap reports that a stream continued beyond the received part of the answer.
 var errGap = errors.New("the stream left out a part of the answer")
 
-// take adds what is new in one event, whose id is the offset after it.
-func (s *streaming) take(id int64, data string) error {
+// applyEvent processes the data of one event. id is the offset in the answer after
+// the event's text, or negative if the event has none.
+func (s *streaming) applyEvent(id int64, data string) error {
 	c := chunk{}
 	if err := json.Unmarshal([]byte(data), &c); err != nil {
 		return err
@@ -213,31 +225,32 @@
 		if choice.FinishReason != nil {
 			s.out.Finish = *choice.FinishReason
 		}
-		if err := s.add(id, text); err != nil {
+		if err := s.appendReceived(id, text); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// received is how much of the answer is at hand, in bytes.
-func (s *streaming) received() int64 {
+// receivedBytes returns the offset in the answer up to which text was received.
+func (s *streaming) receivedBytes() int64 {
 	return s.offset + int64(len(s.out.Text))
 }
 
-func (s *streaming) add(id int64, text string) error {
-	have := s.received()
+// appendReceived appends the part of an event's text that was not received before.
+func (s *streaming) appendReceived(id int64, text string) error {
+	received := s.receivedBytes()
 	start := id - int64(len(text))
 	if id < 0 {
-		start = have
+		start = received
 	}
-	if start > have {
+	if start > received {
 		return errGap
 	}
-	if start+int64(len(text)) <= have {
+	if start+int64(len(text)) <= received {
 		return nil
 	}
-	fresh := text[have-start:]
+	fresh := text[received-start:]
 	if s.out.First.IsZero() {
 		s.out.First = time.Now()
 	}
--- a/api/fault/fault.go
+++ b/api/fault/fault.go
@@ -1,5 +1,6 @@
 // Package fault defines the errors that callers, operators and other daemons
-// see: a stable kind, a message, a remedy, and whether the request ran.
+// receive: a stable kind, a message, a remedy, and whether the request ran. The
+// JSON form of an Error is part of the published interface.
 package fault
 
 import (
@@ -10,80 +11,96 @@
 	"time"
 )
 
-// Kind is a stable code, part of the published interface.
+// Kind is a stable error code, part of the published interface.
 type Kind string
 
-// Kinds.
+// Kinds of errors. HTTPStatus gives the status code of each.
 const (
+	// Malformed: the request is invalid as it stands.
 	Malformed       Kind = "malformed"
 	Unauthenticated Kind = "unauthenticated"
 	NotFound        Kind = "not_found"
 	TooLarge        Kind = "too_large"
-	Conflict        Kind = "conflict"
-	KeyRequired     Kind = "key_required"
-	LimitExceeded   Kind = "limit_exceeded"
-	Overloaded      Kind = "overloaded"
-	NoUpstream      Kind = "no_upstream"
-	Deadline        Kind = "deadline_unreachable"
-	Quarantined     Kind = "quarantined"
-	Unavailable     Kind = "unavailable"
-	Unknown         Kind = "outcome_unknown"
-	Canceled        Kind = "canceled"
-	Draining        Kind = "draining"
-	Internal        Kind = "internal"
+	// Conflict: another change or request came first, or the key was used with
+	// other content.
+	Conflict Kind = "conflict"
+	// KeyRequired: the operation may not be repeated, so that the request needs an
+	// idempotency key.
+	KeyRequired   Kind = "key_required"
+	LimitExceeded Kind = "limit_exceeded"
+	Overloaded    Kind = "overloaded"
+	NoUpstream    Kind = "no_upstream"
+	// Deadline: the answer did not or can't arrive before the request's deadline.
+	Deadline Kind = "deadline_unreachable"
+	// Quarantined: requests with this content were in flight at several crashes of
+	// upstreams.
+	Quarantined Kind = "quarantined"
+	// Unavailable: a part of the system that the request needs doesn't answer now.
+	Unavailable Kind = "unavailable"
+	// Unknown: it can't be determined whether the request ran.
+	Unknown Kind = "outcome_unknown"
+	// Canceled: the caller closed the connection or canceled the request.
+	Canceled Kind = "canceled"
+	// Draining: the entry is shutting down and takes no new requests.
+	Draining Kind = "draining"
+	Internal Kind = "internal"
 )
 
-// Ran says whether a request reached an upstream.
+// Ran states whether a request ran on an upstream.
 type Ran string
 
 // Values of Ran.
 const (
-	// NotRun promises that the request did not run and never will.
+	// NotRun guarantees that the request did not run and never will.
 	NotRun Ran = "not_run"
-	// MayHaveRun says that nobody can tell.
+	// MayHaveRun means that it can't be determined whether the request ran.
 	MayHaveRun Ran = "unknown"
-	// DidRun says that the request ran.
+	// DidRun means that the request ran.
 	DidRun Ran = "ran"
 )
 
-// Error is one failure. Its JSON form is what callers receive.
+// Error is a failed request. Its JSON form is answered to callers. Methods that
+// change it return copies, so that an Error may be shared.
 type Error struct {
 	Kind    Kind   `json:"code"`
 	Message string `json:"message"`
-	// Remedy says what to do.
+	// Remedy says what the receiver can do about it.
 	Remedy string `json:"remedy"`
 	Ran    Ran    `json:"ran"`
-	// RetryAfterMS is when to come back, in milliseconds; zero says nothing.
+	// RetryAfterMS is the delay after which to retry, in milliseconds; zero if
+	// none is suggested.
 	RetryAfterMS int64 `json:"retry_after_ms,omitempty"`
-	// Key is the request's key, where one is known.
+	// Key is the request's key, if known.
 	Key string `json:"key,omitempty"`
 }
 
-// New returns an error of a request that did not run.
+// New returns the error of a request that did not run. The message is formatted as
+// by fmt.Sprintf.
 func New(kind Kind, remedy, format string, args ...any) *Error {
 	return &Error{Kind: kind, Message: fmt.Sprintf(format, args...), Remedy: remedy, Ran: NotRun}
 }
 
-// Error gives kind, message and remedy on one line.
+// Error returns kind, message and remedy on one line.
 func (e *Error) Error() string {
 	return fmt.Sprintf("%s: %s; %s", e.Kind, e.Message, e.Remedy)
 }
 
-// After returns a copy that names when to come back.
+// After returns a copy that suggests a retry after the delay.
 func (e *Error) After(d time.Duration) *Error {
 	out := *e
 	out.RetryAfterMS = d.Milliseconds()
 	return &out
 }
 
-// WithRan returns a copy with another statement on whether the request ran.
+// WithRan returns a copy with Ran replaced.
 func (e *Error) WithRan(r Ran) *Error {
 	out := *e
 	out.Ran = r
 	return &out
 }
 
-// From finds an Error in a chain, or wraps the chain as an internal one.
+// From returns the first *Error in err's chain. If there is none, it returns an
+// internal error with err's text that says that the request may have run.
 func From(err error) *Error {
 	found := (*Error)(nil)
 	if errors.As(err, &found) {
@@ -92,7 +109,7 @@
 	return &Error{Kind: Internal, Message: err.Error(), Remedy: "report it with the daemon's log", Ran: MayHaveRun}
 }
 
-// Encode returns the JSON form.
+// Encode returns the JSON form of the error.
 func (e *Error) Encode() []byte {
 	data, err := json.Marshal(e)
 	if err != nil {
@@ -101,7 +118,8 @@
 	return data
 }
 
-// Decode reads the JSON form.
+// Decode decodes the JSON form of an error. It doesn't check that the fields are
+// set.
 func Decode(data []byte) (*Error, error) {
 	e := &Error{}
 	if err := json.Unmarshal(data, e); err != nil {
@@ -110,7 +128,8 @@
 	return e, nil
 }
 
-// statuses maps kinds to HTTP status codes.
+// statuses maps kinds to HTTP status codes. Canceled has 499, which is not in
+// net/http: the caller closed the connection.
 var statuses = map[Kind]int{
 	Malformed:       http.StatusBadRequest,
 	Unauthenticated: http.StatusUnauthorized,
@@ -130,7 +149,7 @@
 	Internal:        http.StatusInternalServerError,
 }
 
-// HTTPStatus returns the status code for the kind.
+// HTTPStatus returns the HTTP status code for the kind, 500 for an unknown kind.
 func (e *Error) HTTPStatus() int {
 	if s, ok := statuses[e.Kind]; ok {
 		return s
--- a/api/generate.sh
+++ b/api/generate.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Regenerates api/rpc from api/proto. Needs protoc on the PATH; the plugins are
-# pinned in tools/go.mod.
+# Regenerates api/rpc from api/proto. Requires protoc on the PATH; the plugin
+# versions are pinned in tools/go.mod.
 set -euo pipefail
 cd "$(dirname "$0")"
 plugins=$(mktemp -d)
--- a/api/operator/replicas.go
+++ b/api/operator/replicas.go
@@ -1,20 +1,20 @@
 package operator
 
-// Paths about the replicas.
+// Paths of the replicas and the durable state.
 const (
-	// PathReplicas answers a list of Replica by GET; DELETE with ?name= takes a
-	// replica out of the group.
+	// PathReplicas returns a list of Replica by GET; DELETE with ?name= removes a
+	// replica from the group first.
 	PathReplicas = "/operator/v1/replicas"
-	// PathBackup answers a Backup.
+	// PathBackup returns a Backup.
 	PathBackup = "/operator/v1/backup"
 )
 
-// Backup holds a snapshot of the durable state.
+// Backup is an encoded snapshot of the durable state.
 type Backup struct {
 	Snapshot []byte `json:"snapshot"`
 }
 
-// Replica is one replica's own position in the log.
+// Replica is the position of one replica in the log, as it reports it.
 type Replica struct {
 	Name    string `json:"name"`
 	Address string `json:"address"`
@@ -26,12 +26,13 @@
 	Last      uint64 `json:"last"`
 	Committed uint64 `json:"committed"`
 	Applied   uint64 `json:"applied"`
-	// Version is the accepted configuration's as far as applied here.
+	// Version is the configuration version that the replica has applied.
 	Version uint64 `json:"version"`
-	// Lag is how many entries it lacks, as far as the leader knows.
+	// Lag is the number of log entries that the replica lacks, as the leader knows
+	// it.
 	Lag uint64 `json:"lag"`
-	// Voter says that the replica counts for commits.
+	// Voter means that the replica counts towards the quorum.
 	Voter bool `json:"voter"`
-	// Error says why the replica does not answer or stands still.
+	// Error says why the replica doesn't answer or makes no progress.
 	Error string `json:"error,omitempty"`
 }
--- a/api/rpc/uptodate_test.go
+++ b/api/rpc/uptodate_test.go
@@ -16,7 +16,8 @@
 	callLine  = regexp.MustCompile(`^rpc (\w+)\(`)
 )
 
-// declared lists what the .proto file declares, one line an item.
+// declared lists the messages, fields, services and calls that the .proto file
+// declares, one line each.
 func declared(t *testing.T) []string {
 	t.Helper()
 	data, err := os.ReadFile("../proto/verbenastep.proto")
@@ -39,7 +40,7 @@
 	return out
 }
 
-// generated lists the same of the generated code.
+// generated lists the same items of the generated code.
 func generated() []string {
 	file := File_verbenastep_proto
 	out := []string{}
@@ -61,8 +62,9 @@
 	return out
 }
 
-// TestGeneratedCodeIsUpToDate needs no generator: a message, field or call
-// that stands on one side alone shows.
+// TestGeneratedCodeIsUpToDate guards against a .proto file that was changed
+// without regenerating the code. It compares declarations, so that it needs no
+// generator: a message, field, number or call that only one side has fails it.
 func TestGeneratedCodeIsUpToDate(t *testing.T) {
 	require.ElementsMatch(t, declared(t), generated(), "run api/generate.sh")
 }
