--- a/api/upstream/upstream.go
+++ b/api/upstream/upstream.go
@@ -40,8 +40,8 @@
 const (
 	// Runner generates tokens.
 	Runner Kind = "runner"
-	// Plain is a service that answers calls and generates no tokens.
-	Plain Kind = "service"
+	// PlainService is a service that answers calls and generates no tokens.
+	PlainService Kind = "service"
 )
 
 // Announcement registers an upstream with a daemon. The upstream sends one at its
--- a/internal/cli/standin.go
+++ b/internal/cli/standin.go
@@ -55,7 +55,7 @@
 // newStandin returns a stand-in of the announced kind and a function that returns
 // its current announcement.
 func newStandin(a upstream.Announcement, speed standin.Speed) (standinServer, func() upstream.Announcement) {
-	if a.Kind == upstream.Plain {
+	if a.Kind == upstream.PlainService {
 		s := standin.NewService(a, 20*time.Millisecond)
 		return s, func() upstream.Announcement { return s.Self }
 	}
--- a/internal/daemon/site_test.go
+++ b/internal/daemon/site_test.go
@@ -146,7 +146,7 @@
 	s.runner = standin.NewRunner(self(upstream.Runner, "logbook-model"), standin.Speed{PrefillPerSecond: 100_000, DecodePerSecond: 40})
 	require.NoError(s.t, s.runner.Listen())
 	s.t.Cleanup(s.runner.Close)
-	s.service = standin.NewService(self(upstream.Plain, "register-api"), 20*time.Millisecond)
+	s.service = standin.NewService(self(upstream.PlainService, "register-api"), 20*time.Millisecond)
 	require.NoError(s.t, s.service.Listen())
 	s.t.Cleanup(s.service.Close)
 	go (&standin.Announcer{Daemons: daemons, State: func() upstream.Announcement { return s.runner.Self }}).Run(ctx)
--- a/internal/demo/backends.go
+++ b/internal/demo/backends.go
@@ -68,7 +68,7 @@
 		}
 		s.add(r.name, runner.Close, rotate(daemons, i), runner.Announcement)
 	}
-	a := announcement("register-1", upstream.Plain, serviceName, 0, 8)
+	a := announcement("register-1", upstream.PlainService, serviceName, 0, 8)
 	service := standin.NewService(a, serviceDelay)
 	service.Observe = rec.recordExecution
 	if err := service.Listen(); err != nil {
--- a/internal/e2e/rig_test.go
+++ b/internal/e2e/rig_test.go
@@ -187,7 +187,7 @@
 }
 
 func (r *rig) startService() {
-	r.plain = standin.NewService(r.announcement("register-1", upstream.Plain, service), 200*time.Millisecond)
+	r.plain = standin.NewService(r.announcement("register-1", upstream.PlainService, service), 200*time.Millisecond)
 	r.plain.Observe = r.execution
 	require.NoError(r.t, r.plain.Listen())
 	r.t.Cleanup(r.plain.Close)
