--- a/api/client/stream.go
+++ b/api/client/stream.go
@@ -59,19 +59,19 @@
 // and only if the error is nil. Errors are *fault.Error; the Stream returned with
 // one holds the text received so far.
 func (c *Caller) Stream(ctx context.Context, r Request, fn func(text string)) (*Stream, error) {
-	return c.stream(ctx, &streaming{caller: c, request: r, out: &Stream{Key: r.Key}, fn: fn})
+	return c.stream(ctx, &streamState{caller: c, request: r, out: &Stream{Key: r.Key}, fn: fn})
 }
 
 // PickUp streams the rest of an answer from an offset in bytes, from any entry.
 // The Stream's text begins at the offset. fn, errors and resumption are as for
 // Stream.
 func (c *Caller) PickUp(ctx context.Context, key string, offset int64, fn func(text string)) (*Stream, error) {
-	return c.stream(ctx, &streaming{caller: c, out: &Stream{Key: key}, fn: fn, offset: offset, accepted: true})
+	return c.stream(ctx, &streamState{caller: c, out: &Stream{Key: key}, fn: fn, offset: offset, accepted: true})
 }
 
 // stream tries the entries until the answer is complete, the error doesn't allow
 // another attempt, or no attempt makes progress.
-func (c *Caller) stream(ctx context.Context, s *streaming) (*Stream, error) {
+func (c *Caller) stream(ctx context.Context, s *streamState) (*Stream, error) {
 	attempts := 0
 	for {
 		before := len(s.out.Text)
@@ -94,8 +94,8 @@
 	}
 }
 
-// streaming is the state of a stream in progress.
-type streaming struct {
+// streamState is the state of a stream in progress.
+type streamState struct {
 	caller  *Caller
 	request Request
 	out     *Stream
@@ -108,13 +108,13 @@
 
 // mayResume reports whether another round may follow err: the system did not
 // refuse, and either the answer has a key or nothing was sent.
-func (s *streaming) mayResume(err error) bool {
+func (s *streamState) mayResume(err error) bool {
 	faultErr := (*fault.Error)(nil)
 	return !errors.As(err, &faultErr) && (s.out.Key != "" || notSent(err))
 }
 
 // tryEntries tries each entry at most once until one delivers the end.
-func (s *streaming) tryEntries(ctx context.Context) error {
+func (s *streamState) tryEntries(ctx context.Context) error {
 	entries, err := s.caller.candidateEntries(ctx)
 	if err != nil {
 		return err
@@ -134,7 +134,7 @@
 
 // mayTryNextEntry reports whether, after err, the next entry may hold the answer or
 // may be sent the request.
-func (s *streaming) mayTryNextEntry(err error) bool {
+func (s *streamState) mayTryNextEntry(err error) bool {
 	faultErr := (*fault.Error)(nil)
 	if !errors.As(err, &faultErr) {
 		return s.accepted || mayTryNextEntry(err, s.request)
@@ -148,7 +148,7 @@
 // streamFrom reads the stream from one entry. An accepted request is resumed. If
 // the entry doesn't know it, the request is sent again, but only under the caller's
 // own key, which prevents a second run.
-func (s *streaming) streamFrom(ctx context.Context, address string) error {
+func (s *streamState) streamFrom(ctx context.Context, address string) error {
 	if s.accepted {
 		resumption := Request{Method: http.MethodGet, Path: answerPath(s.out.Key, s.receivedBytes())}
 		err := s.open(ctx, address, resumption)
@@ -161,7 +161,7 @@
 }
 
 // open sends the request to one entry and reads the events of its response.
-func (s *streaming) open(ctx context.Context, address string, r Request) error {
+func (s *streamState) open(ctx context.Context, address string, r Request) error {
 	resp, err := s.caller.send(ctx, address, r)
 	if err != nil {
 		return err
@@ -179,7 +179,7 @@
 
 // readEvents reads events until the one that ends the stream. A body that ends
 // without it is an error.
-func (s *streaming) readEvents(body io.Reader) error {
+func (s *streamState) readEvents(body io.Reader) error {
 	lines := bufio.NewScanner(body)
 	lines.Buffer(nil, maxEventBytes)
 	id := int64(-1)
@@ -212,7 +212,7 @@
 
 // applyEvent processes the data of one event. id is the offset in the answer after
 // the event's text, or negative if the event has none.
-func (s *streaming) applyEvent(id int64, data string) error {
+func (s *streamState) applyEvent(id int64, data string) error {
 	c := chunk{}
 	if err := json.Unmarshal([]byte(data), &c); err != nil {
 		return err
@@ -233,12 +233,12 @@
 }
 
 // receivedBytes returns the offset in the answer up to which text was received.
-func (s *streaming) receivedBytes() int64 {
+func (s *streamState) receivedBytes() int64 {
 	return s.offset + int64(len(s.out.Text))
 }
 
 // appendReceived appends the part of an event's text that was not received before.
-func (s *streaming) appendReceived(id int64, text string) error {
+func (s *streamState) appendReceived(id int64, text string) error {
 	received := s.receivedBytes()
 	start := id - int64(len(text))
 	if id < 0 {
--- a/internal/cli/caller.go
+++ b/internal/cli/caller.go
@@ -16,17 +16,17 @@
 	addresses string
 }
 
-func (e *callerTarget) registerFlags(f *flag.FlagSet) {
-	f.StringVar(&e.addresses, "entry", "127.0.0.1:7101", "callers' `ADDRESSES` of daemons to ask for the directory, comma-separated")
+func (t *callerTarget) registerFlags(f *flag.FlagSet) {
+	f.StringVar(&t.addresses, "entry", "127.0.0.1:7101", "callers' `ADDRESSES` of daemons to ask for the directory, comma-separated")
 }
 
 func whereCommand() *Command {
-	e := &callerTarget{}
+	t := &callerTarget{}
 	return &Command{
 		Name: "where", Summary: "show which entries callers may use, and for how long", Example: "verbenastep where -entry 127.0.0.1:7101",
-		Flags: e.registerFlags,
+		Flags: t.registerFlags,
 		Run: func(ctx context.Context, std IO, _ []string) error {
-			c := client.Caller{Entries: splitAddresses(e.addresses)}
+			c := client.Caller{Entries: splitAddresses(t.addresses)}
 			d, err := c.Directory(ctx)
 			if err != nil {
 				return err
--- a/internal/cli/diff.go
+++ b/internal/cli/diff.go
@@ -87,9 +87,9 @@
 	slices.Sort(paths)
 	out := []change{}
 	for _, p := range slices.Compact(paths) {
-		w := &fileComparison{file: p}
-		w.compare("$", from[p], to[p])
-		out = append(out, w.out...)
+		c := &fileComparison{file: p}
+		c.compare("$", from[p], to[p])
+		out = append(out, c.out...)
 	}
 	return out
 }
@@ -103,14 +103,14 @@
 // compare records the differences below path. It descends while both sides are
 // objects or lists of named objects; a difference in nothing but their order is
 // recorded for the path as a whole.
-func (w *fileComparison) compare(path string, old, updated json.RawMessage) {
+func (c *fileComparison) compare(path string, old, updated json.RawMessage) {
 	if bytes.Equal(old, updated) {
 		return
 	}
 	oldMembers, oldHasMembers := namedMembers(old)
 	newMembers, newHasMembers := namedMembers(updated)
 	if !oldHasMembers || !newHasMembers {
-		w.out = append(w.out, change{File: w.file, Path: path, Old: old, New: updated})
+		c.out = append(c.out, change{File: c.file, Path: path, Old: old, New: updated})
 		return
 	}
 	names := []string{}
@@ -121,12 +121,12 @@
 		names = append(names, n)
 	}
 	slices.Sort(names)
-	recorded := len(w.out)
+	recorded := len(c.out)
 	for _, n := range slices.Compact(names) {
-		w.compare(path+n, oldMembers[n], newMembers[n])
+		c.compare(path+n, oldMembers[n], newMembers[n])
 	}
-	if len(w.out) == recorded {
-		w.out = append(w.out, change{File: w.file, Path: path + " (order)", Old: old, New: updated})
+	if len(c.out) == recorded {
+		c.out = append(c.out, change{File: c.file, Path: path + " (order)", Old: old, New: updated})
 	}
 }
 
