--- a/internal/e2e/rig_test.go
+++ b/internal/e2e/rig_test.go
@@ -189,7 +189,7 @@
 }
 
 func (site *testSite) startService() {
-	site.plainService = standin.NewService(site.announcement("register-1", upstream.Plain, service), 200*time.Millisecond)
+	site.plainService = standin.NewService(site.announcement("register-1", upstream.PlainService, service), 200*time.Millisecond)
 	site.plainService.Observe = site.recordExecution
 	require.NoError(site.t, site.plainService.Listen())
 	site.t.Cleanup(site.plainService.Close)
