--- a/internal/broker/broker.go
+++ b/internal/broker/broker.go
@@ -16,10 +16,10 @@
 
 	"github.com/verbenastep/verbenastep/api/rpc"
 	"github.com/verbenastep/verbenastep/core/broker"
+	"github.com/verbenastep/verbenastep/internal/brokerwire"
 	"github.com/verbenastep/verbenastep/internal/kernel"
 	"github.com/verbenastep/verbenastep/internal/port"
 	"github.com/verbenastep/verbenastep/internal/settings"
-	"github.com/verbenastep/verbenastep/internal/work"
 )
 
 const (
@@ -199,7 +199,7 @@
 	s.rosterReadAt = time.Now()
 	list := s.roster.All()
 	if s.leads || leadershipChanged {
-		s.core.SetUpstreams(work.Upstreams(list, s.set.Routing.DataCentres))
+		s.core.SetUpstreams(brokerwire.Upstreams(list, s.set.Routing.DataCentres))
 	}
 	s.core.SetEstimates(slices.Collect(maps.Values(learned)))
 	s.announceChanges(list)
@@ -254,11 +254,11 @@
 	}
 	for _, g := range decisions.Grants {
 		r := replyTo(g.ID.Entry)
-		r.Grants = append(r.Grants, work.EncodeGrant(g))
+		r.Grants = append(r.Grants, brokerwire.EncodeGrant(g))
 	}
 	for _, x := range decisions.Refusals {
 		r := replyTo(x.ID.Entry)
-		r.Refusals = append(r.Refusals, work.EncodeRefusal(x))
+		r.Refusals = append(r.Refusals, brokerwire.EncodeRefusal(x))
 	}
 	for entry, r := range replies {
 		if x := s.sessions[entry]; x != nil {
--- a/internal/broker/levels.go
+++ b/internal/broker/levels.go
@@ -4,7 +4,7 @@
 	"math"
 	"time"
 
-	"github.com/verbenastep/verbenastep/internal/work"
+	"github.com/verbenastep/verbenastep/internal/brokerwire"
 )
 
 // minLevelChange is the smallest change of a quota level that is sent, as a fraction of
@@ -20,10 +20,10 @@
 	}
 	s.levelsSentAt = time.Now()
 	changed := s.reply()
-	changed.Quotas = work.EncodeQuotaLevels(levelChanges(s.sentLevels, s.core.QuotaLevels(s.now())))
+	changed.Quotas = brokerwire.EncodeQuotaLevels(levelChanges(s.sentLevels, s.core.QuotaLevels(s.now())))
 	all := s.reply()
 	all.QuotasSet = true
-	all.Quotas = work.EncodeQuotaLevels(s.sentLevels)
+	all.Quotas = brokerwire.EncodeQuotaLevels(s.sentLevels)
 	for _, x := range s.sessions {
 		switch {
 		case !x.hasLevels:
--- a/internal/broker/news.go
+++ b/internal/broker/news.go
@@ -5,8 +5,8 @@
 	"time"
 
 	"github.com/verbenastep/verbenastep/api/rpc"
+	"github.com/verbenastep/verbenastep/internal/brokerwire"
 	"github.com/verbenastep/verbenastep/internal/port"
-	"github.com/verbenastep/verbenastep/internal/work"
 )
 
 const (
@@ -91,7 +91,7 @@
 	learned := s.core.Estimates()
 	listed := make(map[string]bool, len(list))
 	for _, e := range list {
-		current := work.EncodeUpstream(e, learned[e.ID])
+		current := brokerwire.EncodeUpstream(e, learned[e.ID])
 		listed[e.ID] = true
 		if old := s.announced[e.ID]; old != nil && !significantChange(old, current) {
 			continue
--- a/internal/broker/session.go
+++ b/internal/broker/session.go
@@ -8,9 +8,9 @@
 
 	"github.com/verbenastep/verbenastep/api/rpc"
 	"github.com/verbenastep/verbenastep/core/broker"
+	"github.com/verbenastep/verbenastep/internal/brokerwire"
 	"github.com/verbenastep/verbenastep/internal/duplex"
 	"github.com/verbenastep/verbenastep/internal/wait"
-	"github.com/verbenastep/verbenastep/internal/work"
 )
 
 // session is the stream of one entry.
@@ -90,7 +90,7 @@
 	now := s.now()
 	offers := make([]broker.Offer, 0, len(first.Offers))
 	for _, o := range first.Offers {
-		offers = append(offers, work.DecodeOffer(now, first.Entry, o))
+		offers = append(offers, brokerwire.DecodeOffer(now, first.Entry, o))
 	}
 	s.core.Resync(now, first.Entry, offers)
 	wait.Notify(s.wake)
@@ -123,14 +123,14 @@
 	}
 	now := s.now()
 	for _, e := range ask.Ends {
-		s.core.End(now, work.DecodeEnd(entry, e))
+		s.core.End(now, brokerwire.DecodeEnd(entry, e))
 	}
 	for _, id := range ask.Cancels {
 		s.core.Cancel(broker.ID{Entry: entry, Number: id})
 	}
-	s.core.LowerQuotas(now, work.DecodeQuotaLevels(ask.Quotas))
+	s.core.LowerQuotas(now, brokerwire.DecodeQuotaLevels(ask.Quotas))
 	for _, o := range ask.Offers {
-		s.core.Offer(now, work.DecodeOffer(now, entry, o))
+		s.core.Offer(now, brokerwire.DecodeOffer(now, entry, o))
 	}
 	if len(ask.Ends)+len(ask.Cancels)+len(ask.Offers) > 0 {
 		wait.Notify(s.wake)
--- a/internal/brokerclient/client.go
+++ b/internal/brokerclient/client.go
@@ -16,11 +16,11 @@
 	"github.com/verbenastep/verbenastep/api/fault"
 	"github.com/verbenastep/verbenastep/api/rpc"
 	"github.com/verbenastep/verbenastep/core/broker"
+	"github.com/verbenastep/verbenastep/internal/brokerwire"
 	"github.com/verbenastep/verbenastep/internal/kernel"
 	"github.com/verbenastep/verbenastep/internal/port"
 	"github.com/verbenastep/verbenastep/internal/settings"
 	"github.com/verbenastep/verbenastep/internal/wait"
-	"github.com/verbenastep/verbenastep/internal/work"
 )
 
 // acquisition is a request that waits for a grant or runs.
@@ -176,7 +176,7 @@
 	a.offer.Deadline = o.DeadlineAt.Sub(s.started)
 	s.waiting[s.lastNumber] = a
 	if s.attached {
-		s.pending.Offers = append(s.pending.Offers, work.EncodeOffer(s.now(), a.offer))
+		s.pending.Offers = append(s.pending.Offers, brokerwire.EncodeOffer(s.now(), a.offer))
 		wait.Notify(s.wakeSession)
 		return a
 	}
@@ -209,7 +209,7 @@
 	e.ID = a.offer.ID
 	delete(s.running, e.ID.Number)
 	s.local.End(s.now(), e)
-	s.pending.Ends = append(s.pending.Ends, work.EncodeEnd(e))
+	s.pending.Ends = append(s.pending.Ends, brokerwire.EncodeEnd(e))
 	wait.Notify(s.wakeSession)
 	wait.Notify(s.wakeLocal)
 }
--- a/internal/brokerclient/session.go
+++ b/internal/brokerclient/session.go
@@ -9,10 +9,10 @@
 
 	"github.com/verbenastep/verbenastep/api/rpc"
 	"github.com/verbenastep/verbenastep/core/broker"
+	"github.com/verbenastep/verbenastep/internal/brokerwire"
 	"github.com/verbenastep/verbenastep/internal/duplex"
 	"github.com/verbenastep/verbenastep/internal/port"
 	"github.com/verbenastep/verbenastep/internal/wait"
-	"github.com/verbenastep/verbenastep/internal/work"
 )
 
 const (
@@ -208,7 +208,7 @@
 	ask := &rpc.BrokerAsk{Entry: s.self, RosterAgeMs: s.rosterAge()}
 	s.rosterCurrent = ask.RosterAgeMs > 0
 	for _, a := range s.running {
-		ask.Offers = append(ask.Offers, work.EncodeOffer(now, a.offer))
+		ask.Offers = append(ask.Offers, brokerwire.EncodeOffer(now, a.offer))
 	}
 	return ask
 }
@@ -263,10 +263,10 @@
 		s.rosterConfirmedAt = s.now()
 	}
 	for _, g := range r.Grants {
-		s.handleGrant(work.DecodeGrant(s.self, g))
+		s.handleGrant(brokerwire.DecodeGrant(s.self, g))
 	}
 	for _, x := range r.Refusals {
-		s.settleRefusal(work.DecodeRefusal(s.self, x), byBroker)
+		s.settleRefusal(brokerwire.DecodeRefusal(s.self, x), byBroker)
 	}
 	return nil
 }
@@ -277,7 +277,7 @@
 	if r.QuotasSet {
 		clear(s.quotaLevels)
 	}
-	for name, left := range work.DecodeQuotaLevels(r.Quotas) {
+	for name, left := range brokerwire.DecodeQuotaLevels(r.Quotas) {
 		if left < 1 {
 			s.quotaLevels[name] = left
 		} else {
@@ -294,13 +294,13 @@
 	s.leaderlessSessions = 0
 	s.backOffUntil = 0
 	now := s.now()
-	s.pending.Quotas = work.EncodeQuotaLevels(s.quotaLevels)
+	s.pending.Quotas = brokerwire.EncodeQuotaLevels(s.quotaLevels)
 	for _, a := range s.running {
-		s.pending.Offers = append(s.pending.Offers, work.EncodeOffer(now, a.offer))
+		s.pending.Offers = append(s.pending.Offers, brokerwire.EncodeOffer(now, a.offer))
 	}
 	for _, a := range s.waiting {
 		s.local.Cancel(a.offer.ID)
-		s.pending.Offers = append(s.pending.Offers, work.EncodeOffer(now, a.offer))
+		s.pending.Offers = append(s.pending.Offers, brokerwire.EncodeOffer(now, a.offer))
 	}
 	wait.Notify(s.wakeSession)
 	s.log.Info("broker found", zap.String("address", address), zap.Int("waiting", len(s.waiting)), zap.Int("running", len(s.running)), zap.Int("entries", s.entries))
@@ -310,7 +310,7 @@
 func (s *Service) handleGrant(g broker.Grant) {
 	a := s.waiting[g.ID.Number]
 	if a == nil {
-		s.pending.Ends = append(s.pending.Ends, work.EncodeEnd(broker.End{ID: g.ID, Outcome: broker.NotSent}))
+		s.pending.Ends = append(s.pending.Ends, brokerwire.EncodeEnd(broker.End{ID: g.ID, Outcome: broker.NotSent}))
 		wait.Notify(s.wakeSession)
 		return
 	}
@@ -347,11 +347,11 @@
 	list := make([]port.RosterEntry, 0, len(s.roster))
 	learned := make([]broker.Estimates, 0, len(s.roster))
 	for _, e := range s.roster {
-		entry, l := work.DecodeUpstream(e)
+		entry, l := brokerwire.DecodeUpstream(e)
 		list = append(list, entry)
 		learned = append(learned, l)
 	}
-	s.local.SetUpstreams(work.Upstreams(list, s.set.Routing.DataCentres))
+	s.local.SetUpstreams(brokerwire.Upstreams(list, s.set.Routing.DataCentres))
 	s.local.SetEstimates(learned)
 	s.localStale, s.localUpdated = false, s.now()
 }
--- a/internal/brokerclient/session_test.go
+++ b/internal/brokerclient/session_test.go
@@ -12,11 +12,11 @@
 	"github.com/verbenastep/verbenastep/api/rpc"
 	"github.com/verbenastep/verbenastep/core/broker"
 	"github.com/verbenastep/verbenastep/core/routes"
+	"github.com/verbenastep/verbenastep/internal/brokerwire"
 	"github.com/verbenastep/verbenastep/internal/freeport"
 	"github.com/verbenastep/verbenastep/internal/link"
 	"github.com/verbenastep/verbenastep/internal/port"
 	"github.com/verbenastep/verbenastep/internal/settings"
-	"github.com/verbenastep/verbenastep/internal/work"
 )
 
 // testTimeout bounds every wait of the tests.
@@ -252,7 +252,7 @@
 func TestQuotaLevelsAreReplacedOrUpdated(t *testing.T) {
 	s := New(&settings.Settings{Routing: &settings.Routing{}}, zap.NewNop(), port.Holder{Name: "e"})
 	update := func(set bool, levels map[string]float64) map[string]float64 {
-		s.updateQuotaLevels(&rpc.BrokerReply{QuotasSet: set, Quotas: work.EncodeQuotaLevels(levels)})
+		s.updateQuotaLevels(&rpc.BrokerReply{QuotasSet: set, Quotas: brokerwire.EncodeQuotaLevels(levels)})
 		return s.quotaLevels
 	}
 	require.Equal(t, map[string]float64{"a": 0.5, "b": 0.25}, update(true, map[string]float64{"a": 0.5, "b": 0.25}))
--- a/internal/work/codec.go
+++ b/internal/brokerwire/codec.go
@@ -1,9 +1,9 @@
-// Package work converts offers, grants, refusals and roster entries to and from the
-// messages that entries and the broker exchange.
+// Package brokerwire converts offers, grants, refusals and roster entries to and from
+// the messages that entries and the broker exchange.
 //
 // Times are relative on the wire, in milliseconds, so that the clocks of the two sides
 // need not agree.
-package work
+package brokerwire
 
 import (
 	"time"
