--- a/core/broker/broker.go
+++ b/core/broker/broker.go
@@ -327,8 +327,8 @@
 	return bucket
 }
 
-// nearlyFullLevel is the fraction of a quota from which on its level is not
-// reported.
+// nearlyFullLevel is the fraction of a quota that must be left for its level not
+// to be reported.
 const nearlyFullLevel = 0.95
 
 // QuotaLevels returns, by workspace, the fraction of the quota that is left. It omits
--- a/core/broker/broker_test.go
+++ b/core/broker/broker_test.go
@@ -90,7 +90,7 @@
 
 func TestContentThatCrashesUpstreamsIsQuarantined(t *testing.T) {
 	b := newServiceBroker(4)
-	for n := range uint64(quarantineCrashes) {
+	for n := range uint64(quarantineThreshold) {
 		o := newOffer(n)
 		o.Fingerprint = 7
 		b.Offer(0, o)
@@ -184,7 +184,7 @@
 
 // TestBrokerChangeGrantsNoSecondBurst guards against a quota that starts full at
 // each broker: it uses up a quota at one broker, then at nine local brokers and at
-// the next broker, which got its levels.
+// the next broker, all of which received the first broker's quota levels.
 func TestBrokerChangeGrantsNoSecondBurst(t *testing.T) {
 	const rate, burst, entries = 1000, 5000, 9
 	table := routes.NewIndex(&routes.Table{Workspaces: []routes.Workspace{{Name: "w", TokensPerSecond: rate, TokenBurst: burst}}})
--- a/core/broker/decide.go
+++ b/core/broker/decide.go
@@ -122,7 +122,7 @@
 	return r
 }
 
-// shortest returns the smaller of two times; zero means that known is unset.
+// shortest returns the smaller of two times, or other if known is zero.
 func shortest(known, other float64) float64 {
 	if known == 0 {
 		return other
@@ -298,8 +298,8 @@
 }
 
 // retryDelay returns when a refused caller should retry: after the estimated wait,
-// plus up to as long again, so that refused callers do not retry all at once. The part
-// is a multiplicative hash of the request number, so it is deterministic.
+// plus up to as long again, so that refused callers do not retry all at once. The extra
+// delay is a multiplicative hash of the request number, which is deterministic.
 func (p *pool) retryDelay(req *request, wait time.Duration) time.Duration {
 	spread := float64((req.ID.Number*2654435761)%1000) / 1000
 	after := wait + time.Duration(spread*float64(max(wait, minRetryDelay)))
--- a/core/broker/pattern_test.go
+++ b/core/broker/pattern_test.go
@@ -24,7 +24,7 @@
 	prompt int
 	output int
 	target time.Duration
-	// value is what an answer on time counts, lateValue what a late one counts.
+	// value is the value of an answer on time, lateValue that of a late one.
 	value     float64
 	lateValue float64
 	perSecond float64
@@ -173,14 +173,14 @@
 }
 
 func (s *sim) start(g Grant) {
-	e, k, w := s.engines[g.Upstream], s.open[g.ID], s.broker.requests[g.ID]
+	e, k, req := s.engines[g.Upstream], s.open[g.ID], s.broker.requests[g.ID]
 	e.running++
 	s.maxRunning = max(s.maxRunning, e.running)
-	prefill := time.Duration(float64(w.PromptTokens) * simPrefillTime * e.slowness * float64(time.Second))
+	prefill := time.Duration(float64(req.PromptTokens) * simPrefillTime * e.slowness * float64(time.Second))
 	e.prefillUntil = max(s.now, e.prefillUntil) + prefill
 	first := e.prefillUntil + time.Duration(simOverhead*e.slowness*float64(time.Second))
-	last := first + time.Duration(float64(w.OutputTokens)*simTokenTime*e.slowness*float64(time.Second))
-	granted, output := s.now, w.OutputTokens
+	last := first + time.Duration(float64(req.OutputTokens)*simTokenTime*e.slowness*float64(time.Second))
+	granted, output := s.now, req.OutputTokens
 	s.at(last, func() {
 		e.running--
 		c := s.tally(k)
--- a/core/broker/suspect.go
+++ b/core/broker/suspect.go
@@ -3,15 +3,15 @@
 import "time"
 
 const (
-	// quarantineCrashes is how many crashes of upstreams put a content into
+	// quarantineThreshold is how many crashes of upstreams put a content into
 	// quarantine. Two may be unrelated faults; the third is not worth the risk to
 	// another upstream.
-	quarantineCrashes = 3
+	quarantineThreshold = 3
 	// quarantineDuration is how long requests with that content are refused.
 	quarantineDuration = 10 * time.Minute
 	// suspectTTL is how long a crash is remembered.
 	suspectTTL = 2 * time.Minute
-	// maxSuspects is the number of suspects from which on expired ones are removed.
+	// maxSuspects is the number of suspects at which expired ones are removed.
 	maxSuspects = 10_000
 )
 
@@ -37,7 +37,7 @@
 		}
 		s.crashes++
 		s.until = now + suspectTTL
-		if s.crashes >= quarantineCrashes {
+		if s.crashes >= quarantineThreshold {
 			s.until = now + quarantineDuration
 		}
 		b.removeExpiredSuspects(now)
@@ -59,5 +59,5 @@
 // quarantined reports whether a content is in quarantine, and until when.
 func (b *Broker) quarantined(now time.Duration, fingerprint uint64) (suspect, bool) {
 	s, ok := b.suspects[fingerprint]
-	return s, ok && fingerprint != 0 && s.until > now && s.crashes >= quarantineCrashes
+	return s, ok && fingerprint != 0 && s.until > now && s.crashes >= quarantineThreshold
 }
--- a/core/limits/limits.go
+++ b/core/limits/limits.go
@@ -28,10 +28,10 @@
 const (
 	// burstDivisor divides the rate per minute to give the burst.
 	burstDivisor = 10
-	// slots is the number of slots in the hour over which tokens are counted.
-	slots = 60
-	// slotLength is the length of one slot.
-	slotLength = time.Hour / slots
+	// tokenSlots is the number of tokenSlots in the hour over which tokens are counted.
+	tokenSlots = 60
+	// tokenSlotLength is the length of one slot.
+	tokenSlotLength = time.Hour / tokenSlots
 	// remoteDivisor divides the limits for regions other than the workspace's home.
 	remoteDivisor = 4
 )
@@ -90,7 +90,7 @@
 	inFlight int64
 	// spent counts tokens by slot and total is their sum; slot is the number of the
 	// newest slot since the clock's start.
-	spent [slots]int64
+	spent [tokenSlots]int64
 	total int64
 	slot  int64
 }
@@ -130,7 +130,7 @@
 // high.
 func (u *Usage) Spend(now time.Duration, tokens int64) {
 	u.advance(now)
-	u.spent[u.slot%slots] += tokens
+	u.spent[u.slot%tokenSlots] += tokens
 	u.total += tokens
 }
 
@@ -153,21 +153,21 @@
 
 // advance drops the slots that are over an hour old.
 func (u *Usage) advance(now time.Duration) {
-	current := int64(now / slotLength)
-	for n := 0; u.slot < current && n < slots; n++ {
+	current := int64(now / tokenSlotLength)
+	for n := 0; u.slot < current && n < tokenSlots; n++ {
 		u.slot++
-		u.total -= u.spent[u.slot%slots]
-		u.spent[u.slot%slots] = 0
+		u.total -= u.spent[u.slot%tokenSlots]
+		u.spent[u.slot%tokenSlots] = 0
 	}
 	u.slot = max(u.slot, current)
 }
 
 // untilTokensExpire returns the time until the oldest slot with tokens is dropped.
 func (u *Usage) untilTokensExpire(now time.Duration) time.Duration {
-	for n := int64(1); n <= slots; n++ {
-		if u.spent[(u.slot+n)%slots] > 0 {
-			return time.Duration(u.slot+n)*slotLength - now
+	for n := int64(1); n <= tokenSlots; n++ {
+		if u.spent[(u.slot+n)%tokenSlots] > 0 {
+			return time.Duration(u.slot+n)*tokenSlotLength - now
 		}
 	}
-	return slotLength
+	return tokenSlotLength
 }
--- a/core/limits/repeats.go
+++ b/core/limits/repeats.go
@@ -5,9 +5,10 @@
 // retrySlots is the number of slots into which the window of a RetryBudget is divided.
 const retrySlots = 20
 
-// RetryBudget is one daemon's part of a retry budget. Each daemon counts its own
-// requests and has an equal part of the slack, so that the retries of all daemons
-// together stay within the budget. It is not safe for concurrent use.
+// RetryBudget is one daemon's part of a retry budget: a limit on retries as a
+// fraction of the requests plus a fixed slack. Each daemon counts its own requests
+// and has an equal part of the slack, so that the retries of all daemons together
+// stay within the budget. It is not safe for concurrent use.
 type RetryBudget struct {
 	window   time.Duration
 	requests [retrySlots]int
--- a/core/quarantine/quarantine.go
+++ b/core/quarantine/quarantine.go
@@ -19,9 +19,9 @@
 	// Duration is how long a quarantined content is refused, counted from its last
 	// crash.
 	Duration = 10 * time.Minute
-	// suspicionTTL is how long a suspect that is not offered again is
+	// suspectTTL is how long a suspect that is not offered again is
 	// remembered, counted from its last crash.
-	suspicionTTL = time.Hour
+	suspectTTL = time.Hour
 )
 
 // Verdict tells how a dispatcher treats a request.
@@ -150,11 +150,11 @@
 	return Change{Fingerprint: fingerprint}, true
 }
 
-// Expire removes quarantines after Duration and suspicions after suspicionTTL.
+// Expire removes quarantines after Duration and suspicions after suspectTTL.
 func (t *Tracker) Expire(now time.Duration) []Change {
 	out := []Change{}
 	for f, m := range t.records {
-		ttl := suspicionTTL
+		ttl := suspectTTL
 		if m.crashes >= quarantineThreshold {
 			ttl = Duration
 		}
--- a/core/sched/estimate.go
+++ b/core/sched/estimate.go
@@ -67,11 +67,11 @@
 		s, ok = l.stats[lengthKeyOf(o, "")]
 	}
 	if !ok {
-		guess := initialLengthRatio * float64(o.MaxTokens)
+		initial := initialLengthRatio * float64(o.MaxTokens)
 		if o.MaxTokens == 0 {
-			guess = defaultOutputTokens
+			initial = defaultOutputTokens
 		}
-		return guess, 0
+		return initial, 0
 	}
 	mean = s.mean
 	if o.MaxTokens > 0 {
--- a/core/sched/explain.go
+++ b/core/sched/explain.go
@@ -131,7 +131,7 @@
 	x.next++
 }
 
-// last returns the limit recent decision.
+// last returns the most recent decision.
 func (x *decisionRing) last() *Explanation {
 	return &x.items[(x.next-1)%maxRecentDecisions]
 }
@@ -145,7 +145,7 @@
 	return Explanation{}, false
 }
 
-// list returns up to limit decisions, the limit recent first.
+// list returns up to limit decisions, the most recent first.
 func (x *decisionRing) list(limit int) []Explanation {
 	out := []Explanation{}
 	for i := x.next - 1; i >= 0 && i >= x.next-limit; i-- {
--- a/core/sched/locality.go
+++ b/core/sched/locality.go
@@ -6,11 +6,11 @@
 	// minLocalityTokens is the minimum additional prefix cache hit, in tokens,
 	// for which a request waits.
 	minLocalityTokens = 512
-	// localityTimeout is the maximum wait for it, counted from when the request
-	// was first at the head of the queue.
+	// localityTimeout is the maximum time that a request waits for a cached
+	// prefix, counted from when it was first at the head of the queue.
 	localityTimeout = 2 * time.Second
-	// localityDeadlineRatio is the maximum wait as a fraction of the time to
-	// the deadline.
+	// localityDeadlineRatio bounds that wait as a fraction of the time to the
+	// deadline.
 	localityDeadlineRatio = 0.05
 	// maxLocalityWaits is the maximum number of requests that wait for a prefix
 	// at once, so that slots do not stay idle under load.
--- a/core/sched/params.go
+++ b/core/sched/params.go
@@ -15,11 +15,11 @@
 	// a disconnected entry keep their slots.
 	maxOrphanTimeout = 30 * time.Second
 	minOrphanTimeout = 2 * time.Second
-	// orphanFactor is the multiple of its expected time that such a request is
-	// given.
+	// orphanFactor is the multiple of its expected time for which an orphaned
+	// request keeps its slot, within these bounds.
 	orphanFactor = 2
-	// noUpstreamTimeout is how long a pool without upstreams waits before it
-	// refuses requests: the interval at which announcements are renewed, plus a
+	// noUpstreamTimeout is how long a pool may have no upstream before its
+	// requests are refused: the interval at which announcements are renewed, plus a
 	// margin.
 	noUpstreamTimeout = 2 * time.Second
 	// defaultRetryDelay is when the caller of a refused request may retry,
--- a/core/sched/queue.go
+++ b/core/sched/queue.go
@@ -7,7 +7,8 @@
 	"github.com/verbenastep/verbenastep/core/limits"
 )
 
-// agingFactor bounds overtaking within a workspace.
+// agingFactor bounds how much later than a request another one of the same
+// workspace may arrive and still overtake it.
 //
 // A lane is ordered by arrival time plus agingFactor times the predicted
 // service time. A request is thus overtaken only by requests that arrive within
--- a/core/sched/request.go
+++ b/core/sched/request.go
@@ -133,8 +133,8 @@
 }
 
 // orphan is a running request whose entry has disconnected, with the time at
-// which its slot is freed. Items of requests that ended or were reclaimed are
-// skipped.
+// which its slot is freed. Items of requests that have ended, or whose entry
+// has reconnected, are skipped.
 type orphan struct {
 	at time.Duration
 	id ID
--- a/core/sched/shed.go
+++ b/core/sched/shed.go
@@ -42,11 +42,11 @@
 	if span < throughputWindow {
 		return
 	}
-	seen := m.granted / span.Seconds()
+	measured := m.granted / span.Seconds()
 	if m.rate == 0 {
-		m.rate = seen
+		m.rate = measured
 	}
-	m.rate += throughputGain * (seen - m.rate)
+	m.rate += throughputGain * (measured - m.rate)
 	m.busySince = now
 	m.granted = 0
 }
--- a/core/sched/speed.go
+++ b/core/sched/speed.go
@@ -22,8 +22,8 @@
 	// minUncachedTokens is the minimum prefill, in tokens, from which the
 	// prefill speed is learned.
 	minUncachedTokens = 32
-	// priorSamples is the number of observations that the pool's average counts
-	// as in the speed of an upstream with few observations.
+	// priorSamples is the weight of the pool's average in the blended speed of
+	// an upstream, as a number of the upstream's own observations.
 	priorSamples = 2
 )
 
@@ -35,7 +35,7 @@
 	// token is in seconds per output token of a single stream.
 	token        float64
 	tokenSamples float64
-	// call is the time of a plain service's request in seconds.
+	// call is the time of a plain service's call in seconds.
 	call        float64
 	callSamples float64
 }
@@ -64,14 +64,14 @@
 
 // updateBoundedAverage updates an average from an observation that may include
 // waiting time.
-func updateBoundedAverage(value, seen *float64, x, gain float64) {
-	updateAverage(value, seen, min(x, maxSlowdown**value), gain)
+func updateBoundedAverage(value, samples *float64, observed, gain float64) {
+	updateAverage(value, samples, min(observed, maxSlowdown**value), gain)
 }
 
-func updateAverage(value, seen *float64, x, gain float64) {
-	*seen++
-	g := max(gain, 1 / *seen)
-	*value += g * (x - *value)
+func updateAverage(value, samples *float64, observed, gain float64) {
+	*samples++
+	g := max(gain, 1 / *samples)
+	*value += g * (observed - *value)
 }
 
 // observation holds the measurements of a completed request.
@@ -111,6 +111,6 @@
 	}
 }
 
-func weightedAverage(own, seen, pool float64) float64 {
-	return (own*seen + pool*priorSamples) / (seen + priorSamples)
+func weightedAverage(own, samples, pool float64) float64 {
+	return (own*samples + pool*priorSamples) / (samples + priorSamples)
 }
--- a/core/sched/straggler.go
+++ b/core/sched/straggler.go
@@ -19,8 +19,8 @@
 	minPeers = 3
 	// demotedSlotDivisor divides the slots of a demoted upstream.
 	demotedSlotDivisor = 8
-	// overdueFactor is the multiple of its expected time after which a running
-	// request is overdue.
+	// overdueFactor is the multiple of a request's expected time after which
+	// the running request is overdue.
 	overdueFactor = 2.5
 	// minOverdue is the minimum number of overdue requests that demotes an
 	// upstream, minOverdueRatio their minimum fraction of the requests in
@@ -86,7 +86,7 @@
 func (d *Dispatcher) updateStraggler(now time.Duration, u *upstream, median float64) {
 	s := &u.straggler
 	s.slowness = u.speed.token / median
-	was := s.demoted
+	wasDemoted := s.demoted
 	slow := u.speed.tokenSamples >= minSpeedSamples && s.slowness >= demoteSlowness
 	switch {
 	case !s.demoted && (slow || overdue(now, u)):
@@ -95,7 +95,7 @@
 	case s.demoted && s.answers >= minSpeedSamples && s.slowness < restoreSlowness:
 		s.demoted = false
 	}
-	if s.demoted != was {
+	if s.demoted != wasDemoted {
 		d.refresh(now, u)
 	}
 }
@@ -104,13 +104,13 @@
 // longer than expected. This detects a straggler before it completes any
 // request.
 func overdue(now time.Duration, u *upstream) bool {
-	late := 0
+	overdueCount := 0
 	for _, r := range u.inFlight {
 		if float64(now-r.grantedAt) > overdueFactor*float64(r.expectedTime) {
-			late++
+			overdueCount++
 		}
 	}
-	return late >= minOverdue && float64(late) >= minOverdueRatio*float64(len(u.inFlight))
+	return overdueCount >= minOverdue && float64(overdueCount) >= minOverdueRatio*float64(len(u.inFlight))
 }
 
 // pickTrial returns a slow upstream that is due for a trial request, or nil.
--- a/core/sched/tight.go
+++ b/core/sched/tight.go
@@ -43,8 +43,8 @@
 	}
 }
 
-// removeTokenBudget recomputes the tier's budget after its tightest request has
-// left.
+// removeTokenBudget recomputes the tier's budget after the request with the
+// smallest budget has ended.
 func (u *upstream) removeTokenBudget(r *request) {
 	tier := r.offer.Tier
 	if tier >= len(u.tokenBudgets) || r.tokenBudget == 0 || r.tokenBudget > u.tokenBudgets[tier] {
--- a/core/sched/upstream.go
+++ b/core/sched/upstream.go
@@ -10,8 +10,8 @@
 	// reserveDivisor, that long requests leave free while short ones are
 	// arriving.
 	reserveDivisor = 8
-	// minSlotsForReserve is the minimum number of slots of which any is
-	// reserved.
+	// minSlotsForReserve is the number of slots below which an upstream
+	// reserves none.
 	minSlotsForReserve = 4
 	// reserveWindow is how long slots stay reserved after the last short
 	// request.
