--- a/core/claims/claims.go
+++ b/core/claims/claims.go
@@ -17,17 +17,28 @@
 
 // States of a Machine.
 const (
-	New       State = "new"
-	Joining   State = "joining"
-	Queued    State = "queued"
-	Granted   State = "granted"
-	Claiming  State = "claiming"
-	Claimed   State = "claimed"
+	// New waits for Begin.
+	New State = "new"
+	// Joining waits for the lookup of an existing claim.
+	Joining State = "joining"
+	// Queued waits for a granted upstream.
+	Queued State = "queued"
+	// Granted waits for the connection to the granted upstream.
+	Granted State = "granted"
+	// Claiming waits for the commit of the claim.
+	Claiming State = "claiming"
+	// Claimed waits for the result of the send.
+	Claimed State = "claimed"
+	// Streaming reads the frames of the answer.
 	Streaming State = "streaming"
-	Resuming  State = "resuming"
-	Fetching  State = "fetching"
-	Refusing  State = "refusing"
-	Ended     State = "ended"
+	// Resuming waits for the stream to continue over a new connection.
+	Resuming State = "resuming"
+	// Fetching reads the answer from the entry that dispatched the request.
+	Fetching State = "fetching"
+	// Refusing waits for the commit of the mark that the key did not run.
+	Refusing State = "refusing"
+	// Ended expects no further event.
+	Ended State = "ended"
 )
 
 const (
@@ -75,7 +86,8 @@
 	stream  string
 	address string
 	owner   string
-	// upstream is the granted one; holdsSlot is set until its slot is released.
+	// upstream is the granted upstream; holdsSlot is set until its slot is
+	// released.
 	upstream  string
 	holdsSlot bool
 	// ownsClaim is set while this machine must record the end of the claim.
@@ -83,8 +95,8 @@
 	claim          state.Claim
 	received       int64
 	failedAttempts int
-	// moveAttempted is set once a move to another engine was requested; there
-	// is no second one.
+	// moveAttempted is set once a move to another engine was requested; a
+	// stream is moved at most once.
 	moveAttempted bool
 	// pendingFailure is the failure that a keyed request ends with once its key
 	// is marked as not run.
@@ -187,18 +199,18 @@
 	m.stream = c.Stream
 	m.address = c.Address
 	m.owner = c.Entry
-	begun := Effect{Kind: Dispatched, Stream: c.Stream}
+	dispatched := Effect{Kind: Dispatched, Stream: c.Stream}
 	switch {
 	case c.Done && c.Unknown:
-		return append([]Effect{begun}, m.fail(Failure{Code: OutcomeUnknown, Ran: MayHaveRun})...)
+		return append([]Effect{dispatched}, m.fail(Failure{Code: OutcomeUnknown, Ran: MayHaveRun})...)
 	case c.Done && int64(len(c.Body)) == c.Length:
 		m.state = Ended
-		return []Effect{begun, {Kind: ServeRecorded, Claim: c}}
+		return []Effect{dispatched, {Kind: ServeRecorded, Claim: c}}
 	case c.Entry == m.request.Entry:
-		return append([]Effect{begun}, m.adoptOrphaned()...)
+		return append([]Effect{dispatched}, m.adoptOrphaned()...)
 	}
 	m.state = Fetching
-	return []Effect{begun, {Kind: Fetch, Address: c.Entry, Stream: c.Stream}}
+	return []Effect{dispatched, {Kind: Fetch, Address: c.Entry, Stream: c.Stream}}
 }
 
 func (m *Machine) handleQueued(e Event) []Effect {
@@ -411,12 +423,12 @@
 // MaxResumeAttempts attempts without progress the outcome is unknown.
 func (m *Machine) retry() []Effect {
 	m.failedAttempts++
-	retire := Effect{Kind: CloseConnection}
+	closeConnection := Effect{Kind: CloseConnection}
 	if m.failedAttempts > MaxResumeAttempts {
-		return append([]Effect{retire}, m.failUnknown()...)
+		return append([]Effect{closeConnection}, m.failUnknown()...)
 	}
 	m.state = Resuming
-	return []Effect{retire, {Kind: Resume, Address: m.address, Stream: m.stream, Offset: m.received, Delayed: m.failedAttempts > 1}}
+	return []Effect{closeConnection, {Kind: Resume, Address: m.address, Stream: m.stream, Offset: m.received, Delayed: m.failedAttempts > 1}}
 }
 
 func (m *Machine) handleResuming(e Event) []Effect {
--- a/core/claims/claims_test.go
+++ b/core/claims/claims_test.go
@@ -138,8 +138,8 @@
 )
 
 func TestEffectsAfterEventSequences(t *testing.T) {
-	missing := Event{Kind: NotFound}
-	peers := state.Claim{Digest: "d", Stream: "other", Entry: "peer", Address: "b"}
+	notFound := Event{Kind: NotFound}
+	peerClaim := state.Claim{Digest: "d", Stream: "other", Entry: "peer", Address: "b"}
 	cases := []struct {
 		name   string
 		plain  bool
@@ -149,23 +149,23 @@
 		code Code
 		ran  Ran
 	}{
-		{"whole stream", false, []Event{missing, grantReceived, connected, {Kind: ClaimCommitted}, {Kind: Started}, {Kind: FrameRead, Frame: Frame{Stream: "own", Length: 2, End: true}}}, []EffectKind{Deliver, Release, End, Finish}, "", ""},
-		{"end at a wrong offset", false, []Event{missing, grantReceived, connected, {Kind: ClaimCommitted}, {Kind: Started}, {Kind: FrameRead, Frame: Frame{Stream: "own", Offset: 5, End: true}}}, []EffectKind{CloseConnection, Resume}, "", ""},
-		{"engine shuts down", false, []Event{missing, grantReceived, connected, {Kind: ClaimCommitted}, {Kind: Started}, {Kind: FrameRead, Frame: Frame{Stream: "own", Leaving: true}}}, []EffectKind{Deliver, Move}, "", ""},
-		{"moved", false, []Event{missing, grantReceived, connected, {Kind: ClaimCommitted}, {Kind: Started}, {Kind: FrameRead, Frame: Frame{Stream: "own", Leaving: true}}, {Kind: Moved, Address: "b"}, {Kind: ConnectionLost}}, []EffectKind{CloseConnection, Resume}, "", ""},
-		{"moved only once", false, []Event{missing, grantReceived, connected, {Kind: ClaimCommitted}, {Kind: Started}, {Kind: FrameRead, Frame: Frame{Stream: "own", Leaving: true}}, {Kind: MoveFailed}, {Kind: FrameRead, Frame: Frame{Stream: "own", Leaving: true}}}, []EffectKind{Deliver, Receive}, "", ""},
-		{"frame of another stream", false, []Event{missing, grantReceived, connected, {Kind: ClaimCommitted}, {Kind: Started}, {Kind: FrameRead, Frame: Frame{Stream: "x", Length: 2}}}, []EffectKind{CloseConnection, Resume}, "", ""},
-		{"unconfirmed claim is proposed again", false, []Event{missing, grantReceived, connected, {Kind: ClaimUnconfirmed}}, []EffectKind{Propose}, "", ""},
-		{"unconfirmed claim until the deadline", false, []Event{missing, grantReceived, connected, {Kind: ClaimUnconfirmed}, {Kind: Expired}}, []EffectKind{Release, ResolveClaim, Fail}, LogUnavailable, MayHaveRun},
-		{"nothing sent after the claim", true, []Event{missing, grantReceived, connected, {Kind: ClaimCommitted}, {Kind: NothingSent}}, []EffectKind{Release, Finish, RecordNotRun, Fail}, NotSent, NotRun},
-		{"engine refuses to start", false, []Event{missing, grantReceived, connected, {Kind: ClaimCommitted}, {Kind: Rejected}}, []EffectKind{Release, Finish, Fail}, UpstreamRefused, MayHaveRun},
-		{"connection to a plain service fails", true, []Event{missing, grantReceived, connected, {Kind: ClaimCommitted}, {Kind: SendInterrupted}}, []EffectKind{Release, Finish, Fail}, OutcomeUnknown, MayHaveRun},
-		{"answer is fetched from the owner", true, []Event{{Kind: Found, Claim: peers}}, []EffectKind{Dispatched, Fetch}, "", ""},
-		{"owner gone, plain service", true, []Event{{Kind: Found, Claim: peers}, {Kind: AnswerNotHeld}}, []EffectKind{Finish, Fail}, OutcomeUnknown, MayHaveRun},
-		{"owner gone, engine", false, []Event{{Kind: Found, Claim: peers}, {Kind: AnswerNotHeld, Length: 7}}, []EffectKind{Resume}, "", ""},
-		{"refusal marks the key", false, []Event{missing, {Kind: Refused}}, []EffectKind{Propose}, "", ""},
-		{"refusal while another runs it", false, []Event{missing, {Kind: Refused}, {Kind: ClaimExists, Claim: peers}}, []EffectKind{Dispatched, Fetch}, "", ""},
-		{"refusal that could not be marked", false, []Event{missing, {Kind: Refused}, {Kind: ClaimUnconfirmed}}, []EffectKind{Fail}, SchedulerRefused, MayHaveRun},
+		{"whole stream", false, []Event{notFound, grantReceived, connected, {Kind: ClaimCommitted}, {Kind: Started}, {Kind: FrameRead, Frame: Frame{Stream: "own", Length: 2, End: true}}}, []EffectKind{Deliver, Release, End, Finish}, "", ""},
+		{"end at a wrong offset", false, []Event{notFound, grantReceived, connected, {Kind: ClaimCommitted}, {Kind: Started}, {Kind: FrameRead, Frame: Frame{Stream: "own", Offset: 5, End: true}}}, []EffectKind{CloseConnection, Resume}, "", ""},
+		{"engine shuts down", false, []Event{notFound, grantReceived, connected, {Kind: ClaimCommitted}, {Kind: Started}, {Kind: FrameRead, Frame: Frame{Stream: "own", Leaving: true}}}, []EffectKind{Deliver, Move}, "", ""},
+		{"moved", false, []Event{notFound, grantReceived, connected, {Kind: ClaimCommitted}, {Kind: Started}, {Kind: FrameRead, Frame: Frame{Stream: "own", Leaving: true}}, {Kind: Moved, Address: "b"}, {Kind: ConnectionLost}}, []EffectKind{CloseConnection, Resume}, "", ""},
+		{"moved only once", false, []Event{notFound, grantReceived, connected, {Kind: ClaimCommitted}, {Kind: Started}, {Kind: FrameRead, Frame: Frame{Stream: "own", Leaving: true}}, {Kind: MoveFailed}, {Kind: FrameRead, Frame: Frame{Stream: "own", Leaving: true}}}, []EffectKind{Deliver, Receive}, "", ""},
+		{"frame of another stream", false, []Event{notFound, grantReceived, connected, {Kind: ClaimCommitted}, {Kind: Started}, {Kind: FrameRead, Frame: Frame{Stream: "x", Length: 2}}}, []EffectKind{CloseConnection, Resume}, "", ""},
+		{"unconfirmed claim is proposed again", false, []Event{notFound, grantReceived, connected, {Kind: ClaimUnconfirmed}}, []EffectKind{Propose}, "", ""},
+		{"unconfirmed claim until the deadline", false, []Event{notFound, grantReceived, connected, {Kind: ClaimUnconfirmed}, {Kind: Expired}}, []EffectKind{Release, ResolveClaim, Fail}, LogUnavailable, MayHaveRun},
+		{"nothing sent after the claim", true, []Event{notFound, grantReceived, connected, {Kind: ClaimCommitted}, {Kind: NothingSent}}, []EffectKind{Release, Finish, RecordNotRun, Fail}, NotSent, NotRun},
+		{"engine refuses to start", false, []Event{notFound, grantReceived, connected, {Kind: ClaimCommitted}, {Kind: Rejected}}, []EffectKind{Release, Finish, Fail}, UpstreamRefused, MayHaveRun},
+		{"connection to a plain service fails", true, []Event{notFound, grantReceived, connected, {Kind: ClaimCommitted}, {Kind: SendInterrupted}}, []EffectKind{Release, Finish, Fail}, OutcomeUnknown, MayHaveRun},
+		{"answer is fetched from the owner", true, []Event{{Kind: Found, Claim: peerClaim}}, []EffectKind{Dispatched, Fetch}, "", ""},
+		{"owner gone, plain service", true, []Event{{Kind: Found, Claim: peerClaim}, {Kind: AnswerNotHeld}}, []EffectKind{Finish, Fail}, OutcomeUnknown, MayHaveRun},
+		{"owner gone, engine", false, []Event{{Kind: Found, Claim: peerClaim}, {Kind: AnswerNotHeld, Length: 7}}, []EffectKind{Resume}, "", ""},
+		{"refusal marks the key", false, []Event{notFound, {Kind: Refused}}, []EffectKind{Propose}, "", ""},
+		{"refusal while another runs it", false, []Event{notFound, {Kind: Refused}, {Kind: ClaimExists, Claim: peerClaim}}, []EffectKind{Dispatched, Fetch}, "", ""},
+		{"refusal that could not be marked", false, []Event{notFound, {Kind: Refused}, {Kind: ClaimUnconfirmed}}, []EffectKind{Fail}, SchedulerRefused, MayHaveRun},
 		{"lookup fails", false, []Event{{Kind: Failed}}, []EffectKind{Fail}, LogUnavailable, MayHaveRun},
 		{"key claimed for different content", false, []Event{{Kind: Found, Claim: state.Claim{Digest: "e"}}}, []EffectKind{Fail}, KeyConflict, NotRun},
 		{"refused elsewhere", false, []Event{{Kind: Found, Claim: state.Claim{Digest: "d", NotRun: true, Done: true}}}, []EffectKind{RecordNotRun, Fail}, AlreadyRefused, NotRun},
--- a/core/claims/event.go
+++ b/core/claims/event.go
@@ -126,9 +126,9 @@
 	Release EffectKind = "release"
 	// Finish records how the claimed request ended.
 	Finish EffectKind = "finish"
-	// ResolveClaim resolves a claim of which it is not known whether it was
-	// committed: it proposes the claim again until the log answers, and marks
-	// it as not run if it is this machine's.
+	// ResolveClaim resolves an unconfirmed claim in the background: the caller
+	// proposes it again until the log answers, and marks it as not run if it
+	// is this machine's claim that was committed.
 	ResolveClaim EffectKind = "settle"
 	// RecordNotRun stores at this entry that the claim's attempt is marked as
 	// not run; see Request.KnownNotRunAttempt.
@@ -186,8 +186,8 @@
 	// NotRun guarantees that nothing ran under the key and nothing will, unless
 	// the caller sends the key again.
 	NotRun Ran = "not_run"
-	// MayHaveRun makes no statement: the request may have run, or may still
-	// run.
+	// MayHaveRun means that it is not known: the request may have run, or may
+	// still run.
 	MayHaveRun Ran = "unknown"
 	// DidRun states that an upstream executed the request, at least in part.
 	DidRun Ran = "ran"
--- a/core/claims/race_test.go
+++ b/core/claims/race_test.go
@@ -104,33 +104,33 @@
 // answerAwaited answers an actor's awaited effect with a random success or
 // failure.
 func (w *simulation) answerAwaited(a *actor) {
-	bad := rapid.IntRange(0, 9).Draw(w.t, "luck")
-	if bad == 0 {
+	fault := rapid.IntRange(0, 9).Draw(w.t, "luck")
+	if fault == 0 {
 		w.step(a, Event{Kind: Expired})
 		return
 	}
 	switch a.awaited.Kind {
 	case Lookup:
-		w.lookup(a, bad == 1)
+		w.lookup(a, fault == 1)
 	case Acquire:
-		w.step(a, Event{Kind: pick(bad <= 3, Refused, GrantReceived), Upstream: "u", Address: "up"})
+		w.step(a, Event{Kind: pick(fault <= 3, Refused, GrantReceived), Upstream: "u", Address: "up"})
 	case Dial:
-		w.step(a, Event{Kind: pick(bad == 1, Unreachable, Connected)})
+		w.step(a, Event{Kind: pick(fault == 1, Unreachable, Connected)})
 	case Propose:
-		w.propose(a, bad)
+		w.propose(a, fault)
 	case Send:
-		w.send(a, bad)
+		w.send(a, fault)
 	case Receive:
-		w.step(a, Event{Kind: FrameRead, Frame: Frame{Stream: a.machine.stream, Offset: a.machine.received, Length: 1, End: bad > 5}})
+		w.step(a, Event{Kind: FrameRead, Frame: Frame{Stream: a.machine.stream, Offset: a.machine.received, Length: 1, End: fault > 5}})
 	case Resume:
 		w.resume(a)
 	case Fetch:
-		w.step(a, Event{Kind: pick(bad < 5, AnswerNotHeld, FetchInterrupted)})
+		w.step(a, Event{Kind: pick(fault < 5, AnswerNotHeld, FetchInterrupted)})
 	}
 }
 
-func pick(bad bool, then, otherwise EventKind) EventKind {
-	if bad {
+func pick(condition bool, then, otherwise EventKind) EventKind {
+	if condition {
 		return then
 	}
 	return otherwise
@@ -149,8 +149,8 @@
 }
 
 // propose applies the command, drops it, or drops its result.
-func (w *simulation) propose(a *actor, bad int) {
-	if bad == 1 {
+func (w *simulation) propose(a *actor, fault int) {
+	if fault == 1 {
 		w.step(a, Event{Kind: ClaimUnconfirmed})
 		return
 	}
@@ -158,7 +158,7 @@
 	r := w.log.Apply(state.Command{Claim: &c})
 	w.recordMark()
 	switch {
-	case bad == 2:
+	case fault == 2:
 		w.step(a, Event{Kind: ClaimUnconfirmed})
 	case r.Status == state.OK:
 		w.step(a, Event{Kind: ClaimCommitted})
@@ -169,17 +169,17 @@
 	}
 }
 
-func (w *simulation) send(a *actor, bad int) {
-	if bad == 1 {
+func (w *simulation) send(a *actor, fault int) {
+	if fault == 1 {
 		w.step(a, Event{Kind: NothingSent})
 		return
 	}
 	w.sends = append(w.sends, sendRecord{w.clock, a.id})
 	a.sent = true
 	switch {
-	case bad == 2:
+	case fault == 2:
 		w.step(a, Event{Kind: Rejected})
-	case bad == 3:
+	case fault == 3:
 		w.step(a, Event{Kind: SendInterrupted})
 	case a.machine.request.PlainService:
 		w.step(a, Event{Kind: Replied, Length: 3})
--- a/core/claims/table_test.go
+++ b/core/claims/table_test.go
@@ -22,22 +22,22 @@
 
 func stages() []stage {
 	peerClaim := state.Claim{Digest: "d", Stream: "theirs", Entry: "peer", Address: "b"}
-	missing, made, started := Event{Kind: NotFound}, Event{Kind: ClaimCommitted}, Event{Kind: Started}
+	notFound, claimCommitted, started := Event{Kind: NotFound}, Event{Kind: ClaimCommitted}, Event{Kind: Started}
 	frame := Event{Kind: FrameRead, Frame: Frame{Stream: "own", Length: 2}}
 	return []stage{
 		{"looked up", false, true, nil},
-		{"queued", false, true, []Event{missing}},
+		{"queued", false, true, []Event{notFound}},
 		{"queued without key", false, false, nil},
-		{"connecting", false, true, []Event{missing, grantReceived}},
-		{"claiming", false, true, []Event{missing, grantReceived, connected}},
-		{"claiming again", false, true, []Event{missing, grantReceived, connected, {Kind: ClaimUnconfirmed}}},
-		{"sending to an engine", false, true, []Event{missing, grantReceived, connected, made}},
-		{"sending to a service", true, true, []Event{missing, grantReceived, connected, made}},
-		{"streaming", false, true, []Event{missing, grantReceived, connected, made, started, frame}},
-		{"resuming", false, true, []Event{missing, grantReceived, connected, made, started, frame, {Kind: ConnectionLost}}},
+		{"connecting", false, true, []Event{notFound, grantReceived}},
+		{"claiming", false, true, []Event{notFound, grantReceived, connected}},
+		{"claiming again", false, true, []Event{notFound, grantReceived, connected, {Kind: ClaimUnconfirmed}}},
+		{"sending to an engine", false, true, []Event{notFound, grantReceived, connected, claimCommitted}},
+		{"sending to a service", true, true, []Event{notFound, grantReceived, connected, claimCommitted}},
+		{"streaming", false, true, []Event{notFound, grantReceived, connected, claimCommitted, started, frame}},
+		{"resuming", false, true, []Event{notFound, grantReceived, connected, claimCommitted, started, frame, {Kind: ConnectionLost}}},
 		{"fetching from the owner, engine", false, true, []Event{{Kind: Found, Claim: peerClaim}}},
 		{"fetching from the owner, service", true, true, []Event{{Kind: Found, Claim: peerClaim}}},
-		{"marking a refusal", false, true, []Event{missing, {Kind: Refused}}},
+		{"marking a refusal", false, true, []Event{notFound, {Kind: Refused}}},
 	}
 }
 
--- a/core/config/config.go
+++ b/core/config/config.go
@@ -95,7 +95,7 @@
 	KeyOptional bool `json:"key_optional,omitempty"`
 }
 
-// Operator is a person or program that may apply configuration.
+// Operator is a person or program that may apply configurations.
 type Operator struct {
 	Name string `json:"name"`
 	// Keys are hashes of bearer keys in the format of HashKey.
--- a/core/consensus/codec.go
+++ b/core/consensus/codec.go
@@ -9,7 +9,7 @@
 // state, snapshot description or member list of a known version.
 var ErrMalformed = errors.New("bytes are not a consensus record of a known version; run the same version on all replicas")
 
-// codecVersion is the first byte of each encoded message.
+// messageVersion is the first byte of each encoded message.
 const messageVersion = 1
 
 // maxListLength limits lists in a decoded record before memory is allocated
@@ -144,13 +144,13 @@
 	return w.buf
 }
 
-// DecodeHardState decodes EncodeHardState's output, and that of the version
-// before, which has no leader. It returns ErrMalformed for other input.
+// DecodeHardState decodes EncodeHardState's output, and that of the previous
+// format, which has no leader. It returns ErrMalformed for other input.
 func DecodeHardState(b []byte) (HardState, error) {
 	r := decoder{buf: b}
 	h := HardState{Term: r.uvarint(), VotedFor: ID(r.uvarint())}
 	if len(r.buf) > 0 {
-		// Records of the version before end here, without a leader.
+		// Records of the previous format end here, without a leader.
 		h.Leader = ID(r.uvarint())
 	}
 	return h, r.checkComplete()
--- a/core/consensus/leader.go
+++ b/core/consensus/leader.go
@@ -22,11 +22,13 @@
 	inflight []uint64
 	// isPaused is set while a probe is unanswered.
 	isPaused bool
-	// lastReplyAt is the tick of the last reply, lastProgressAt that of the
-	// last one that advanced matchIndex or the snapshot, or of the last resend.
+	// lastReplyAt is the tick of the last reply. lastProgressAt is the tick of
+	// the last reply that advanced matchIndex or the snapshot transfer, or of
+	// the last resend.
 	lastReplyAt    uint64
 	lastProgressAt uint64
-	// ackedHeartbeat is the sequence of the newest heartbeat it answered.
+	// ackedHeartbeat is the sequence of the newest heartbeat that the peer
+	// answered.
 	ackedHeartbeat uint64
 	// installMeta and installOffset are the progress of a snapshot transfer.
 	installMeta   SnapshotMeta
@@ -49,7 +51,8 @@
 
 // leaderState is the state that only a leader has; it is empty on other nodes.
 type leaderState struct {
-	peers             map[ID]*peer
+	peers map[ID]*peer
+	// firstIndex is the index of the first entry of the leader's term.
 	firstIndex        uint64
 	heartbeatSequence uint64
 	heartbeatRounds   []heartbeatRound
--- a/core/consensus/node.go
+++ b/core/consensus/node.go
@@ -54,7 +54,7 @@
 
 	leaderState leaderState
 
-	immediate        []Message
+	beforeSync       []Message
 	afterSync        []Message
 	reads            []Read
 	receivedSnapshot *Snapshot
@@ -130,7 +130,7 @@
 		m.Term = n.hard.Term
 	}
 	if m.Kind == Append || m.Kind == Heartbeat || m.Kind == InstallChunk {
-		n.immediate = append(n.immediate, m)
+		n.beforeSync = append(n.beforeSync, m)
 		return
 	}
 	n.afterSync = append(n.afterSync, m)
@@ -261,7 +261,7 @@
 
 // HasEffects reports whether Effects would return anything.
 func (n *Node) HasEffects() bool {
-	return len(n.immediate)+len(n.afterSync)+len(n.reads) > 0 || n.receivedSnapshot != nil ||
+	return len(n.beforeSync)+len(n.afterSync)+len(n.reads) > 0 || n.receivedSnapshot != nil ||
 		n.hard != n.emittedHard || n.log.emitted < n.log.lastIndex() || n.applicableIndex() > n.log.appliedIndex
 }
 
@@ -273,8 +273,8 @@
 // Effects returns the work that is due. The caller must carry it out and call
 // MarkPersisted before any other method.
 func (n *Node) Effects() Effects {
-	e := Effects{MessagesBeforeSync: n.immediate, MessagesAfterSync: n.afterSync, Reads: n.reads, Snapshot: n.receivedSnapshot}
-	n.immediate, n.afterSync, n.reads, n.receivedSnapshot = nil, nil, nil, nil
+	e := Effects{MessagesBeforeSync: n.beforeSync, MessagesAfterSync: n.afterSync, Reads: n.reads, Snapshot: n.receivedSnapshot}
+	n.beforeSync, n.afterSync, n.reads, n.receivedSnapshot = nil, nil, nil, nil
 	if n.hard != n.emittedHard {
 		h := n.hard
 		e.Hard = &h
--- a/core/consensus/node_test.go
+++ b/core/consensus/node_test.go
@@ -214,11 +214,11 @@
 	n := testNode(2, Member{ID: 1, Name: "a"}, learner)
 	n.Advance(500)
 	require.Empty(t, drainMessages(n))
-	lead := testNode(1, Member{ID: 1, Name: "a"}, learner)
-	lead.Advance(500)
-	drainMessages(lead)
-	require.Equal(t, Leader, lead.role)
-	require.Equal(t, uint64(2), lead.log.commitIndex)
+	leader := testNode(1, Member{ID: 1, Name: "a"}, learner)
+	leader.Advance(500)
+	drainMessages(leader)
+	require.Equal(t, Leader, leader.role)
+	require.Equal(t, uint64(2), leader.log.commitIndex)
 }
 
 func TestUncommittedBytesLimitRejectsAndRecovers(t *testing.T) {
--- a/core/consensus/types.go
+++ b/core/consensus/types.go
@@ -58,7 +58,7 @@
 	Term     uint64
 	VotedFor ID
 	// Leader is the leader of Term, zero until it is known. This node may have
-	// confirmed its lease.
+	// confirmed that leader's lease.
 	Leader ID
 }
 
@@ -97,15 +97,20 @@
 	AppendReply
 	Heartbeat
 	HeartbeatReply
+	// InstallChunk carries a part of a snapshot; InstallReply names the offset
+	// of the next part.
 	InstallChunk
 	InstallReply
+	// TimeoutNow tells the successor in a leadership transfer to start an
+	// election at once.
 	TimeoutNow
+	// ReadIndex asks the leader for an index at which a read is linearizable.
 	ReadIndex
 	ReadIndexReply
 )
 
-// Message is a message between two nodes of a group. Its fields are used
-// depending on Kind.
+// Message is a message between two nodes of a group. Kind determines which
+// fields are set.
 type Message struct {
 	Kind MessageKind
 	From ID
--- a/core/routes/check.go
+++ b/core/routes/check.go
@@ -48,11 +48,11 @@
 	for i := range t.Routes {
 		r := &t.Routes[i]
 		at := "route " + r.Name
-		place := r.Host + "\x00" + r.Prefix
-		if other, ok := seen[place]; ok {
+		hostAndPrefix := r.Host + "\x00" + r.Prefix
+		if other, ok := seen[hostAndPrefix]; ok {
 			add(at, "drop one of the two", "host and prefix are those of route %s", other)
 		}
-		seen[place] = r.Name
+		seen[hostAndPrefix] = r.Name
 		r.check(func(remedy, format string, args ...any) { add(at, remedy, format, args...) }, pools)
 	}
 	keys := map[string]string{}
--- a/core/routes/codec.go
+++ b/core/routes/codec.go
@@ -41,8 +41,8 @@
 
 // Decompress returns a document that Compress compressed. It returns a
 // *DecodeError if the data is truncated or corrupt.
-func Decompress(packed []byte) ([]byte, error) {
-	data, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(packed)), maxDecompressedBytes))
+func Decompress(compressed []byte) ([]byte, error) {
+	data, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(compressed)), maxDecompressedBytes))
 	if err != nil {
 		return nil, &DecodeError{Cause: err}
 	}
@@ -59,8 +59,8 @@
 }
 
 // Decode returns a table that Encode encoded, or a *DecodeError.
-func Decode(packed []byte) (*Table, error) {
-	data, err := Decompress(packed)
+func Decode(compressed []byte) (*Table, error) {
+	data, err := Decompress(compressed)
 	if err != nil {
 		return nil, err
 	}
--- a/core/routes/routes_test.go
+++ b/core/routes/routes_test.go
@@ -64,12 +64,12 @@
 }
 
 func TestEncodedTableDecodesToTheSameTable(t *testing.T) {
-	packed, err := Encode(validTable())
+	compressed, err := Encode(validTable())
 	require.NoError(t, err)
-	decoded, err := Decode(packed)
+	decoded, err := Decode(compressed)
 	require.NoError(t, err)
 	require.Equal(t, validTable(), decoded)
 	wrong := (*DecodeError)(nil)
-	_, err = Decode(packed[:len(packed)/2])
+	_, err = Decode(compressed[:len(compressed)/2])
 	require.ErrorAs(t, err, &wrong)
 }
--- a/core/state/state.go
+++ b/core/state/state.go
@@ -100,7 +100,7 @@
 	Holder string `json:"holder"`
 }
 
-// Expire ends a lease that its holder has not renewed or gives up. It has no
+// Expire ends a lease that its holder has not renewed or has given up. It has no
 // effect if the epoch is not the current one.
 type Expire struct {
 	Name  string `json:"name"`
@@ -157,9 +157,10 @@
 	NotRun      bool   `json:"not_run,omitempty"`
 }
 
-// Trim removes claims and suspects made before a time; claims in commit order,
-// up to the first newer one. Then it removes recorded answers of the remaining
-// claims, oldest first, until the rest fits in AnswerBytes.
+// Trim removes claims and suspects made before a time. It visits the claims in
+// commit order and stops at the first newer one. Then it removes recorded
+// answers of the remaining claims, oldest first, until the rest fits in
+// AnswerBytes.
 type Trim struct {
 	// BeforeMS is a time in Unix milliseconds.
 	BeforeMS int64 `json:"before_ms"`
@@ -319,12 +320,12 @@
 	if m.claimBytes+c.sizeBytes() > MaxClaimBytes {
 		return Result{Status: Full}
 	}
-	made := c.clone()
-	m.claims[k] = made
+	created := c.clone()
+	m.claims[k] = created
 	m.claimOrder = append(m.claimOrder, k)
-	m.claimBytes += made.sizeBytes()
-	m.answerBytes += int64(len(made.Body))
-	return Result{Status: OK, Claim: made}
+	m.claimBytes += created.sizeBytes()
+	m.answerBytes += int64(len(created.Body))
+	return Result{Status: OK, Claim: created}
 }
 
 // compareProposal returns OK for a retried proposal, Exists for a resend of the
