--- a/core/member/gossip.go
+++ b/core/member/gossip.go
@@ -10,10 +10,10 @@
 // updates, and one random state, which repairs losses.
 func (m *Machine) selectUpdates(receiver string) []State {
 	out := []State{m.self}
-	taken := map[string]bool{}
+	selected := map[string]bool{}
 	add := func(e *memberRecord) {
-		if len(out) < m.options.MaxUpdates && !taken[e.state.Name] {
-			taken[e.state.Name] = true
+		if len(out) < m.options.MaxUpdates && !selected[e.state.Name] {
+			selected[e.state.Name] = true
 			out = append(out, e.state)
 		}
 	}
@@ -54,7 +54,8 @@
 
 // refute answers a wrong state of this daemon with a higher incarnation. A
 // state with another peer address is a name conflict: it is reported and not
-// refuted, so that the two daemons do not outbid each other.
+// refuted, so that the two daemons do not raise their incarnations
+// in turn.
 func (m *Machine) refute(s State) {
 	if s.Info.PeerAddress != m.self.Info.PeerAddress {
 		m.events = append(m.events, Event{State: s, Conflict: s.Status.IsLive(), Known: true})
@@ -63,8 +64,8 @@
 	if m.self.Status == Left {
 		return
 	}
-	stale := s.Incarnation == m.self.Incarnation && s.Status == Alive
-	if s.Incarnation >= m.self.Incarnation && !stale {
+	isAccurate := s.Incarnation == m.self.Incarnation && s.Status == Alive
+	if s.Incarnation >= m.self.Incarnation && !isAccurate {
 		m.raiseIncarnation(s.Incarnation)
 	}
 }
--- a/core/member/machine.go
+++ b/core/member/machine.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// memberRecord is what this daemon knows of another.
+// memberRecord is what this daemon knows of another daemon.
 type memberRecord struct {
 	state State
 	// statusSince is when the current status was learned.
@@ -55,6 +55,7 @@
 	// joining. When many daemons start at once, the seed may not know all of
 	// them yet.
 	listingsLeft int
+	// pageAfter is the name after which the next page of the list begins.
 	pageAfter    string
 	hasNextPage  bool
 	nextProbeAt  time.Duration
@@ -179,7 +180,7 @@
 }
 
 // probeRound probes the next daemon on the ring of names, so that each death is
-// noticed within one period, and a random one, so that any broken link is
+// noticed within one probe interval, and a random one, so that any broken link is
 // noticed eventually.
 func (m *Machine) probeRound() []Request {
 	out := []Request{}
@@ -213,7 +214,7 @@
 	return "", false
 }
 
-// nextRandom visits the live daemons in an order that is shuffled for each
+// nextRandom returns the next live daemon in an order that is shuffled for each
 // pass.
 func (m *Machine) nextRandom() (string, bool) {
 	for range 2 {
--- a/core/member/machine_test.go
+++ b/core/member/machine_test.go
@@ -214,7 +214,7 @@
 	w.names = append(w.names, "x")
 	w.run(w.opt.MaxDisseminationTime(3))
 	require.Condition(t, func() bool { return hasConflict(duplicate) || hasConflict(w.machines["d002"]) })
-	require.Less(t, duplicate.Self().Incarnation, uint64(910), "daemons with the same name must not outbid each other")
+	require.Less(t, duplicate.Self().Incarnation, uint64(910), "daemons with the same name must not raise their incarnations in turn")
 }
 
 func hasConflict(m *Machine) bool {
--- a/core/member/member.go
+++ b/core/member/member.go
@@ -106,7 +106,8 @@
 // Event is a membership event for the daemon's log.
 type Event struct {
 	State State
-	// PreviousStatus is the status before; Known is false for a new daemon.
+	// PreviousStatus is the status before the event; Known is false for a
+	// daemon that was not in the list.
 	PreviousStatus Status
 	Known          bool
 	// Conflict is set if another daemon uses this daemon's name.
--- a/core/promise/check.go
+++ b/core/promise/check.go
@@ -122,21 +122,21 @@
 	c.lastEvent = max(c.lastEvent, e.At)
 	out := []Violation{}
 	for _, r := range c.rules {
-		for _, why := range r.observe(e) {
-			out = append(out, Violation{Promise: r.promise(), Event: e, Reason: why})
+		for _, reason := range r.observe(e) {
+			out = append(out, Violation{Promise: r.promise(), Event: e, Reason: reason})
 		}
 	}
 	return out
 }
 
-// Finish ends the run and returns the violations by what is missing, such as a
-// request without an answer.
+// Finish ends the run and returns the violations that consist in a missing
+// event, such as a request without an answer.
 func (c *Checker) Finish() []Violation {
 	end := max(c.lastEvent, c.options.End)
 	out := []Violation{}
 	for _, r := range c.rules {
-		for _, why := range r.finish(end) {
-			out = append(out, Violation{Promise: r.promise(), Event: Event{At: end}, Reason: why})
+		for _, reason := range r.finish(end) {
+			out = append(out, Violation{Promise: r.promise(), Event: Event{At: end}, Reason: reason})
 		}
 	}
 	return out
--- a/core/promise/config.go
+++ b/core/promise/config.go
@@ -17,8 +17,8 @@
 // the quorum.
 type daemonState struct {
 	version uint64
-	// up is set while the daemon runs and can reach the quorum; upSince is the
-	// time since when.
+	// up is set while the daemon runs and can reach the quorum; upSince is when
+	// that began.
 	up      bool
 	upSince time.Duration
 	// reportedVersion is the newest version reported as overdue.
--- a/core/promise/requests.go
+++ b/core/promise/requests.go
@@ -51,7 +51,7 @@
 	if !known {
 		return []string{"the dispatch belongs to no known request"}
 	}
-	if owner, taken := x.streams[e.Stream]; taken && owner != r {
+	if owner, dispatched := x.streams[e.Stream]; dispatched && owner != r {
 		return []string{fmt.Sprintf("stream %s was already dispatched for %s", e.Stream, owner)}
 	}
 	if e.Stream != "" {
--- a/core/promise/tiers.go
+++ b/core/promise/tiers.go
@@ -16,8 +16,8 @@
 	since  time.Duration
 }
 
-// tierRule checks TierOrder. A refusal for overload by the entry itself,
-// without an earlier Shed by a dispatcher, counts as a Shed; it names a pool.
+// tierRule checks TierOrder. A refusal for overload that names a pool and has
+// no earlier Shed was made by the entry itself and counts as a Shed.
 type tierRule struct {
 	options Options
 	offers  map[string]offer
--- a/core/roster/roster.go
+++ b/core/roster/roster.go
@@ -25,7 +25,8 @@
 	// which an upstream counts as silent. It allows for two lost heartbeats and
 	// one that is late.
 	SilentAfter = 4
-	// removeAfter is the number of such intervals after which it is removed.
+	// removeAfter is the number of such intervals after which the upstream is
+	// removed.
 	removeAfter = 25
 )
 
@@ -42,10 +43,11 @@
 	Born int64
 	// Sequence orders the heartbeats of one process.
 	Sequence uint64
-	// Leaving is set if it accepts no new requests, Gone if its process ends.
+	// Leaving is set if the upstream accepts no new requests, Gone if its
+	// process has ended or is ending.
 	Leaving bool
 	Gone    bool
-	// Cold is the remaining warm-up time, during which it is slow.
+	// Cold is the remaining warm-up time, during which the upstream is slow.
 	Cold time.Duration
 	// Heard is the arrival time of the heartbeat.
 	Heard time.Duration
@@ -66,7 +68,7 @@
 	return &Roster{interval: interval, entries: map[string]Entry{}, owners: map[string]string{}}
 }
 
-// isNewer reports whether a heartbeat is newer than the entry held.
+// isNewer reports whether a heartbeat is newer than the entry in the roster.
 func isNewer(e, held Entry) bool {
 	if e.Born != held.Born {
 		return e.Born > held.Born
@@ -81,9 +83,11 @@
 const (
 	// Stale means that the heartbeat was outdated and changed nothing.
 	Stale MergeResult = iota
-	// Renewed means that it only confirmed that the upstream is alive.
+	// Renewed means that the heartbeat only confirmed that the upstream is
+	// alive.
 	Renewed
-	// Changed means that it changed whether or how the upstream can be used.
+	// Changed means that the heartbeat changed whether or how the upstream can
+	// be used.
 	Changed
 )
 
--- a/core/roster/roster_test.go
+++ b/core/roster/roster_test.go
@@ -102,10 +102,10 @@
 	}
 }
 
-// mergeTime returns the time that Merge takes in a roster of a size, the least
-// average of several rounds.
+// mergeTime returns the time that Merge takes in a roster of the given size: the
+// lowest average of several rounds.
 func mergeTime(size int) time.Duration {
-	const rounds, beats = 5, 2000
+	const rounds, heartbeats = 5, 2000
 	r := New(interval)
 	ids := make([]string, size)
 	for i := range ids {
@@ -115,13 +115,13 @@
 	best := time.Hour
 	for round := range rounds {
 		began := time.Now()
-		for i := range beats {
-			id := ids[(round*beats+i)%size]
+		for i := range heartbeats {
+			id := ids[(round*heartbeats+i)%size]
 			e, _ := r.Find(id)
 			e.Sequence++
 			r.Merge(e)
 		}
-		best = min(best, time.Since(began)/beats)
+		best = min(best, time.Since(began)/heartbeats)
 	}
 	return best
 }
