--- a/core/claims/claims_test.go
+++ b/core/claims/claims_test.go
@@ -90,7 +90,7 @@
 			before := m.State()
 			out := m.Step(e)
 			if len(out) == 0 {
-				require.Equal(t, before, m.State(), "an event that does not fit changes nothing")
+				require.Equal(t, before, m.State(), "an unexpected event changes nothing")
 				continue
 			}
 			seen.observeEvent(e)
--- a/core/claims/race_test.go
+++ b/core/claims/race_test.go
@@ -104,7 +104,7 @@
 // answerAwaited answers an actor's awaited effect with a random success or
 // failure.
 func (w *simulation) answerAwaited(a *actor) {
-	fault := rapid.IntRange(0, 9).Draw(w.t, "luck")
+	fault := rapid.IntRange(0, 9).Draw(w.t, "fault")
 	if fault == 0 {
 		w.step(a, Event{Kind: Expired})
 		return
--- a/core/claims/table_test.go
+++ b/core/claims/table_test.go
@@ -48,7 +48,7 @@
 	unknownOutcome := peerClaim
 	unknownOutcome.Done, unknownOutcome.Unknown = true, true
 	return map[string]Event{
-		"the caller goes away":            {Kind: Canceled},
+		"the caller disconnects":          {Kind: Canceled},
 		"the deadline passes":             {Kind: Expired},
 		"the log does not answer":         {Kind: ClaimUnconfirmed},
 		"the lookup fails":                {Kind: Failed},
@@ -64,11 +64,11 @@
 		"the connection breaks once sent": {Kind: SendInterrupted},
 		"the stream breaks or is silent":  {Kind: ConnectionLost},
 		"a frame of another stream":       {Kind: FrameRead, Frame: Frame{Stream: "x", Offset: 2, Length: 1}},
-		"a doubled frame":                 {Kind: FrameRead, Frame: Frame{Stream: "own", Length: 2}},
-		"a late frame":                    {Kind: FrameRead, Frame: Frame{Stream: "own", Offset: 9, Length: 1}},
-		"an end too early":                {Kind: FrameRead, Frame: Frame{Stream: "own", Offset: 9, End: true}},
+		"a repeated frame":                {Kind: FrameRead, Frame: Frame{Stream: "own", Length: 2}},
+		"a frame after a gap":             {Kind: FrameRead, Frame: Frame{Stream: "own", Offset: 9, Length: 1}},
+		"an end after a gap":              {Kind: FrameRead, Frame: Frame{Stream: "own", Offset: 9, End: true}},
 		"the engine fails":                {Kind: FrameRead, Frame: Frame{Stream: "own", Offset: 2, Error: "out of memory"}},
-		"the owner's link breaks":         {Kind: FetchInterrupted},
+		"the owner's connection breaks":   {Kind: FetchInterrupted},
 		"the owner is dead":               {Kind: OwnerDead},
 		"the owner holds nothing":         {Kind: AnswerNotHeld},
 		"the owner's answer failed":       {Kind: FetchFailed},
--- a/core/sched/dispatcher.go
+++ b/core/sched/dispatcher.go
@@ -38,7 +38,8 @@
 	lastShort  time.Duration
 	seenShort  bool
 	throughput throughput
-	// lastLive is when an upstream was last live, or the first round.
+	// lastLive is when an upstream was last live, or the time of the first
+	// round.
 	lastLive time.Duration
 	started  bool
 	// shortageUntil is when capacity no longer counts as short.
@@ -172,7 +173,7 @@
 	d.refresh(now, u)
 }
 
-// unassign removes a request from its upstream and returns that. It returns nil
+// unassign removes a request from its upstream and returns the upstream, or nil
 // where the upstream is unknown or does not run the request.
 func (d *Dispatcher) unassign(now time.Duration, r *request) *upstream {
 	u, ok := d.upstreams[r.upstream]
--- a/core/sched/estimate.go
+++ b/core/sched/estimate.go
@@ -9,8 +9,8 @@
 const (
 	// lengthGain is the weight of a new answer length in the moving averages.
 	lengthGain = 0.2
-	// cautiousDeviations is the number of mean deviations that the cautious
-	// estimate lies below the mean.
+	// cautiousDeviations is the number of mean deviations by which the cautious
+	// estimate is below the mean.
 	cautiousDeviations = 2
 	// minMeanRatio is the lower bound of the cautious estimate, as a fraction
 	// of the mean.
--- a/core/sched/policy_test.go
+++ b/core/sched/policy_test.go
@@ -43,7 +43,7 @@
 		"tier above": func(o *Offer) { o.Tier = maxTiers },
 		"weight":     func(o *Offer) { o.Weight = 0 },
 		"prompt":     func(o *Offer) { o.PromptTokens = -1 },
-		"most":       func(o *Offer) { o.MaxTokens = -1 },
+		"max tokens": func(o *Offer) { o.MaxTokens = -1 },
 		"limit":      func(o *Offer) { o.Limits = limits.Limits{Concurrency: -1} },
 		"entry":      func(o *Offer) { o.ID.Entry = "" },
 	}
--- a/core/sched/property_test.go
+++ b/core/sched/property_test.go
@@ -29,7 +29,7 @@
 	o := Offer{
 		ID: ID{Entry: fmt.Sprintf("e%d", m.nextNumber%3), Number: m.nextNumber}, Workspace: rapid.SampledFrom([]string{"a", "b", "c"}).Draw(m.t, "workspace"),
 		Tier: rapid.IntRange(0, 2).Draw(m.t, "tier"), Weight: rapid.IntRange(1, 4).Draw(m.t, "weight"),
-		PromptTokens: rapid.IntRange(0, 8000).Draw(m.t, "prompt"), MaxTokens: rapid.IntRange(0, 4000).Draw(m.t, "most"),
+		PromptTokens: rapid.IntRange(0, 8000).Draw(m.t, "prompt"), MaxTokens: rapid.IntRange(0, 4000).Draw(m.t, "max tokens"),
 		Deadline: m.now + time.Duration(rapid.IntRange(1, 60).Draw(m.t, "patience"))*time.Second,
 	}
 	refusal, err := m.d.Offer(m.now, o)
--- a/core/sched/session_test.go
+++ b/core/sched/session_test.go
@@ -46,10 +46,10 @@
 	s.now += after
 	out := s.d.Decide(s.now)
 	for _, g := range out.Grants {
-		why, err := json.Marshal(g.Explanation)
+		explanation, err := json.Marshal(g.Explanation)
 		require.NoError(s.t, err)
 		s.running = append(s.running, g.ID.Number)
-		s.logf("granted %d to %s: %s", g.ID.Number, g.Upstream, why)
+		s.logf("granted %d to %s: %s", g.ID.Number, g.Upstream, explanation)
 	}
 	for _, r := range out.Refusals {
 		s.logf("refused %d: %s, %s, come back after %s", r.ID.Number, r.Code, r.Reason, r.RetryAfter)
