--- a/core/claims/table_test.go
+++ b/core/claims/table_test.go
@@ -22,22 +22,22 @@
 
 func stages() []stage {
 	peerClaim := state.Claim{Digest: "d", Stream: "theirs", Entry: "peer", Address: "b"}
-	missing, made, started := Event{Kind: NotFound}, Event{Kind: ClaimCommitted}, Event{Kind: Started}
+	notFound, claimCommitted, started := Event{Kind: NotFound}, Event{Kind: ClaimCommitted}, Event{Kind: Started}
 	frame := Event{Kind: FrameRead, Frame: Frame{Stream: "own", Length: 2}}
 	return []stage{
 		{"looked up", false, true, nil},
-		{"queued", false, true, []Event{missing}},
+		{"queued", false, true, []Event{notFound}},
 		{"queued without key", false, false, nil},
-		{"connecting", false, true, []Event{missing, grantReceived}},
-		{"claiming", false, true, []Event{missing, grantReceived, connected}},
-		{"claiming again", false, true, []Event{missing, grantReceived, connected, {Kind: ClaimUnconfirmed}}},
-		{"sending to an engine", false, true, []Event{missing, grantReceived, connected, made}},
-		{"sending to a service", true, true, []Event{missing, grantReceived, connected, made}},
-		{"streaming", false, true, []Event{missing, grantReceived, connected, made, started, frame}},
-		{"resuming", false, true, []Event{missing, grantReceived, connected, made, started, frame, {Kind: ConnectionLost}}},
+		{"connecting", false, true, []Event{notFound, grantReceived}},
+		{"claiming", false, true, []Event{notFound, grantReceived, connected}},
+		{"claiming again", false, true, []Event{notFound, grantReceived, connected, {Kind: ClaimUnconfirmed}}},
+		{"sending to an engine", false, true, []Event{notFound, grantReceived, connected, claimCommitted}},
+		{"sending to a service", true, true, []Event{notFound, grantReceived, connected, claimCommitted}},
+		{"streaming", false, true, []Event{notFound, grantReceived, connected, claimCommitted, started, frame}},
+		{"resuming", false, true, []Event{notFound, grantReceived, connected, claimCommitted, started, frame, {Kind: ConnectionLost}}},
 		{"fetching from the owner, engine", false, true, []Event{{Kind: Found, Claim: peerClaim}}},
 		{"fetching from the owner, service", true, true, []Event{{Kind: Found, Claim: peerClaim}}},
-		{"marking a refusal", false, true, []Event{missing, {Kind: Refused}}},
+		{"marking a refusal", false, true, []Event{notFound, {Kind: Refused}}},
 	}
 }
 
@@ -48,7 +48,7 @@
 	unknownOutcome := peerClaim
 	unknownOutcome.Done, unknownOutcome.Unknown = true, true
 	return map[string]Event{
-		"the caller goes away":            {Kind: Canceled},
+		"the caller disconnects":          {Kind: Canceled},
 		"the deadline passes":             {Kind: Expired},
 		"the log does not answer":         {Kind: ClaimUnconfirmed},
 		"the lookup fails":                {Kind: Failed},
@@ -64,11 +64,11 @@
 		"the connection breaks once sent": {Kind: SendInterrupted},
 		"the stream breaks or is silent":  {Kind: ConnectionLost},
 		"a frame of another stream":       {Kind: FrameRead, Frame: Frame{Stream: "x", Offset: 2, Length: 1}},
-		"a doubled frame":                 {Kind: FrameRead, Frame: Frame{Stream: "own", Length: 2}},
-		"a late frame":                    {Kind: FrameRead, Frame: Frame{Stream: "own", Offset: 9, Length: 1}},
-		"an end too early":                {Kind: FrameRead, Frame: Frame{Stream: "own", Offset: 9, End: true}},
+		"a repeated frame":                {Kind: FrameRead, Frame: Frame{Stream: "own", Length: 2}},
+		"a frame after a gap":             {Kind: FrameRead, Frame: Frame{Stream: "own", Offset: 9, Length: 1}},
+		"an end after a gap":              {Kind: FrameRead, Frame: Frame{Stream: "own", Offset: 9, End: true}},
 		"the engine fails":                {Kind: FrameRead, Frame: Frame{Stream: "own", Offset: 2, Error: "out of memory"}},
-		"the owner's link breaks":         {Kind: FetchInterrupted},
+		"the owner's connection breaks":   {Kind: FetchInterrupted},
 		"the owner is dead":               {Kind: OwnerDead},
 		"the owner holds nothing":         {Kind: AnswerNotHeld},
 		"the owner's answer failed":       {Kind: FetchFailed},
--- a/core/sched/estimate.go
+++ b/core/sched/estimate.go
@@ -9,8 +9,8 @@
 const (
 	// lengthGain is the weight of a new answer length in the moving averages.
 	lengthGain = 0.2
-	// cautiousDeviations is the number of mean deviations that the cautious
-	// estimate lies below the mean.
+	// cautiousDeviations is the number of mean deviations by which the cautious
+	// estimate is below the mean.
 	cautiousDeviations = 2
 	// minMeanRatio is the lower bound of the cautious estimate, as a fraction
 	// of the mean.
@@ -67,11 +67,11 @@
 		s, ok = l.stats[lengthKeyOf(o, "")]
 	}
 	if !ok {
-		guess := initialLengthRatio * float64(o.MaxTokens)
+		initial := initialLengthRatio * float64(o.MaxTokens)
 		if o.MaxTokens == 0 {
-			guess = defaultOutputTokens
+			initial = defaultOutputTokens
 		}
-		return guess, 0
+		return initial, 0
 	}
 	mean = s.mean
 	if o.MaxTokens > 0 {
