--- a/internal/answer/reader.go
+++ b/internal/answer/reader.go
@@ -72,7 +72,7 @@
 		timeout = timer.C
 	}
 	for {
-		p, changed, err := r.unread()
+		p, changed, err := r.readAvailable()
 		if err != nil || len(p.Data) > 0 || p.Ended {
 			return p, err
 		}
@@ -86,9 +86,10 @@
 	}
 }
 
-// unread returns all unread bytes without blocking, and the channel that is
-// closed at the next change of the answer.
-func (r *Reader) unread() (Chunk, <-chan struct{}, error) {
+// readAvailable returns all unread bytes without blocking and advances the reader
+// past them. It also returns the channel that is closed at the next change of the
+// answer.
+func (r *Reader) readAvailable() (Chunk, <-chan struct{}, error) {
 	a := r.answer
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/entry/body.go
+++ b/internal/entry/body.go
@@ -15,7 +15,7 @@
 	// maxBodyReadBytes is how much of a body is read at once, after memory for it
 	// is reserved.
 	maxBodyReadBytes = 64 << 10
-	// bodyReadTimeout limits each of these reads.
+	// bodyReadTimeout limits the duration of each such read.
 	bodyReadTimeout = 10 * time.Second
 )
 
--- a/internal/entry/effects.go
+++ b/internal/entry/effects.go
@@ -77,8 +77,8 @@
 	x.ticket.Release(x.stats.schedulerReport(outcomes[slot]))
 }
 
-// recordEnd completes the end of a claimed request with the reply, if it is
-// small enough for the log, and proposes it.
+// recordEnd proposes the end of a claimed request to the log, together with a
+// service's reply if that is small enough.
 func (x *execution) recordEnd(f state.Finish) {
 	if !f.Unknown && !f.NotRun {
 		f.Status = x.result.Status
@@ -175,42 +175,42 @@
 }
 
 // addFrame updates the statistics with a received frame.
-func (o *streamStats) addFrame(f upstream.Frame, r *request) {
+func (s *streamStats) addFrame(f upstream.Frame, r *request) {
 	now := time.Now()
-	if f.Tokens > 0 && o.metrics != nil {
-		o.observeTokens(f, r, now)
+	if f.Tokens > 0 && s.metrics != nil {
+		s.observeTokens(f, r, now)
 	}
-	if f.Tokens > 0 && o.firstTokenAt.IsZero() {
-		o.firstTokenAt = now
+	if f.Tokens > 0 && s.firstTokenAt.IsZero() {
+		s.firstTokenAt = now
 	}
-	o.lastFrameAt = now
-	o.outputTokens += f.Tokens
-	o.cachedTokens = max(o.cachedTokens, f.CachedTokens)
-	o.promptTokens = max(o.promptTokens, f.PromptTokens)
-	o.complete = o.complete || f.End
+	s.lastFrameAt = now
+	s.outputTokens += f.Tokens
+	s.cachedTokens = max(s.cachedTokens, f.CachedTokens)
+	s.promptTokens = max(s.promptTokens, f.PromptTokens)
+	s.complete = s.complete || f.End
 }
 
 // observeTokens exports the time to the first token or between two tokens.
-func (o *streamStats) observeTokens(f upstream.Frame, r *request, now time.Time) {
-	if o.firstTokenAt.IsZero() {
-		o.metrics.observeFirstToken(r, now)
+func (s *streamStats) observeTokens(f upstream.Frame, r *request, now time.Time) {
+	if s.firstTokenAt.IsZero() {
+		s.metrics.observeFirstToken(r, now)
 		return
 	}
-	o.metrics.observeInterToken(r, now.Sub(o.lastFrameAt)/time.Duration(f.Tokens))
+	s.metrics.observeInterToken(r, now.Sub(s.lastFrameAt)/time.Duration(f.Tokens))
 }
 
-// schedulerReport returns what the scheduler learns when the slot is released.
-// Decode is the duration of the whole call for a service.
-func (o *streamStats) schedulerReport(outcome sched.Outcome) sched.Release {
-	r := sched.Release{Outcome: outcome, OutputTokens: o.outputTokens - o.baseTokens, CachedTokens: o.cachedTokens}
-	if o.moved {
-		r.CachedTokens = o.promptTokens
+// schedulerReport returns what the scheduler learns when the slot is released. For
+// a service call, Decode is the duration of the whole call.
+func (s *streamStats) schedulerReport(outcome sched.Outcome) sched.Release {
+	r := sched.Release{Outcome: outcome, OutputTokens: s.outputTokens - s.baseTokens, CachedTokens: s.cachedTokens}
+	if s.moved {
+		r.CachedTokens = s.promptTokens
 	}
-	if !o.firstTokenAt.IsZero() {
-		r.Prefill = o.firstTokenAt.Sub(o.startedAt)
-		r.Decode = o.lastFrameAt.Sub(o.firstTokenAt)
-	} else if o.complete {
-		r.Decode = time.Since(o.startedAt)
+	if !s.firstTokenAt.IsZero() {
+		r.Prefill = s.firstTokenAt.Sub(s.startedAt)
+		r.Decode = s.lastFrameAt.Sub(s.firstTokenAt)
+	} else if s.complete {
+		r.Decode = time.Since(s.startedAt)
 	}
 	return r
 }
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -4,7 +4,7 @@
 //
 // A request that must not run twice is dispatched at most once under its key.
 // Every accepted request ends with an answer or with an error that says whether
-// it may have run, unless the daemon stops before.
+// it may have run, unless the daemon stops first.
 package entry
 
 import (
--- a/internal/entry/execution.go
+++ b/internal/entry/execution.go
@@ -47,8 +47,8 @@
 	request *request
 	answer  *answer.Answer
 	machine *claims.Machine
-	// ctx ends with the deadline, and when the caller disconnects from a request
-	// whose answer nobody could retrieve later.
+	// ctx ends with the deadline. For a request without a caller's key that may be
+	// executed twice, it also ends when the last caller disconnects.
 	ctx context.Context
 
 	ticket port.Ticket
--- a/internal/entry/fuzz_test.go
+++ b/internal/entry/fuzz_test.go
@@ -18,22 +18,22 @@
 	f.Add([]byte(`{"model":"logbook-model","messages":[null],"max_completion_tokens":1e99}`))
 	c := &cluster{config: &config.Config{Models: []config.Model{{Name: "logbook-model", MaxTokens: 100}}}}
 	s := &Service{view: c}
-	shape := func(data []byte) (*request, error) {
+	decode := func(data []byte) (*request, error) {
 		r := &request{form: chatForm, body: data}
-		body := completion{}
+		body := completionRequest{}
 		if err := json.Unmarshal(data, &body); err != nil {
 			return nil, err
 		}
 		return r, s.setCompletion(r, body)
 	}
 	f.Fuzz(func(t *testing.T, data []byte) {
-		r, err := shape(data)
+		r, err := decode(data)
 		if err != nil {
 			return
 		}
 		require.NotEmpty(t, r.prompt)
 		require.True(t, r.maxTokens > 0 && r.maxTokens <= 100)
-		repeated, err := shape(data)
+		repeated, err := decode(data)
 		require.NoError(t, err)
 		require.Equal(t, r.digest, repeated.digest)
 	})
--- a/internal/entry/memory.go
+++ b/internal/entry/memory.go
@@ -37,13 +37,13 @@
 // may be called more than once. If the context ends first it returns an error
 // that asks the caller to retry.
 func (m *memoryPool) acquire(ctx context.Context, tier int, size int64) (func(), error) {
-	b := m.enqueue(tier, size)
+	w := m.enqueue(tier, size)
 	select {
-	case <-b.ready:
+	case <-w.ready:
 		once := sync.Once{}
-		return func() { once.Do(func() { m.release(b.size) }) }, nil
+		return func() { once.Do(func() { m.release(w.size) }) }, nil
 	case <-ctx.Done():
-		m.cancel(b)
+		m.cancel(w)
 		return nil, fault.New(fault.Unavailable, "send the request again later", "the entry had no memory for the body in time").After(upstreamRetryAfter)
 	}
 }
@@ -53,26 +53,26 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.nextID++
-	b := &memoryWaiter{tier: tier, id: m.nextID, size: size, ready: make(chan struct{})}
-	at, _ := slices.BinarySearchFunc(m.waiting, b, func(x, y *memoryWaiter) int {
+	w := &memoryWaiter{tier: tier, id: m.nextID, size: size, ready: make(chan struct{})}
+	at, _ := slices.BinarySearchFunc(m.waiting, w, func(x, y *memoryWaiter) int {
 		if x.tier != y.tier {
 			return x.tier - y.tier
 		}
 		return int(x.id) - int(y.id)
 	})
-	m.waiting = slices.Insert(m.waiting, at, b)
+	m.waiting = slices.Insert(m.waiting, at, w)
 	m.grant()
-	return b
+	return w
 }
 
 // grant reserves memory for the waiters in order, up to the first that does not
 // fit. The caller holds mu.
 func (m *memoryPool) grant() {
 	for len(m.waiting) > 0 && m.waiting[0].size <= m.free {
-		b := m.waiting[0]
+		w := m.waiting[0]
 		m.waiting = slices.Delete(m.waiting, 0, 1)
-		m.free -= b.size
-		close(b.ready)
+		m.free -= w.size
+		close(w.ready)
 	}
 }
 
@@ -85,12 +85,12 @@
 }
 
 // cancel removes a waiter, or releases its bytes if they were granted meanwhile.
-func (m *memoryPool) cancel(b *memoryWaiter) {
+func (m *memoryPool) cancel(w *memoryWaiter) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	i := slices.Index(m.waiting, b)
+	i := slices.Index(m.waiting, w)
 	if i < 0 {
-		m.free += b.size
+		m.free += w.size
 	} else {
 		m.waiting = slices.Delete(m.waiting, i, i+1)
 	}
--- a/internal/entry/move.go
+++ b/internal/entry/move.go
@@ -47,8 +47,8 @@
 var errSameEngine = &engine.StatusError{Body: "the scheduler granted the same engine"}
 
 // transferStream exports a stream from one engine and imports it into another.
-// If the target refuses it, it is imported into its source again and the refusal
-// returned.
+// If the target refuses the stream, transferStream imports it into its source again
+// and returns the refusal.
 func transferStream(ctx context.Context, from, to, stream string) error {
 	target, err := engine.Dial(ctx, to)
 	if err != nil {
@@ -67,8 +67,9 @@
 	err = target.Import(ctx, exported)
 	refused := (*engine.StatusError)(nil)
 	if !errors.As(err, &refused) {
-		// Without a response the target may have the stream. To keep it from
-		// running on both engines, only the target is used from here on.
+		// The target has the stream, or may have it if there was no response. To
+		// keep the stream from running on both engines, only the target is used
+		// from here on.
 		return nil
 	}
 	returnCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), cancelTimeout)
--- a/internal/entry/observe.go
+++ b/internal/entry/observe.go
@@ -52,8 +52,8 @@
 	key       string
 }
 
-// observer updates the entry's metrics, records events and keeps the latest
-// explanations. It is safe for concurrent use.
+// observer updates the entry's metrics, records the events that package promise
+// checks and keeps the latest explanations. It is safe for concurrent use.
 type observer struct {
 	events port.Events
 
--- a/internal/entry/openai.go
+++ b/internal/entry/openai.go
@@ -12,10 +12,11 @@
 	"github.com/verbenastep/verbenastep/api/fault"
 )
 
-// defaultMaxTokens limits an answer if neither the request nor the model does.
+// defaultMaxTokens is the token limit of an answer if the request states none. A
+// lower limit of the model takes precedence.
 const defaultMaxTokens = 512
 
-// forwardedOptions are the members of the body that engines receive unchanged.
+// forwardedOptions are the fields of the body that engines receive unchanged.
 var forwardedOptions = []string{
 	"temperature", "top_p", "top_k", "min_p", "stop", "seed", "presence_penalty", "frequency_penalty",
 	"repetition_penalty", "logit_bias", "response_format", "logprobs", "top_logprobs", "tools", "tool_choice", "user",
@@ -30,7 +31,7 @@
 	Text string `json:"text"`
 }
 
-// UnmarshalJSON decodes either form.
+// UnmarshalJSON decodes a string, or an array of text parts, which it joins.
 func (t *content) UnmarshalJSON(data []byte) error {
 	if len(data) > 0 && data[0] != '[' {
 		text := ""
@@ -64,8 +65,8 @@
 	IncludeUsage bool `json:"include_usage"`
 }
 
-// completion is the request body of both completion calls.
-type completion struct {
+// completionRequest is the request body of both completion calls.
+type completionRequest struct {
 	Model     string    `json:"model"`
 	Messages  []message `json:"messages"`
 	Prompt    content   `json:"prompt"`
@@ -96,7 +97,7 @@
 	}
 	defer r.releaseMemoryUnlessSubmitted()
 	r.form = form
-	body := completion{}
+	body := completionRequest{}
 	if err := json.Unmarshal(r.body, &body); err != nil {
 		return fault.New(fault.Malformed, "send a JSON object as docs/CALLERS.md shows", "the body is not readable: %v", err)
 	}
@@ -108,17 +109,17 @@
 	if err != nil {
 		return err
 	}
-	return s.writeAnswer(c, r, a, body.Stream, usageFlag(body))
+	return s.writeAnswer(c, r, a, body.Stream, usageModeOf(body))
 }
 
 // setCompletion checks the body and sets the model, the prompt, the limits and the
 // options of the request.
-func (s *Service) setCompletion(r *request, body completion) error {
+func (s *Service) setCompletion(r *request, body completionRequest) error {
 	m, ok := s.view.Snapshot().Config.Model(body.Model)
 	if !ok {
 		return fault.New(fault.NotFound, "GET /v1/models lists the models", "model %q is not declared", body.Model)
 	}
-	if wantsSeveral(body.N) || wantsSeveral(body.BestOf) {
+	if wantsMultipleChoices(body.N) || wantsMultipleChoices(body.BestOf) {
 		return fault.New(fault.Malformed, "leave n and best_of out, or send several requests", "more than one choice is not supported")
 	}
 	r.pool = m.Name
@@ -142,8 +143,8 @@
 	return r.setOptions()
 }
 
-// wantsSeveral reports whether a number of choices is given and is not one.
-func wantsSeveral(n *int) bool { return n != nil && *n != 1 }
+// wantsMultipleChoices reports whether a number of choices is given and is not one.
+func wantsMultipleChoices(n *int) bool { return n != nil && *n != 1 }
 
 // setOptions sets the sampling options, and the digest of everything that
 // determines the answer.
--- a/internal/entry/pickup.go
+++ b/internal/entry/pickup.go
@@ -109,13 +109,13 @@
 		return nil, answerNotFound(key)
 	}
 	cfg := s.view.Snapshot().Config
-	_, plain := cfg.Service(c.Pool)
+	_, plainService := cfg.Service(c.Pool)
 	r := &request{
-		workspace: w, key: key, hasCallerKey: true, digest: c.Digest, pool: c.Pool, plainService: plain, joinOnly: true,
+		workspace: w, key: key, hasCallerKey: true, digest: c.Digest, pool: c.Pool, plainService: plainService, joinOnly: true,
 		form: form, accepted: time.Now(), deadline: time.Now().Add(time.Duration(cfg.EffectiveTimeouts().RequestMS) * time.Millisecond),
 		tierName: w.Tier,
 	}
-	if plain {
+	if plainService {
 		r.form = serviceForm
 	} else if r.form == "" {
 		r.form = chatForm
--- a/internal/entry/request.go
+++ b/internal/entry/request.go
@@ -34,7 +34,7 @@
 	defaultBlockTokens = 64
 	// maxPrefixBlocks is the maximum number of prefix blocks that are hashed.
 	maxPrefixBlocks = 64
-	// timeoutHeader is how long the caller waits for the complete answer, in
+	// timeoutHeader carries how long the caller waits for the complete answer, in
 	// milliseconds.
 	timeoutHeader = "Verbenastep-Timeout-Ms"
 	// issuedKeySeparator separates the daemon's name from the random part of an
--- a/internal/entry/rig_test.go
+++ b/internal/entry/rig_test.go
@@ -216,14 +216,14 @@
 	require.NoError(t, l.Start(t.Context(), k))
 	self := port.Holder{Name: name, Incarnation: 1, Address: l.Address()}
 	s := New(set, zap.NewNop(), self)
-	rig := &testEntry{Service: s, cluster: c}
+	e := &testEntry{Service: s, cluster: c}
 	fakes := []fakeService{
 		{name: port.NameLog, Log: c},
 		{name: port.NameScheduler, Scheduler: c},
 		{name: port.NameView, View: c},
 		{name: port.NameMembers, Members: c},
 		{name: port.NameDirectory, Directory: c},
-		{name: port.NameEvents, Events: rig},
+		{name: port.NameEvents, Events: e},
 		{name: port.NameMetrics, Metrics: fakeMetrics{prometheus.NewRegistry()}},
 	}
 	for _, f := range fakes {
@@ -241,8 +241,8 @@
 		_ = s.Stop(ctx)
 		_ = l.Stop(ctx)
 	})
-	rig.url = "http://" + s.Address()
-	return rig
+	e.url = "http://" + s.Address()
+	return e
 }
 
 // crash stops the entry as a killed process would: connections close, and nothing
--- a/internal/entry/write.go
+++ b/internal/entry/write.go
@@ -76,7 +76,7 @@
 
 const withUsage usageMode = 1
 
-func usageFlag(body completion) usageMode {
+func usageModeOf(body completionRequest) usageMode {
 	if body.StreamOptions.IncludeUsage {
 		return withUsage
 	}
@@ -130,8 +130,8 @@
 	return w.writeJSONBody()
 }
 
-// envelope returns a response body with the answer's metadata.
-func (w *writer) envelope(object string, choices ...choice) completionAnswer {
+// newCompletionAnswer returns a response body with the answer's metadata.
+func (w *writer) newCompletionAnswer(object string, choices ...choice) completionAnswer {
 	m := w.answer.Meta()
 	if choices == nil {
 		choices = []choice{}
@@ -155,7 +155,7 @@
 	} else {
 		ch.Text = &text
 	}
-	out := w.envelope(w.form, ch)
+	out := w.newCompletionAnswer(w.form, ch)
 	out.Usage = usageOf(p.Result)
 	w.extendWriteDeadline()
 	return w.c.JSON(http.StatusOK, out)
@@ -254,7 +254,7 @@
 	resp.Header().Set("Cache-Control", "no-store")
 	resp.WriteHeader(http.StatusOK)
 	if w.form == chatForm && w.offset == 0 {
-		w.writeEvent(w.envelope(chunkObject(w.form), choice{Delta: &delta{Role: "assistant"}}))
+		w.writeEvent(w.newCompletionAnswer(chunkObject(w.form), choice{Delta: &delta{Role: "assistant"}}))
 	}
 }
 
@@ -270,7 +270,7 @@
 	for len(data) > 0 {
 		n := eventTextLength(data)
 		w.offset += int64(n)
-		if err := w.writeEvent(w.envelope(chunkObject(w.form), chunkChoice(w.form, string(data[:n]), nil))); err != nil {
+		if err := w.writeEvent(w.newCompletionAnswer(chunkObject(w.form), chunkChoice(w.form, string(data[:n]), nil))); err != nil {
 			return err
 		}
 		w.written.Write(data[:n])
@@ -294,11 +294,11 @@
 // close writes the finish reason, the token counts if requested, and the end
 // marker.
 func (w *writer) close(r answer.Result) error {
-	if err := w.writeEvent(w.envelope(chunkObject(w.form), chunkChoice(w.form, "", &r.FinishReason))); err != nil {
+	if err := w.writeEvent(w.newCompletionAnswer(chunkObject(w.form), chunkChoice(w.form, "", &r.FinishReason))); err != nil {
 		return err
 	}
 	if w.usage == withUsage {
-		out := w.envelope(chunkObject(w.form))
+		out := w.newCompletionAnswer(chunkObject(w.form))
 		out.Usage = usageOf(r)
 		if err := w.writeEvent(out); err != nil {
 			return err
