--- a/internal/broker/broker.go
+++ b/internal/broker/broker.go
@@ -2,7 +2,7 @@
 //
 // Entries hold a session with one control daemon each. Every control daemon sends its
 // entries the roster of upstreams; the daemon that leads the log also grants upstreams
-// to their requests.
+// to their requests. A daemon that does not lead grants nothing.
 package broker
 
 import (
--- a/internal/broker/levels.go
+++ b/internal/broker/levels.go
@@ -8,7 +8,7 @@
 )
 
 // minLevelChange is the smallest change of a quota level that is sent, as a fraction of
-// the quota: a fifth of the tenth by which quotas may be exceeded.
+// the quota. Quotas may be exceeded by 0.1; unsent changes use a fifth of that.
 const minLevelChange = 0.02
 
 // sendLevels sends the quota levels to the entries, which use them while no broker
--- a/internal/broker/levels_test.go
+++ b/internal/broker/levels_test.go
@@ -13,6 +13,6 @@
 	require.Equal(t, map[string]float64{"a": 0.5, "b": 0.3}, levelChanges(sent, map[string]float64{"a": 0.5, "b": 0.3}))
 	require.Empty(t, levelChanges(sent, map[string]float64{"a": 0.49, "b": 0.3}))
 	require.Equal(t, map[string]float64{"a": 0.479}, levelChanges(sent, map[string]float64{"a": 0.479, "b": 0.3}), "small changes add up")
-	require.Equal(t, map[string]float64{"b": 1}, levelChanges(sent, map[string]float64{"a": 0.479}), "the full quota again")
+	require.Equal(t, map[string]float64{"b": 1}, levelChanges(sent, map[string]float64{"a": 0.479}), "the quota is full again")
 	require.Empty(t, levelChanges(sent, map[string]float64{"a": 0.479}))
 }
--- a/internal/broker/news.go
+++ b/internal/broker/news.go
@@ -25,9 +25,9 @@
 	// maxRosterAge is the age up to which an entry's roster is updated by changes: half
 	// of the time for which gone upstreams are remembered.
 	maxRosterAge = time.Minute
-	// maxRosterLag is how much later than others the daemon that sent the entry's roster
-	// may have received a change: a daemon behind a network partition stops leading
-	// before.
+	// maxRosterLag bounds how much later than other daemons the daemon that sent the
+	// entry's roster may have received a change. A leader behind a network partition
+	// stops leading, and thereby confirming rosters, within this time.
 	maxRosterLag = 5 * time.Second
 )
 
@@ -65,7 +65,7 @@
 }
 
 // queueRoster queues the full roster for an entry, or the changes that it lacks, in
-// messages of at most maxRosterPart upstreams.
+// messages of at most maxRosterPart upstreams. The caller holds the lock.
 func (s *Service) queueRoster(x *session, full bool) {
 	r := s.reply()
 	r.RosterSet = full
--- a/internal/brokerclient/client.go
+++ b/internal/brokerclient/client.go
@@ -3,7 +3,7 @@
 // It keeps a session with the control daemon that leads, offers the entry's requests
 // there and waits for grants. While no broker grants, a local broker does, within the
 // entry's share of each upstream and quota. Package forward uses it through
-// Acquire.
+// Acquire. A request is settled, that is granted or refused, at most once.
 package brokerclient
 
 import (
--- a/internal/brokerclient/session.go
+++ b/internal/brokerclient/session.go
@@ -271,8 +271,8 @@
 	return nil
 }
 
-// updateQuotaLevels replaces the quota levels or applies changes. A level of 1 is a full quota,
-// which is not stored.
+// updateQuotaLevels replaces the quota levels or applies changes to them. A level of 1 is a
+// full quota, which is not stored. The caller holds the lock.
 func (s *Service) updateQuotaLevels(r *rpc.BrokerReply) {
 	if r.QuotasSet {
 		clear(s.quotaLevels)
@@ -306,7 +306,8 @@
 	s.log.Info("broker found", zap.String("address", address), zap.Int("waiting", len(s.waiting)), zap.Int("running", len(s.running)), zap.Int("entries", s.entries))
 }
 
-// handleGrant settles a request, or returns the grant if the request no longer waits.
+// handleGrant settles a request, or returns the grant to the broker if the request no
+// longer waits. The caller holds the lock.
 func (s *Service) handleGrant(g broker.Grant) {
 	a := s.waiting[g.ID.Number]
 	if a == nil {
@@ -318,8 +319,8 @@
 	s.local.Offer(s.now(), a.offer)
 }
 
-// updateRoster replaces the roster or applies changes. The local broker is updated at a lower
-// rate while another broker grants.
+// updateRoster replaces the roster or applies changes to it. The local broker is updated
+// at a lower rate while another broker grants. The caller holds the lock.
 func (s *Service) updateRoster(r *rpc.BrokerReply) {
 	if r.RosterSet {
 		clear(s.roster)
--- a/internal/brokerclient/session_test.go
+++ b/internal/brokerclient/session_test.go
@@ -257,7 +257,7 @@
 	}
 	require.Equal(t, map[string]float64{"a": 0.5, "b": 0.25}, update(true, map[string]float64{"a": 0.5, "b": 0.25}))
 	require.Equal(t, map[string]float64{"a": 0.125, "b": 0.25}, update(false, map[string]float64{"a": 0.125}))
-	require.Equal(t, map[string]float64{"b": 0.25}, update(false, map[string]float64{"a": 1}), "the full quota again")
+	require.Equal(t, map[string]float64{"b": 0.25}, update(false, map[string]float64{"a": 1}), "the quota is full again")
 	require.Equal(t, map[string]float64{"c": 0.5}, update(true, map[string]float64{"c": 0.5}))
 	require.Equal(t, map[string]float64{"c": 0.5}, update(false, nil), "a heartbeat")
 }
--- a/internal/forward/conn.go
+++ b/internal/forward/conn.go
@@ -122,8 +122,8 @@
 	}
 }
 
-// get returns an idle connection that can be reused, or a new one. atMostOnce is as in
-// isReusable.
+// get returns an idle connection that can be reused, or a new one. atMostOnce is set
+// for a request that may not be repeated.
 func (p *connPool) get(ctx context.Context, address string, atMostOnce bool) (*conn, error) {
 	for {
 		c := p.takeIdle(address)
--- a/internal/forward/dialect.go
+++ b/internal/forward/dialect.go
@@ -49,9 +49,11 @@
 
 // ResponseMeta is the metadata in the header of an upstream's response.
 type ResponseMeta struct {
-	// RequestID identifies the request that it answers; empty if it is not stated.
+	// RequestID identifies the request that the response answers; empty if it is
+	// not stated.
 	RequestID string
-	// Sealed is set if the response bears the upstream's seal.
+	// Sealed is set if the response bears the upstream's seal, a header field that
+	// upstreams set on the responses to requests that they ran.
 	Sealed bool
 	// NotExecuted is set if the upstream did not run the request, Misdirected if
 	// it is not the process that the request named.
--- a/internal/forward/forward.go
+++ b/internal/forward/forward.go
@@ -5,9 +5,9 @@
 //
 // Guarantees: a request that may not be repeated is sent to another upstream only
 // if it certainly did not run; a response is relayed only if it bears the
-// upstream's seal and belongs to the request, and a body without streaming only
-// once it is complete; the caller receives a "not run" refusal only if no upstream
-// can have run the request.
+// upstream's seal and belongs to the request, and a response that is not a stream
+// only once it is complete; the caller receives a "not run" refusal only if no
+// upstream can have run the request.
 package forward
 
 import (
@@ -223,7 +223,7 @@
 	return nil
 }
 
-// These texts are answered to readiness checks.
+// Readiness checks of the entry return these texts.
 var (
 	errDraining = errors.New("the daemon is stopping; use another entry")
 	errNoTable  = errors.New("no route table is known yet; ask again soon")
--- a/internal/forward/forward_test.go
+++ b/internal/forward/forward_test.go
@@ -24,7 +24,7 @@
 	require.Equal(t, "hello", out.body)
 	require.Equal(t, "s", out.header.Get("Seal"))
 	require.Equal(t, "e", out.header.Get("Extra"))
-	require.Empty(t, out.header.Get("Keep-Alive"), "it applies to the upstream's connection")
+	require.Empty(t, out.header.Get("Keep-Alive"), "Keep-Alive applies to the upstream's connection only")
 	seen := u.seen[0]
 	require.Equal(t, "/once/x?q=1", seen.RequestURI)
 	require.Equal(t, "the body", u.bodies[0])
@@ -52,7 +52,7 @@
 				first, second := newUpstream(t, s), newUpstream(t, respondWith(200, "", "second"))
 				r := newTestEntry(t, first, second)
 				out := r.call(route, "b")
-				require.Equal(t, http.StatusBadGateway, out.status, "neither 429 nor 503: it may have run")
+				require.Equal(t, http.StatusBadGateway, out.status, "neither 429 nor 503: the request may have run")
 				require.Equal(t, 1, first.requests())
 				require.Zero(t, second.requests())
 			})
@@ -101,7 +101,7 @@
 	first, second, third := newUpstream(t, closeConnection), newUpstream(t, closeConnection), newUpstream(t, respondWith(200, "", "third"))
 	r := newTestEntry(t, first, second, third)
 	require.Equal(t, http.StatusBadGateway, r.call("idempotent", "b").status)
-	require.Zero(t, third.requests(), "the route allows two")
+	require.Zero(t, third.requests(), "the route allows two attempts")
 	r = newTestEntry(t, newUpstream(t, closeConnection), newUpstream(t, respondWith(200, "", "second")))
 	require.Equal(t, "second", r.call("idempotent", "b").body)
 }
--- a/internal/forward/metrics.go
+++ b/internal/forward/metrics.go
@@ -14,7 +14,8 @@
 	pauseBuckets = []float64{.01, .028, .05, .1, .2, .3, .5, 1, 2, 5}
 )
 
-// metrics count requests by the outcome that callers see.
+// metrics count the entry's requests by the outcome that callers see, its failed
+// upstream attempts and its connections, and measure response times.
 type metrics struct {
 	requests       *prometheus.CounterVec
 	failedAttempts *prometheus.CounterVec
--- a/internal/forward/try.go
+++ b/internal/forward/try.go
@@ -187,8 +187,8 @@
 	return tryNext
 }
 
-// recordLost records an attempt that brought no response and may have run the
-// request.
+// recordLost records an attempt without a complete response. The request may have
+// run.
 func (a *upstreamAttempt) recordLost(ctx context.Context, err error) nextStep {
 	a.possibleRuns++
 	a.end.Outcome = broker.ConnectionLost
@@ -227,7 +227,7 @@
 	return tryNext
 }
 
-// logFailure logs and counts an attempt that brought no response to relay.
+// logFailure logs an attempt that did not succeed and counts it by its outcome.
 func (a *upstreamAttempt) logFailure(err error) {
 	a.reason = err.Error()
 	reused := a.conn != nil && a.conn.reused
--- a/internal/roster/spread_test.go
+++ b/internal/roster/spread_test.go
@@ -21,7 +21,8 @@
 	"github.com/verbenastep/verbenastep/internal/settings"
 )
 
-// fakeReplica is a replica service with a fixed list of control daemons.
+// fakeReplica is a replica service with a fixed list of control daemons, the first of
+// which leads.
 type fakeReplica struct {
 	kernel.Service
 	list []string
@@ -177,6 +178,6 @@
 	p.queue(heartbeat("a", 2), roster.Renewed)
 	p.queue(heartbeat("b", 2), roster.Changed)
 	p.requeue(changes, renewals)
-	require.Equal(t, map[string]roster.Entry{"a": heartbeat("a", 2), "b": heartbeat("b", 2)}, p.changes, "the peer never received a whole")
+	require.Equal(t, map[string]roster.Entry{"a": heartbeat("a", 2), "b": heartbeat("b", 2)}, p.changes, "the peer lacks the whole entry a, so its renewal is sent as a whole entry")
 	require.Equal(t, map[string]roster.Entry{"c": heartbeat("c", 1)}, p.renewals)
 }
