--- a/internal/answer/answer.go
+++ b/internal/answer/answer.go
@@ -74,8 +74,8 @@
 	readerAdvanced chan struct{}
 	detached       chan struct{}
 	readers        map[*Reader]struct{}
-	// storeBytes counts the bytes of all answers of the store, or of this answer
-	// while it is in none.
+	// storeBytes counts the bytes of all answers in the store, or of this answer
+	// alone while no store holds the answer.
 	storeBytes *atomic.Int64
 	delivered  atomic.Bool
 }
--- a/internal/entry/effects.go
+++ b/internal/entry/effects.go
@@ -216,8 +216,8 @@
 }
 
 // mayBeAdopted reports whether the daemon is stopping while another entry may
-// adopt the request, which is possible under a caller's own key. Its outcome is
-// then not reported here.
+// adopt the request, which is possible under a caller's own key. This entry then
+// reports no outcome of the request.
 func (x *execution) mayBeAdopted() bool {
 	return x.request.hasCallerKey && x.service.isStopped()
 }
--- a/internal/entry/fetch.go
+++ b/internal/entry/fetch.go
@@ -27,8 +27,8 @@
 type answersServer struct {
 	rpc.DRPCAnswersUnimplementedServer
 	answers *answer.Store
-	// isStopped reports whether the entry has stopped. Its unfinished answers get
-	// no more data here; another entry may continue them.
+	// isStopped reports whether the entry has stopped. Unfinished answers then get
+	// no more data at this entry; another entry may continue them.
 	isStopped func() bool
 }
 
--- a/internal/entry/observe.go
+++ b/internal/entry/observe.go
@@ -19,7 +19,7 @@
 
 // Outcomes in metrics and explanations, besides the codes of errors:
 // outcomeComplete means that the caller received the complete answer,
-// outcomeDisconnected that it disconnected before.
+// outcomeDisconnected that the caller disconnected before the end of the answer.
 const (
 	outcomeComplete     = "whole"
 	outcomeDisconnected = "caller_gone"
@@ -112,8 +112,8 @@
 	return promise.Event{Kind: kind, Workspace: r.workspace.Name, Key: r.key, Pool: r.pool, Tier: r.tier, NonIdempotent: r.mustRunOnce(), Digest: r.digest}
 }
 
-// recordAccept records that a request was accepted, unless it only joins an
-// existing one, and starts its explanation.
+// recordAccept records that a request was accepted and starts its explanation,
+// unless the request only follows an existing claim.
 func (o *observer) recordAccept(r *request) {
 	if r.joinOnly {
 		return
--- a/internal/entry/pickup.go
+++ b/internal/entry/pickup.go
@@ -41,8 +41,8 @@
 }
 
 // writeFrom waits until the answer has begun and writes it from offset, in the
-// given format or, if that is empty, in the one of the original request. A
-// service's reply is always written as it is.
+// given format or, if that is empty, in the format of the original request. A
+// service's reply is always written unchanged.
 func (s *Service) writeFrom(c echo.Context, a *answer.Answer, offset int64, form string) error {
 	out := newWriter(c, a, offset)
 	defer out.reader.Close()
--- a/internal/entry/write.go
+++ b/internal/entry/write.go
@@ -84,7 +84,7 @@
 }
 
 // writer writes an answer to one caller. written hashes the text written so far,
-// and offset is the position in the answer after it.
+// and offset is the position in the answer after that text.
 type writer struct {
 	c       echo.Context
 	answer  *answer.Answer
