--- a/internal/broker/broker.go
+++ b/internal/broker/broker.go
@@ -225,8 +225,8 @@
 	s.core = newCore(s.set)
 	s.tableVersion = 0
 	s.rosterReadAt = time.Time{}
-	// Tell connected entries at once, so that they offer all waiting and running
-	// requests.
+	// Send the entries the new state at once, so that they offer all waiting and
+	// running requests to a new broker.
 	s.levelsSentAt, s.sentLevels = time.Now(), map[string]float64{}
 	for _, x := range s.sessions {
 		s.sendRoster(x)
--- a/internal/broker/news.go
+++ b/internal/broker/news.go
@@ -32,7 +32,7 @@
 )
 
 // outdatedSince returns the time from which on an entry may lack changes of the roster;
-// zero if it needs the full roster.
+// zero if the entry needs the full roster.
 func outdatedSince(first *rpc.BrokerAsk) time.Time {
 	age := time.Duration(first.RosterAgeMs) * time.Millisecond
 	if age == 0 || age > maxRosterAge {
--- a/internal/roster/spread.go
+++ b/internal/roster/spread.go
@@ -17,8 +17,8 @@
 	// forwarded. It is a small part of the time within which all daemons must
 	// know that an upstream leaves.
 	changeDelay = 40 * time.Millisecond
-	// renewalDelay is the same for renewals, a small part of the heartbeat
-	// interval.
+	// renewalDelay is the time for which renewals are batched, a small part of the
+	// heartbeat interval.
 	renewalDelay = 250 * time.Millisecond
 	// forwardTimeout bounds one call, and so the wait for an unreachable daemon.
 	forwardTimeout = 600 * time.Millisecond
--- a/internal/tables/tables.go
+++ b/internal/tables/tables.go
@@ -21,7 +21,8 @@
 	// readTimeout bounds a read. Callers turn to another control daemon after a
 	// second.
 	readTimeout = 800 * time.Millisecond
-	// publishTimeout bounds the publication of a small table for the same reason.
+	// publishTimeout bounds the publication of a small table, also below the second
+	// after which callers turn to another control daemon.
 	publishTimeout = 900 * time.Millisecond
 	// timeoutPerMiB is added to publishTimeout for each MiB, since a table of a
 	// few megabytes takes longer over a slow link.
--- a/internal/view/watch.go
+++ b/internal/view/watch.go
@@ -53,8 +53,8 @@
 }
 
 // awaitFirstTable watches all replicas at once until one of them has sent the
-// first route table: callers wait for it, and the nearest replica is not known
-// before the member list is.
+// first route table. Callers wait for that table, and the nearest replica is not
+// known before the member list is.
 func (s *Service) awaitFirstTable(ctx context.Context) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
