--- a/internal/entry/pickup.go
+++ b/internal/entry/pickup.go
@@ -41,8 +41,8 @@
 }
 
 // writeFrom waits until the answer has begun and writes it from offset, in the
-// given format or, if that is empty, in the one of the original request. A
-// service's reply is always written as it is.
+// given format or, if that is empty, in the format of the original request. A
+// service's reply is always written unchanged.
 func (s *Service) writeFrom(c echo.Context, a *answer.Answer, offset int64, form string) error {
 	out := newWriter(c, a, offset)
 	defer out.reader.Close()
@@ -109,13 +109,13 @@
 		return nil, answerNotFound(key)
 	}
 	cfg := s.view.Snapshot().Config
-	_, plain := cfg.Service(c.Pool)
+	_, plainService := cfg.Service(c.Pool)
 	r := &request{
-		workspace: w, key: key, hasCallerKey: true, digest: c.Digest, pool: c.Pool, plainService: plain, joinOnly: true,
+		workspace: w, key: key, hasCallerKey: true, digest: c.Digest, pool: c.Pool, plainService: plainService, joinOnly: true,
 		form: form, accepted: time.Now(), deadline: time.Now().Add(time.Duration(cfg.EffectiveTimeouts().RequestMS) * time.Millisecond),
 		tierName: w.Tier,
 	}
-	if plain {
+	if plainService {
 		r.form = serviceForm
 	} else if r.form == "" {
 		r.form = chatForm
