--- a/internal/link/link.go
+++ b/internal/link/link.go
@@ -45,16 +45,16 @@
 // Service implements the "link.drpc" service. Mux must only be used before
 // Serve; Conn is safe for concurrent use.
 type Service struct {
-	set     *settings.Settings
-	log     *zap.Logger
-	mux     *drpcmux.Mux
-	pool    *drpcpool.Pool[string, drpcpool.Conn]
-	secret  string
-	tls     *tls.Config
-	ln      net.Listener
-	cancel  context.CancelFunc
-	done    sync.WaitGroup
-	traffic *traffic
+	set        *settings.Settings
+	log        *zap.Logger
+	mux        *drpcmux.Mux
+	pool       *drpcpool.Pool[string, drpcpool.Conn]
+	secret     string
+	tls        *tls.Config
+	ln         net.Listener
+	cancel     context.CancelFunc
+	goroutines sync.WaitGroup
+	traffic    *traffic
 }
 
 // New returns a link that listens on the peer address of the settings.
@@ -141,8 +141,8 @@
 	server := drpcserver.NewWithOptions(authHandler{secret: s.secret, next: s.mux, traffic: s.traffic}, drpcserver.Options{
 		Log: func(err error) { s.log.Debug("peer connection ended", zap.Error(err)) },
 	})
-	s.done.Go(func() { _ = server.Serve(ctx, s.ln) })
-	s.done.Go(func() { s.logTraffic(ctx) })
+	s.goroutines.Go(func() { _ = server.Serve(ctx, s.ln) })
+	s.goroutines.Go(func() { s.logTraffic(ctx) })
 }
 
 // logTraffic logs the message bytes per RPC at intervals until ctx ends.
@@ -233,7 +233,7 @@
 	_ = s.ln.Close()
 	if s.cancel != nil {
 		s.cancel()
-		s.done.Wait()
+		s.goroutines.Wait()
 	}
 	return s.pool.Close()
 }
--- a/internal/logclient/logclient.go
+++ b/internal/logclient/logclient.go
@@ -73,9 +73,9 @@
 	return err
 }
 
-// leaderAddress returns the address of the last known leader, or else the next
+// targetAddress returns the address of the last known leader, or else the next
 // replica in turn.
-func (s *Service) leaderAddress(group string) string {
+func (s *Service) targetAddress(group string) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if address := s.leaders[group]; address != "" {
@@ -104,20 +104,20 @@
 	leader string
 }
 
-// attempt makes one RPC to one replica.
-type attempt func(ctx context.Context, c rpc.DRPCLogClient) (attemptResult, error)
+// replicaCall makes one RPC to a replica.
+type replicaCall func(ctx context.Context, c rpc.DRPCLogClient) (attemptResult, error)
 
 // callLeader makes attempts with exponential backoff until one succeeds or
 // callTimeout ends. A refusal that names another leader is followed at once. An
 // attempt that fails without an answer is repeated only if repeatable is set.
 // outcomeUnknown reports that a failed attempt may have taken effect.
-func (s *Service) callLeader(ctx context.Context, group string, repeatable bool, try attempt) (outcomeUnknown bool, err error) {
+func (s *Service) callLeader(ctx context.Context, group string, repeatable bool, call replicaCall) (outcomeUnknown bool, err error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	backoff := initialBackoff
 	for {
-		address := s.leaderAddress(group)
-		result, failure := s.callReplica(ctx, address, try)
+		address := s.targetAddress(group)
+		result, failure := s.callReplica(ctx, address, call)
 		if failure == nil && !result.refused {
 			s.setLeader(group, address)
 			return false, nil
@@ -142,10 +142,10 @@
 }
 
 // callReplica makes one attempt at the replica, bounded by attemptTimeout.
-func (s *Service) callReplica(ctx context.Context, address string, try attempt) (attemptResult, error) {
+func (s *Service) callReplica(ctx context.Context, address string, call replicaCall) (attemptResult, error) {
 	ctx, cancel := context.WithTimeout(ctx, attemptTimeout)
 	defer cancel()
-	return try(ctx, rpc.NewDRPCLogClient(s.link.Conn(address)))
+	return call(ctx, rpc.NewDRPCLogClient(s.link.Conn(address)))
 }
 
 // Lookup reads the claim of a key and reports whether it exists. The read is
--- a/internal/member/codec.go
+++ b/internal/member/codec.go
@@ -60,7 +60,7 @@
 	return out
 }
 
-// elapsedSince reads the machine's clock, which is monotonic.
+// elapsedSince returns the time since start by the monotonic clock.
 func elapsedSince(start time.Time) time.Duration { return time.Since(start) }
 
 func toPortMember(s member.State) port.Member {
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -1,6 +1,9 @@
 // Package member provides the "member.list" service: the list of live daemons.
 // It runs the failure detector of core/member on the monotonic clock and
-// carries its messages over drpc.
+// carries its messages over drpc. Other services use it as port.Members.
+//
+// The list is eventually consistent: daemons may disagree for a while about
+// which others are live.
 package member
 
 import (
--- a/internal/replica/apply.go
+++ b/internal/replica/apply.go
@@ -30,7 +30,7 @@
 }
 
 // applyEntries applies entries to the machine under the group's lock and
-// notifies watchers if one of them concerns them.
+// notifies watchers if an entry changes what they receive.
 func (e *engine) applyEntries(entries []consensus.Entry) []proposalResult {
 	results := []proposalResult{}
 	notify := false
@@ -107,8 +107,8 @@
 }
 
 // recordClaim records the event of a claim that this replica proposed.
-func (e *engine) recordClaim(a proposalResult) {
-	c, r := a.proposal.command, a.outcome.result
+func (e *engine) recordClaim(ended proposalResult) {
+	c, r := ended.proposal.command, ended.outcome.result
 	if r.Status != state.OK {
 		return
 	}
--- a/internal/replica/checks_test.go
+++ b/internal/replica/checks_test.go
@@ -20,7 +20,7 @@
 	digests    map[uint64]string
 	maxVersion uint64
 	// holder, leaseEpoch and heldUntil describe the last lease granted;
-	// heldUntil is the true time until which the holder relies on it.
+	// heldUntil is the virtual time until which the holder relies on the lease.
 	holder     string
 	leaseEpoch uint64
 	heldUntil  time.Duration
@@ -81,8 +81,8 @@
 	c.acks++
 }
 
-// checkLease checks that a lease that holder relies on until a true time does
-// not overlap another holder's, and that epochs increase.
+// checkLease checks that a lease on which holder relies until the given virtual
+// time does not overlap another holder's, and that epochs increase.
 func (c *invariantChecker) checkLease(now time.Duration, holder string, epoch uint64, until time.Duration) {
 	if until <= now {
 		return
--- a/internal/replica/engine.go
+++ b/internal/replica/engine.go
@@ -21,6 +21,8 @@
 	leaseDurationTicks     = 9
 	resendDelayTicks       = 6
 
+	// The following bounds are passed to consensus.Options, and maxSegmentBytes to
+	// wal.Log.SegmentBytes.
 	maxAppendBytes      = 256 << 10
 	maxInflightAppends  = 64
 	maxUncommittedBytes = 32 << 20
--- a/internal/replica/fakedisk_test.go
+++ b/internal/replica/fakedisk_test.go
@@ -19,12 +19,13 @@
 	written []byte
 }
 
-// fakeDisk is an in-memory wal.Disk. A crash discards a random part of what was
-// not synced, and may corrupt a byte of the rest of it.
+// fakeDisk is an in-memory wal.Disk. A crash discards a random part of the unsynced
+// data, and may corrupt a byte of the unsynced data that it keeps.
 type fakeDisk struct {
 	random *rand.Rand
-	// names holds the folder as the process sees it, durable as a crash leaves
-	// it at least. Applying unsyncedChanges to durable yields names.
+	// names is the folder as the process sees it; durable is the folder as of the
+	// last sync, which a crash preserves. Applying unsyncedChanges to durable
+	// yields names.
 	names           map[string]*inode
 	durable         map[string]*inode
 	unsyncedChanges []func(map[string]*inode)
--- a/internal/replica/group.go
+++ b/internal/replica/group.go
@@ -56,15 +56,15 @@
 	meters *groupMeters
 	// now, random, newID and spawn are replaced by tests to make runs
 	// deterministic.
-	now      func() time.Time
-	random   func(n uint64) uint64
-	newID    func() consensus.ID
-	spawn    func(func())
-	limits   limits
-	jobs     chan job
-	stop     chan struct{}
-	stopOnce sync.Once
-	wg       sync.WaitGroup
+	now        func() time.Time
+	random     func(n uint64) uint64
+	newID      func() consensus.ID
+	spawn      func(func())
+	limits     limits
+	jobs       chan job
+	stop       chan struct{}
+	stopOnce   sync.Once
+	goroutines sync.WaitGroup
 
 	mu      sync.Mutex
 	machine *state.Machine
@@ -125,7 +125,7 @@
 	if err != nil {
 		return err
 	}
-	g.wg.Go(func() { g.run(e) })
+	g.goroutines.Go(func() { g.run(e) })
 	return nil
 }
 
@@ -299,7 +299,7 @@
 
 func (g *group) close() error {
 	g.stopOnce.Do(func() { close(g.stop) })
-	g.wg.Wait()
+	g.goroutines.Wait()
 	return nil
 }
 
--- a/internal/replica/joiner.go
+++ b/internal/replica/joiner.go
@@ -25,7 +25,8 @@
 	// joinCallTimeout bounds each RPC of an attempt.
 	joinCallTimeout = time.Second
 	// membershipCheckInterval is the interval at which a member checks that it
-	// is still one: a replica that was down for long may have been replaced.
+	// still belongs to the group: a replica that was down for long may have been
+	// replaced.
 	membershipCheckInterval = 2 * time.Second
 )
 
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -100,7 +100,7 @@
 	}
 	s.groups[name] = g
 	j := joiner{group: g, set: s.set, link: s.link, log: s.log}
-	g.wg.Go(func() { j.run(ctx) })
+	g.goroutines.Go(func() { j.run(ctx) })
 	return nil
 }
 
--- a/internal/replica/router.go
+++ b/internal/replica/router.go
@@ -38,11 +38,11 @@
 // transport sends messages over one stream per replica, shared by all groups.
 // It is safe for concurrent use.
 type transport struct {
-	ctx  context.Context
-	link port.Link
-	set  *settings.Settings
-	log  *zap.Logger
-	wg   sync.WaitGroup
+	ctx        context.Context
+	link       port.Link
+	set        *settings.Settings
+	log        *zap.Logger
+	goroutines sync.WaitGroup
 
 	mu        sync.Mutex
 	queues    map[string]chan outgoingMessage
@@ -83,7 +83,7 @@
 	if q == nil {
 		q = make(chan outgoingMessage, maxQueuedMessages)
 		t.queues[address] = q
-		t.wg.Go(func() { t.sendLoop(address, q) })
+		t.goroutines.Go(func() { t.sendLoop(address, q) })
 	}
 	return q
 }
@@ -178,7 +178,7 @@
 	}
 }
 
-func (t *transport) wait() { t.wg.Wait() }
+func (t *transport) wait() { t.goroutines.Wait() }
 
 // step passes messages to the node in the group's loop.
 func (g *group) step(ctx context.Context, messages []consensus.Message) error {
--- a/internal/replica/schedule_test.go
+++ b/internal/replica/schedule_test.go
@@ -31,7 +31,8 @@
 // replicas.
 const replicationTimeout = time.Second
 
-// gcPercent is high because the schedules allocate much and retain little.
+// gcPercent is the target of the garbage collector (GOGC). It is high because the
+// schedules allocate much and retain little.
 const gcPercent = 800
 
 func TestMain(m *testing.M) {
@@ -40,8 +41,8 @@
 }
 
 // sendCommand sends a command to the leader or a random replica, and repeats it
-// up to tries times until it is answered.
-func (sim *simulation) sendCommand(c state.Command, tries int, answered func(state.Result)) {
+// up to attempts times until it is answered.
+func (sim *simulation) sendCommand(c state.Command, attempts int, answered func(state.Result)) {
 	data, err := json.Marshal(c)
 	if err != nil {
 		sim.checker.fail("%v", err)
@@ -58,12 +59,12 @@
 		sim.pollers = append(sim.pollers, func() bool {
 			select {
 			case out := <-p.done:
-				sim.schedule(sim.randomDuration(0, 5*time.Millisecond), func() { sim.handleOutcome(c, tries, out, answered) })
+				sim.schedule(sim.randomDuration(0, 5*time.Millisecond), func() { sim.handleOutcome(c, attempts, out, answered) })
 				return true
 			default:
 			}
 			if sim.now >= deadline {
-				sim.handleOutcome(c, tries, outcome{refused: true}, answered)
+				sim.handleOutcome(c, attempts, outcome{refused: true}, answered)
 			}
 			return sim.now >= deadline
 		})
@@ -71,12 +72,12 @@
 }
 
 // handleOutcome passes a result to answered, or sends the command again.
-func (sim *simulation) handleOutcome(c state.Command, tries int, out outcome, answered func(state.Result)) {
+func (sim *simulation) handleOutcome(c state.Command, attempts int, out outcome, answered func(state.Result)) {
 	switch {
 	case !out.refused && out.err == nil:
 		answered(out.result)
-	case tries > 1 && !sim.faultsEnded:
-		sim.sendCommand(c, tries-1, answered)
+	case attempts > 1 && !sim.faultsEnded:
+		sim.sendCommand(c, attempts-1, answered)
 	}
 }
 
--- a/internal/replica/world_test.go
+++ b/internal/replica/world_test.go
@@ -39,7 +39,7 @@
 	meters      *groupMeters
 	lostDisks   int
 	// pollers are called after each tick of a replica until they return true.
-	// sparePollers is a reused buffer.
+	// sparePollers is the buffer for the next list of pollers.
 	pollers      []func() bool
 	sparePollers []func() bool
 }
--- a/internal/wal/wal.go
+++ b/internal/wal/wal.go
@@ -66,9 +66,11 @@
 	hard     consensus.HardState
 	segments []segment
 	file     File
+	// sequence is the sequence number of the last frame.
 	sequence uint64
 	snapshot consensus.SnapshotMeta
-	failure  error
+	// failure is the error of the first write that failed; see Save.
+	failure error
 }
 
 // Open locks and reads a data folder. An empty folder is initialized for the
