--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -47,14 +47,14 @@
 
 // Service is the "admin.http" service. Its methods are safe for concurrent use.
 type Service struct {
-	set     *settings.Settings
-	log     *zap.Logger
-	metrics port.Metrics
-	kernel  *kernel.Kernel
-	view    filesView
-	logs    port.Log
-	members port.Members
-	server  *http.Server
+	set           *settings.Settings
+	log           *zap.Logger
+	metrics       port.Metrics
+	kernel        *kernel.Kernel
+	view          filesView
+	replicatedLog port.Log
+	members       port.Members
+	server        *http.Server
 }
 
 // New returns the service.
@@ -77,7 +77,7 @@
 	if s.view, err = kernel.Find[filesView](k, port.NameView); err != nil {
 		return err
 	}
-	if s.logs, err = kernel.Find[port.Log](k, port.NameLog); err != nil {
+	if s.replicatedLog, err = kernel.Find[port.Log](k, port.NameLog); err != nil {
 		return err
 	}
 	if s.members, err = kernel.Find[port.Members](k, port.NameMembers); err != nil {
@@ -160,8 +160,8 @@
 	return "settings", slices.Contains(s.set.OperatorKeys, id)
 }
 
-// winner returns the name of the operator who made a version, for messages.
-func (s *Service) winner(id string) string {
+// operatorName returns, for messages, the name of the operator with an identity.
+func (s *Service) operatorName(id string) string {
 	if name, ok := s.operatorOf(id); ok {
 		return name
 	}
@@ -231,14 +231,14 @@
 		return fault.New(fault.Malformed, "mend the files", "%v", err)
 	}
 	id, _ := c.Get(operatorID).(string)
-	result, err := s.logs.Propose(c.Request().Context(), port.GroupMain, state.Command{Apply: &state.Apply{Base: a.Base, Files: files, Operator: id}})
+	result, err := s.replicatedLog.Propose(c.Request().Context(), port.GroupMain, state.Command{Apply: &state.Apply{Base: a.Base, Files: files, Operator: id}})
 	if err != nil {
 		return err
 	}
 	if result.Status != state.OK {
-		return fault.New(fault.Conflict, "get the current version, merge your change and apply again", "version %d of %s won", result.Version, s.winner(result.Winner))
+		return fault.New(fault.Conflict, "get the current version, merge your change and apply again", "version %d of %s won", result.Version, s.operatorName(result.Winner))
 	}
-	s.log.Info("configuration accepted", zap.Uint64("version", result.Version), zap.String("operator", s.winner(id)))
+	s.log.Info("configuration accepted", zap.Uint64("version", result.Version), zap.String("operator", s.operatorName(id)))
 	return c.JSON(http.StatusOK, operator.Applied{Version: result.Version, Digest: result.Digest})
 }
 
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -121,8 +121,8 @@
 }
 
 // TestAdministrativeAddress checks readiness, authentication, configuration changes and
-// that no secret appears in an answer, an error, a metric or the log. Keys are
-// planted in the settings, the configuration and requests before.
+// that no secret appears in an answer, an error, a metric or the log. To this end
+// the settings, the configuration and requests contain the planted secrets.
 func TestAdministrativeAddress(t *testing.T) {
 	set, logs := startDaemon(t)
 	op := client.Operator{Address: set.Addresses.Admin, Key: plantedOperator}
--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -1,6 +1,7 @@
 // Package directory tells callers which entries they may use and for how long.
 // It replaces a load balancer in front of the daemons: callers cache the answer
-// for its TTL and connect to the entries directly.
+// for its TTL and connect to the entries directly. Other services use it as
+// port.Directory.
 //
 // A draining daemon is removed from the answers of all daemons and continues to
 // serve until every answer that may still list it has expired.
@@ -22,7 +23,7 @@
 	// answerTTL is how long callers may cache an answer.
 	answerTTL = 5 * time.Second
 	// propagationTimeout bounds how long the announcement that a daemon drains
-	// takes to reach all others, which list its address until then.
+	// takes to reach all others; until then they still list the daemon.
 	propagationTimeout = 3 * time.Second
 )
 
--- a/internal/directory/nearest.go
+++ b/internal/directory/nearest.go
@@ -6,7 +6,8 @@
 	// maxNearest is the maximum number of addresses in an answer.
 	maxNearest = 64
 	// minNearby is the minimum number of entries in an answer that is limited to a
-	// data centre or region: with one fewer, the loss of an entry would leave none.
+	// data centre or region: with only one, the loss of that entry would leave the
+	// callers none.
 	minNearby = 2
 )
 
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -1,5 +1,6 @@
 // Package dispatch runs a dispatcher for each pool whose lease this daemon
-// holds, and serves scheduling sessions to the entries over drpc.
+// holds, and serves scheduling sessions to the entries over drpc. The entries'
+// side of a session is internal/schedclient.
 //
 // Invariant: a dispatcher grants only while its lease is valid by this daemon's
 // monotonic clock, counted from before the renewal was sent.
@@ -23,19 +24,19 @@
 // Service is the "sched.dispatcher" service.
 type Service struct {
 	rpc.DRPCDispatchUnimplementedServer
-	set     *settings.Settings
-	log     *zap.Logger
-	view    port.View
-	logs    port.Log
-	members port.Members
-	events  port.Events
-	metrics *metrics
-	self    port.Holder
+	set           *settings.Settings
+	log           *zap.Logger
+	view          port.View
+	replicatedLog port.Log
+	members       port.Members
+	events        port.Events
+	metrics       *metrics
+	self          port.Holder
 	// crashCounts queues crash counts for the replicated log.
 	crashCounts chan state.Suspect
 	ctx         context.Context
 	cancel      context.CancelFunc
-	done        sync.WaitGroup
+	goroutines  sync.WaitGroup
 
 	mu    sync.Mutex
 	pools map[string]*pool
@@ -63,7 +64,7 @@
 	if s.view, err = kernel.Find[port.View](k, port.NameView); err != nil {
 		return err
 	}
-	if s.logs, err = kernel.Find[port.Log](k, port.NameLog); err != nil {
+	if s.replicatedLog, err = kernel.Find[port.Log](k, port.NameLog); err != nil {
 		return err
 	}
 	if s.members, err = kernel.Find[port.Members](k, port.NameMembers); err != nil {
@@ -80,8 +81,8 @@
 		return err
 	}
 	s.ctx, s.cancel = context.WithCancel(context.Background())
-	s.done.Go(func() { s.maintainPools(s.ctx) })
-	s.done.Go(s.proposeCrashCounts)
+	s.goroutines.Go(func() { s.maintainPools(s.ctx) })
+	s.goroutines.Go(s.proposeCrashCounts)
 	return rpc.DRPCRegisterDispatch(link.Mux(), s)
 }
 
@@ -96,7 +97,7 @@
 			if cancels[name] == nil {
 				sub, cancel := context.WithCancel(ctx)
 				cancels[name] = cancel
-				s.done.Go(func() { s.maintainLease(sub, name) })
+				s.goroutines.Go(func() { s.maintainLease(sub, name) })
 			}
 		}
 		for name, cancel := range cancels {
@@ -142,7 +143,7 @@
 // Stop releases all leases and waits until the dispatchers have ended.
 func (s *Service) Stop(context.Context) error {
 	s.cancel()
-	s.done.Wait()
+	s.goroutines.Wait()
 	return nil
 }
 
--- a/internal/dispatch/keeper.go
+++ b/internal/dispatch/keeper.go
@@ -22,7 +22,8 @@
 	// rankDelay is the delay per rank before a daemon acquires a free lease, so
 	// that the daemon that ranks first for the pool usually gets it.
 	rankDelay = 150 * time.Millisecond
-	// maxRank bounds that delay to maxRank times rankDelay.
+	// maxRank is the highest rank for which the delay grows, so that no daemon
+	// waits longer than maxRank times rankDelay.
 	maxRank = 6
 	// maxPendingCrashCounts is the maximum number of crash counts queued for the log.
 	maxPendingCrashCounts = 1024
@@ -89,7 +90,7 @@
 	sent := time.Now()
 	ctx, cancel := context.WithTimeout(ctx, renewTimeout)
 	defer cancel()
-	result, err := s.logs.Propose(ctx, port.GroupMain, state.Command{Acquire: &state.Acquire{Name: lease, Holder: s.self.String()}})
+	result, err := s.replicatedLog.Propose(ctx, port.GroupMain, state.Command{Acquire: &state.Acquire{Name: lease, Holder: s.self.String()}})
 	if err != nil || result.Lease == nil {
 		return
 	}
@@ -111,7 +112,7 @@
 	p = newPool(name, result.Lease.Epoch, s.poolDeps())
 	p.extendLease(sent.Add(port.LeaseTTL))
 	s.pools[name] = p
-	s.done.Go(p.run)
+	s.goroutines.Go(p.run)
 	s.log.Info("dispatcher started", zap.String("pool", name), zap.Uint64("epoch", p.epoch))
 }
 
@@ -141,7 +142,7 @@
 	s.stopPool(name)
 	ctx, cancel := context.WithTimeout(context.Background(), renewTimeout)
 	defer cancel()
-	_, err := s.logs.Propose(ctx, port.GroupMain, state.Command{Expire: &state.Expire{Name: lease, Epoch: p.epoch}})
+	_, err := s.replicatedLog.Propose(ctx, port.GroupMain, state.Command{Expire: &state.Expire{Name: lease, Epoch: p.epoch}})
 	if err != nil {
 		s.log.Warn("lease was not released; a successor waits until it expires", zap.String("lease", lease), zap.Error(err))
 	}
@@ -178,7 +179,7 @@
 func (s *Service) proposeCrashCount(suspect state.Suspect) {
 	for s.ctx.Err() == nil {
 		ctx, cancel := context.WithTimeout(s.ctx, renewTimeout)
-		_, err := s.logs.Propose(ctx, port.GroupMain, state.Command{Suspect: &suspect})
+		_, err := s.replicatedLog.Propose(ctx, port.GroupMain, state.Command{Suspect: &suspect})
 		cancel()
 		if err == nil {
 			return
--- a/internal/dispatch/pool.go
+++ b/internal/dispatch/pool.go
@@ -20,7 +20,8 @@
 	// resyncTimeout bounds how long a new dispatcher waits, before it grants, for
 	// the live daemons to report the requests that they run.
 	resyncTimeout = 1200 * time.Millisecond
-	// resyncPollInterval is the interval at which it checks whether all have.
+	// resyncPollInterval is the interval at which a new dispatcher checks whether
+	// all live daemons have reported.
 	resyncPollInterval = 20 * time.Millisecond
 )
 
@@ -50,9 +51,10 @@
 	// dispatcher decides; its times are relative to startedAt.
 	dispatcher *sched.Dispatcher
 	leaseEnd   time.Time
-	// resynced says that the dispatcher may grant; see awaitResync.
+	// resynced reports that the dispatcher may grant; see awaitResync.
 	resynced bool
-	// sessions holds the current session of each entry, by the entry's holder.
+	// sessions holds the current session of each entry, by the string form of the
+	// entry's port.Holder.
 	sessions      map[string]*session
 	configVersion uint64
 }
--- a/internal/dispatch/session.go
+++ b/internal/dispatch/session.go
@@ -29,8 +29,8 @@
 }
 
 // send queues a batch for an entry. If the queue is full, the session is ended,
-// and the entry offers its waiting requests again over a new one. The pool's
-// lock is held.
+// and the entry offers its waiting requests again over a new session. The caller
+// holds the pool's lock.
 func (p *pool) send(entry string, b *rpc.GrantBatch) {
 	s, ok := p.sessions[entry]
 	if !ok {
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -28,7 +28,8 @@
 const (
 	// leaseMS is the validity of an announcement, in milliseconds.
 	leaseMS = 2000
-	// renewMS is the interval at which upstreams repeat it, in milliseconds.
+	// renewMS is the interval at which upstreams renew their announcement, in
+	// milliseconds.
 	renewMS = 500
 	// maxAnnouncementBytes is the maximum size of an announcement's body.
 	maxAnnouncementBytes = 1 << 20
@@ -40,8 +41,8 @@
 	maxAddresses = 16
 )
 
-// announced is an upstream's last announcement.
-type announced struct {
+// lastAnnouncement is the last announcement of an upstream.
+type lastAnnouncement struct {
 	state     *rpc.UpstreamState
 	pool      port.PoolRegion
 	expiresAt time.Time
@@ -59,7 +60,7 @@
 
 	mu sync.Mutex
 	// upstreams holds the announcements by the upstream's name.
-	upstreams   map[string]announced
+	upstreams   map[string]lastAnnouncement
 	subscribers map[port.PoolRegion]map[int]func(*rpc.UpstreamState)
 	nextID      int
 }
@@ -67,7 +68,7 @@
 // New returns the service.
 func New(set *settings.Settings, log *zap.Logger) *Service {
 	return &Service{
-		set: set, log: log.Named("upstream"), upstreams: map[string]announced{},
+		set: set, log: log.Named("upstream"), upstreams: map[string]lastAnnouncement{},
 		subscribers: map[port.PoolRegion]map[int]func(*rpc.UpstreamState){},
 	}
 }
@@ -126,8 +127,8 @@
 	_, _ = w.Write(e.Encode())
 }
 
-// isAuthenticated reports whether a request has a known upstream key. Without
-// declared keys every request has.
+// isAuthenticated reports whether a request has a known upstream key. If the
+// settings list no keys, every request is accepted.
 func (s *Service) isAuthenticated(r *http.Request) bool {
 	if len(s.set.UpstreamKeys) == 0 {
 		return true
@@ -166,14 +167,15 @@
 	if s.upstreams[a.Name].state.GetIncarnation() > a.Incarnation {
 		return false
 	}
-	s.upstreams[a.Name] = announced{state: state, pool: at, expiresAt: time.Now().Add(leaseMS * time.Millisecond)}
+	s.upstreams[a.Name] = lastAnnouncement{state: state, pool: at, expiresAt: time.Now().Add(leaseMS * time.Millisecond)}
 	for _, fn := range s.subscribers[at] {
 		fn(state)
 	}
 	return true
 }
 
-// prune deletes the announcements whose lease has ended; the lock is held.
+// prune deletes the announcements whose lease has ended. The caller holds the
+// lock.
 func (s *Service) prune() {
 	now := time.Now()
 	for name, u := range s.upstreams {
--- a/internal/schedclient/acquire.go
+++ b/internal/schedclient/acquire.go
@@ -34,7 +34,7 @@
 	if refusal == nil {
 		return t, nil
 	}
-	if !worthSpilling(refusal) {
+	if !shouldSpill(refusal) {
 		return nil, refusal
 	}
 	for _, region := range s.otherRegions() {
@@ -67,7 +67,8 @@
 	return &acquisition{id: s.nextID, request: r, decided: make(chan struct{})}
 }
 
-func worthSpilling(e *fault.Error) bool {
+// shouldSpill reports whether to ask the other regions after this refusal.
+func shouldSpill(e *fault.Error) bool {
 	return e.Kind == kindSpill || e.Kind == fault.NoUpstream
 }
 
--- a/internal/schedclient/client.go
+++ b/internal/schedclient/client.go
@@ -29,10 +29,10 @@
 	upstreams port.Upstreams
 	bytes     *linkBytes
 	// open opens a session to the dispatcher at an address.
-	open   func(ctx context.Context, address string) (stream, error)
-	ctx    context.Context
-	cancel context.CancelFunc
-	done   sync.WaitGroup
+	open       func(ctx context.Context, address string) (stream, error)
+	ctx        context.Context
+	cancel     context.CancelFunc
+	goroutines sync.WaitGroup
 
 	mu       sync.Mutex
 	sessions map[port.PoolRegion]*session
@@ -78,7 +78,7 @@
 
 func (s *Service) startSessions() {
 	s.ctx, s.cancel = context.WithCancel(context.Background())
-	s.done.Go(s.maintainSessions)
+	s.goroutines.Go(s.maintainSessions)
 }
 
 func (s *Service) dial(ctx context.Context, address string) (stream, error) {
@@ -112,7 +112,7 @@
 // Stop ends all sessions and waits until they have ended.
 func (s *Service) Stop(context.Context) error {
 	s.cancel()
-	s.done.Wait()
+	s.goroutines.Wait()
 	return nil
 }
 
--- a/internal/schedclient/places.go
+++ b/internal/schedclient/places.go
@@ -11,7 +11,7 @@
 
 const (
 	// maxPermanentSessions is the number of pools, counted once per region, up to
-	// which an entry keeps a permanent session to every one. In larger deployments
+	// which an entry keeps a permanent session to each. In larger deployments
 	// the heartbeats would exceed the budget for control traffic, and sessions to
 	// other regions are opened on demand.
 	maxPermanentSessions = 16
@@ -26,7 +26,8 @@
 )
 
 // maintainSessions keeps the permanent sessions open, so that announcements reach
-// a dispatcher before the first request does, and closes idle ones of the others.
+// a dispatcher before the first request does, and closes other sessions once they
+// are idle.
 func (s *Service) maintainSessions() {
 	for s.ctx.Err() == nil {
 		changed := s.view.Changed()
@@ -82,7 +83,7 @@
 	opened.lastUsed = time.Now()
 	opened.connectDeadline = connectDeadline
 	s.sessions[p] = opened
-	s.done.Go(opened.run)
+	s.goroutines.Go(opened.run)
 	return opened
 }
 
--- a/internal/schedclient/session.go
+++ b/internal/schedclient/session.go
@@ -23,10 +23,10 @@
 	decided chan struct{}
 	grant   *rpc.Grant
 	failure *fault.Error
-	// offered says that the offer was sent before.
+	// offered reports that the offer was sent before.
 	offered bool
 	// spilledFrom is the region that could not serve the request; it is empty in
-	// the daemon's own region. final says that the other regions refused it.
+	// the daemon's own region. final reports that the other regions refused it.
 	spilledFrom string
 	final       bool
 }
@@ -41,7 +41,8 @@
 	cancel  context.CancelFunc
 	// lastUsed is when the session was last requested; the service's lock guards it.
 	lastUsed time.Time
-	// connectDeadline is until when spilled requests wait for a connection.
+	// connectDeadline is the time until which spilled requests wait for a
+	// connection.
 	connectDeadline time.Time
 
 	mu    sync.Mutex
@@ -167,8 +168,9 @@
 	return &rpc.EntryBatch{Entry: s.service.self.String(), Pool: s.pool.Pool, Epoch: epoch}
 }
 
-// takePending returns the pending batch, which is empty for a mere heartbeat. It
-// lacks entry, pool and epoch, which the connection's first batch has given.
+// takePending returns the pending batch, which is empty if only a heartbeat is
+// due. The batch lacks entry, pool and epoch, which the connection's first batch
+// has given.
 func (s *session) takePending() *rpc.EntryBatch {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -179,9 +181,9 @@
 	return b
 }
 
-// applyDecisions applies a dispatcher's grants and refusals. It ignores those of
-// another epoch and those for requests that no longer wait; slots granted to the
-// latter are released as not sent.
+// applyDecisions applies a dispatcher's grants and refusals. It ignores a batch of
+// another epoch, and decisions on requests that no longer wait; a slot granted to
+// such a request is released as not sent.
 func (s *session) applyDecisions(epoch uint64, b *rpc.GrantBatch) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
