--- a/internal/daemon/abort_test.go
+++ b/internal/daemon/abort_test.go
@@ -13,8 +13,8 @@
 	"github.com/verbenastep/verbenastep/internal/port"
 )
 
-// killDelay is when a daemon is killed: in the middle of an answer of
-// answerTokens tokens at 40 tokens a second.
+// killDelay is the time from the start of a request to the kill of a daemon, which
+// falls into the middle of an answer of answerTokens tokens at 40 tokens a second.
 const (
 	killDelay    = 300 * time.Millisecond
 	answerTokens = 40
--- a/internal/daemon/site_test.go
+++ b/internal/daemon/site_test.go
@@ -165,7 +165,7 @@
 	}
 	want := standin.AnswerTo(fmt.Sprintf("user: %s #%d\n", key, tokens), tokens)
 	if !strings.Contains(text, `"`+want+`"`) {
-		return fmt.Errorf("another answer: %s", text)
+		return fmt.Errorf("the answer does not belong to the request: %s", text)
 	}
 	return nil
 }
@@ -177,7 +177,7 @@
 	defer cancel()
 	text, err := send(ctx, client, address+"/services/register-api/transfers", key, key)
 	if err == nil && !strings.Contains(text, fmt.Sprintf(`"bytes":%d}`, len(key))) {
-		return fmt.Errorf("another answer: %s", text)
+		return fmt.Errorf("the answer does not belong to the request: %s", text)
 	}
 	return err
 }
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -102,8 +102,9 @@
 	slices.SortStableFunc(lines, func(a, b Line) int { return a.Time.Compare(b.Time) })
 }
 
-// isRelated reports whether a line reports a change that may affect a request: of
-// its entry's connections and tables, of the leading broker or of its upstreams.
+// isRelated reports whether a line reports a change that may affect the request
+// whose lines are own: a change of its entry's connections or tables, of the leading
+// broker or of its upstreams.
 func isRelated(l Line, own []Line) bool {
 	switch l.Message {
 	case "broker lost", "broker found", "route table in force", "daemon started", "settings reloaded":
@@ -126,7 +127,8 @@
 	return Line{}, false
 }
 
-// cause describes the decision that determined the outcome.
+// cause describes the decision that determined the outcome of the request whose
+// lines are own; all are the lines of all daemons.
 func cause(all, own []Line) string {
 	if l, ok := last(own, "request refused"); ok {
 		return fmt.Sprintf("refused with %s (%s): %s; route table version %s", l.text("status"), l.text("outcome"), l.text("why"), l.text("table"))
--- a/internal/kernel/kernel_test.go
+++ b/internal/kernel/kernel_test.go
@@ -96,8 +96,8 @@
 	return d.fail
 }
 
-// TestDrainRunsInStopOrderBeforeAnyStop: a Drainer that fails keeps no other from
-// being drained.
+// TestDrainRunsInStopOrderBeforeAnyStop also makes one Drainer fail, which must not
+// prevent the others from being drained.
 func TestDrainRunsInStopOrderBeforeAnyStop(t *testing.T) {
 	trace := []string{}
 	k := assemble(t, &trace, &fake{name: "a"})
--- a/internal/logging/sink.go
+++ b/internal/logging/sink.go
@@ -13,7 +13,7 @@
 	// maxBufferBytes is the maximum number of bytes buffered for a slow reader.
 	maxBufferBytes = 256 << 10
 	// maxBytesPerSecond is the rate limit of the output, about 2,000 lines of 500
-	// bytes; a burst may have one second's worth.
+	// bytes; a burst may use one second's worth.
 	maxBytesPerSecond = 1 << 20
 	// minInfoRoom and minWarnRoom are the fractions of free room below which lines
 	// are dropped: first debug and info lines, last warnings, errors and lines
@@ -48,7 +48,7 @@
 }
 
 // room returns the free fraction of the buffer or the unused fraction of the rate
-// limit, whichever is less. The lock is held.
+// limit, whichever is less. The caller holds the lock.
 func (s *sink) room() float64 {
 	now := time.Now()
 	s.credit = min(s.rate, s.credit+s.rate*now.Sub(s.creditAt).Seconds())
--- a/internal/logging/vocabulary_test.go
+++ b/internal/logging/vocabulary_test.go
@@ -13,7 +13,8 @@
 // documentedPackages are the packages whose log fields docs/OPERATIONS.md explains.
 var documentedPackages = []string{"forward", "broker", "brokerclient", "roster", "tables", "view", "replica", "member", "link"}
 
-var field = regexp.MustCompile(`zap\.[A-Z]\w*\("([a-z_]+)"`)
+// logFieldPattern matches the construction of a log field and captures its key.
+var logFieldPattern = regexp.MustCompile(`zap\.[A-Z]\w*\("([a-z_]+)"`)
 
 // TestEveryLogFieldIsDocumented guards against log fields that operators find no
 // explanation of in docs/OPERATIONS.md.
@@ -34,7 +35,7 @@
 			}
 			text, err := os.ReadFile(file)
 			require.NoError(t, err)
-			for _, m := range field.FindAllStringSubmatch(string(text), -1) {
+			for _, m := range logFieldPattern.FindAllStringSubmatch(string(text), -1) {
 				used++
 				require.True(t, explained[m[1]], "%s logs %q; explain it in docs/OPERATIONS.md", file, m[1])
 			}
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,4 +1,5 @@
-// Package metrics provides the daemon's Prometheus registry as a service.
+// Package metrics provides the daemon's Prometheus registry as a service. Other
+// services register their metrics with it, and internal/admin serves them.
 package metrics
 
 import (
@@ -32,10 +33,10 @@
 // Start does nothing.
 func (s *Service) Start(context.Context, *kernel.Kernel) error { return nil }
 
-// Registerer returns where services register their metrics.
+// Registerer returns the registerer for the services' metrics.
 func (s *Service) Registerer() prometheus.Registerer { return s.registry }
 
-// Gatherer returns where the registered metrics are read.
+// Gatherer returns the gatherer that reads the registered metrics.
 func (s *Service) Gatherer() prometheus.Gatherer { return s.registry }
 
 // Stop does nothing.
--- a/internal/port/holder.go
+++ b/internal/port/holder.go
@@ -20,7 +20,7 @@
 }
 
 // ParseHolder parses the form stored in leases. It returns false if s has another
-// form; so has the empty holder of a free lease.
+// form, such as the empty holder of a free lease.
 func ParseHolder(s string) (Holder, bool) {
 	daemon, address, ok := strings.Cut(s, "@")
 	name, number, ok2 := strings.Cut(daemon, "#")
--- a/internal/port/port.go
+++ b/internal/port/port.go
@@ -85,8 +85,8 @@
 	// Conn returns a pooled connection to the peers' address of a daemon. Each
 	// stream or call in progress occupies a network connection of its own.
 	Conn(address string) drpc.Conn
-	// Mux returns where drpc services register; they must do so before the server
-	// starts.
+	// Mux returns the mux on which drpc services register; they must do so before
+	// the server starts.
 	Mux() drpc.Mux
 }
 
@@ -118,7 +118,7 @@
 	Version uint64 `json:"version"`
 	// Members lists the members of the group as this replica knows them.
 	Members []ReplicaMember `json:"members,omitempty"`
-	// Error says why the replica does not answer or has stopped applying.
+	// Error is the reason why the replica does not answer or has stopped applying.
 	Error string `json:"error,omitempty"`
 }
 
@@ -128,7 +128,8 @@
 	Address string `json:"address"`
 	ID      uint64 `json:"id"`
 	Learner bool   `json:"learner,omitempty"`
-	// Lag is the number of entries that it lacks; only the leader reports it.
+	// Lag is the number of log entries that the member lacks; only the leader
+	// reports it.
 	Lag uint64 `json:"lag,omitempty"`
 }
 
@@ -230,7 +231,8 @@
 	// Load is the used fraction of the daemon's capacity, 1 if all of it is used.
 	Load    float64
 	Replica bool
-	// Leaving says that the daemon drains: it still serves, but takes no new callers.
+	// Leaving reports that the daemon drains: it still serves, but takes no new
+	// callers.
 	Leaving bool
 }
 
@@ -325,8 +327,8 @@
 	Changed() <-chan struct{}
 }
 
-// RosterEntry is an upstream with the age of its last heartbeat. Silent says that
-// the age exceeds the limit for its use.
+// RosterEntry is an upstream with the age of its last heartbeat. Silent reports
+// that the age exceeds the limit up to which the upstream may be used.
 type RosterEntry struct {
 	roster.Entry
 	Age    time.Duration
--- a/internal/schema/schema.go
+++ b/internal/schema/schema.go
@@ -109,13 +109,13 @@
 	path := jsonPath(e.InstanceLocation)
 	switch k := e.ErrorKind.(type) {
 	case *kind.Required:
-		return each(path, k.Missing, "the value is missing", "give it")
+		return faultPerField(path, k.Missing, "the value is missing", "give it")
 	case *kind.AdditionalProperties:
-		return each(path, k.Properties, "the field is unknown", "check its spelling, or remove it")
+		return faultPerField(path, k.Properties, "the field is unknown", "check its spelling, or remove it")
 	case *kind.Type:
 		return []Fault{{Path: path, Message: "the value is of type " + k.Got, Remedy: "write a value of type " + strings.Join(k.Want, " or ")}}
 	case *kind.Enum:
-		return []Fault{{Path: path, Message: fmt.Sprintf("%v is not known", quoted(k.Got)), Remedy: "write one of " + list(k.Want)}}
+		return []Fault{{Path: path, Message: fmt.Sprintf("%v is not known", quoted(k.Got)), Remedy: "write one of " + quotedList(k.Want)}}
 	case *kind.MinLength:
 		return []Fault{{Path: path, Message: "the value is empty", Remedy: "give it"}}
 	case *kind.MinItems:
@@ -143,7 +143,8 @@
 	return Fault{Path: path, Message: fmt.Sprintf("%q has not the right form", k.Got), Remedy: "write a value that matches " + k.Want}
 }
 
-func each(path string, names []string, message, remedy string) []Fault {
+// faultPerField returns the same fault for each of the named fields below path.
+func faultPerField(path string, names []string, message, remedy string) []Fault {
 	out := []Fault{}
 	for _, n := range names {
 		out = append(out, Fault{Path: path + "." + n, Message: message, Remedy: remedy})
@@ -158,7 +159,7 @@
 	return fmt.Sprint(v)
 }
 
-func list(values []any) string {
+func quotedList(values []any) string {
 	out := []string{}
 	for _, v := range values {
 		out = append(out, quoted(v))
@@ -180,8 +181,8 @@
 	return b.String()
 }
 
-// Covers reports whether path equals one of paths or lies below one. A fault there
-// is then a mere consequence of the one at or above it.
+// Covers reports whether path equals one of paths or lies below one of them. If the
+// paths have faults, a fault at path is then only a consequence of those.
 func Covers(paths []string, path string) bool {
 	for _, p := range paths {
 		rest, ok := strings.CutPrefix(path, p)
--- a/internal/settings/routing.go
+++ b/internal/settings/routing.go
@@ -41,13 +41,14 @@
 	Ratio float64 `json:"ratio,omitempty"`
 	// WindowMS is the window in which requests and retries are counted.
 	WindowMS int64 `json:"window_ms,omitempty"`
-	// Slack is the number of retries allowed in addition.
+	// Slack is the number of retries allowed in addition to those of Ratio.
 	Slack int64 `json:"slack,omitempty"`
 }
 
 // Quota is how far a workspace may exceed its quota.
 type Quota struct {
-	// SlackTokens is the number of tokens allowed in excess, in a window of seconds.
+	// SlackTokens is the number of tokens beyond the quota that are tolerated within
+	// some seconds.
 	SlackTokens int64 `json:"slack_tokens,omitempty"`
 }
 
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -157,8 +157,8 @@
 		e.Faults = append(e.Faults, Fault(f))
 		paths = append(paths, f.Path)
 	}
-	// A value of the wrong type leaves its field empty; all others are decoded. The
-	// schema has reported it already.
+	// The error is ignored: a value of the wrong type leaves its field empty, all
+	// others are decoded, and the schema has reported the wrong type already.
 	_ = json.Unmarshal(data, s)
 	for _, f := range s.check() {
 		if !schema.Covers(paths, f.Path) {
