--- a/internal/member/member_test.go
+++ b/internal/member/member_test.go
@@ -107,12 +107,15 @@
 var measure = flag.String("measure", "", "measure the cost of membership and write it to `FILE`")
 
 const (
+	// measureBasePort is the port of the first daemon; the others use the next ones.
 	measureBasePort = 7900
+	// measureWarmup is the time in which the daemons discover each other before the
+	// measurement.
 	measureWarmup   = 90 * time.Second
 	measureDuration = 30 * time.Second
 )
 
-// daemonCost is the cost per daemon and second.
+// daemonCost is the cost of membership per daemon and second.
 type daemonCost struct {
 	daemons   int
 	messages  float64
--- a/internal/replica/schedule_test.go
+++ b/internal/replica/schedule_test.go
@@ -23,8 +23,10 @@
 	shardCount    = 8
 	workspace     = "workspace"
 	leaseName     = "lease"
-	faultsEnd     = 7 * time.Second
-	scheduleEnd   = 12 * time.Second
+	// faultsEnd and scheduleEnd are the virtual times at which a schedule stops
+	// injecting faults and ends.
+	faultsEnd   = 7 * time.Second
+	scheduleEnd = 12 * time.Second
 )
 
 // replicationTimeout is the time within which the last entries must reach all
@@ -313,12 +315,12 @@
 }
 
 // TestSchedulesFindDefects verifies that the invariant checks detect the
-// defects they are meant for, so that TestSchedules can't pass because of a
-// blind check.
+// defects they are meant for, so that TestSchedules can't pass because a check
+// never fails.
 func TestSchedulesFindDefects(t *testing.T) {
 	cases := map[string]struct {
 		defect injectedDefect
-		// from is the first seed to try; shows is a part of the expected
+		// from is the first seed to run; shows is a part of the expected
 		// violation.
 		from  uint64
 		shows string
--- a/internal/replica/world_test.go
+++ b/internal/replica/world_test.go
@@ -19,10 +19,14 @@
 // injectedDefect is a fault injected into the code under test to verify that the
 // invariant checks detect it.
 type injectedDefect struct {
-	skipsSync      bool
-	reusesID       bool
+	// skipsSync makes the sync of an appended file return without syncing.
+	skipsSync bool
+	// reusesID gives a replica that lost its disk its previous ID again.
+	reusesID bool
+	// excessiveDrift exceeds the clock drift that leases allow for.
 	excessiveDrift bool
-	earlyExpiry    bool
+	// earlyExpiry expires leases before their holders stop relying on them.
+	earlyExpiry bool
 }
 
 // simulation runs engines on fake disks and a fake network in virtual time.
