--- a/internal/replica/schedule_test.go
+++ b/internal/replica/schedule_test.go
@@ -23,15 +23,18 @@
 	shardCount    = 8
 	workspace     = "workspace"
 	leaseName     = "lease"
-	faultsEnd     = 7 * time.Second
-	scheduleEnd   = 12 * time.Second
+	// faultsEnd and scheduleEnd are the virtual times at which a schedule stops
+	// injecting faults and ends.
+	faultsEnd   = 7 * time.Second
+	scheduleEnd = 12 * time.Second
 )
 
 // replicationTimeout is the time within which the last entries must reach all
 // replicas.
 const replicationTimeout = time.Second
 
-// gcPercent is high because the schedules allocate much and retain little.
+// gcPercent is the target of the garbage collector (GOGC). It is high because the
+// schedules allocate much and retain little.
 const gcPercent = 800
 
 func TestMain(m *testing.M) {
@@ -40,8 +43,8 @@
 }
 
 // sendCommand sends a command to the leader or a random replica, and repeats it
-// up to tries times until it is answered.
-func (sim *simulation) sendCommand(c state.Command, tries int, answered func(state.Result)) {
+// up to attempts times until it is answered.
+func (sim *simulation) sendCommand(c state.Command, attempts int, answered func(state.Result)) {
 	data, err := json.Marshal(c)
 	if err != nil {
 		sim.checker.fail("%v", err)
@@ -58,12 +61,12 @@
 		sim.pollers = append(sim.pollers, func() bool {
 			select {
 			case out := <-p.done:
-				sim.schedule(sim.randomDuration(0, 5*time.Millisecond), func() { sim.handleOutcome(c, tries, out, answered) })
+				sim.schedule(sim.randomDuration(0, 5*time.Millisecond), func() { sim.handleOutcome(c, attempts, out, answered) })
 				return true
 			default:
 			}
 			if sim.now >= deadline {
-				sim.handleOutcome(c, tries, outcome{refused: true}, answered)
+				sim.handleOutcome(c, attempts, outcome{refused: true}, answered)
 			}
 			return sim.now >= deadline
 		})
@@ -71,12 +74,12 @@
 }
 
 // handleOutcome passes a result to answered, or sends the command again.
-func (sim *simulation) handleOutcome(c state.Command, tries int, out outcome, answered func(state.Result)) {
+func (sim *simulation) handleOutcome(c state.Command, attempts int, out outcome, answered func(state.Result)) {
 	switch {
 	case !out.refused && out.err == nil:
 		answered(out.result)
-	case tries > 1 && !sim.faultsEnded:
-		sim.sendCommand(c, tries-1, answered)
+	case attempts > 1 && !sim.faultsEnded:
+		sim.sendCommand(c, attempts-1, answered)
 	}
 }
 
@@ -312,12 +315,12 @@
 }
 
 // TestSchedulesFindDefects verifies that the invariant checks detect the
-// defects they are meant for, so that TestSchedules can't pass because of a
-// blind check.
+// defects they are meant for, so that TestSchedules can't pass because a check
+// never fails.
 func TestSchedulesFindDefects(t *testing.T) {
 	cases := map[string]struct {
 		defect injectedDefect
-		// from is the first seed to try; shows is a part of the expected
+		// from is the first seed to run; shows is a part of the expected
 		// violation.
 		from  uint64
 		shows string
