--- a/internal/capacity/entry.go
+++ b/internal/capacity/entry.go
@@ -24,7 +24,7 @@
 	// answerBytes is the size of a measured answer's text: 4 bytes a token.
 	answerBytes = 4 * tokensPerAnswer
 	// minStreams is the least number of streams in a measurement, enough for its
-	// quantiles. With fewer at once they run one after another.
+	// quantiles. With fewer streams at once, further ones run after them.
 	minStreams = 20
 )
 
@@ -76,7 +76,7 @@
 }
 
 // callPoints measures authenticated calls and announcements over HTTP, one after
-// another. Client and server share the process, so both are in the time.
+// another. Client and server share the process, so the times include both.
 func callPoints() ([]Point, error) {
 	auth := seriesSpec{"entry.authenticate", "workspaces", "ns"}
 	announce := seriesSpec{"registry.announce", "announcements at once", "ns"}
--- a/internal/capacity/membership.go
+++ b/internal/capacity/membership.go
@@ -20,7 +20,8 @@
 	// memberMeasureTime is how long a fleet is measured after membership has
 	// converged.
 	memberMeasureTime = 30 * time.Second
-	memberSeed        = 1
+	// memberSeed seeds the random choices of the daemons.
+	memberSeed = 1
 )
 
 var memberSizes = []int{9, 30, 100, 300}
--- a/internal/capacity/target.go
+++ b/internal/capacity/target.go
@@ -65,7 +65,7 @@
 	// OnReservedInstance says that the role runs on instances reserved for
 	// control.
 	OnReservedInstance bool
-	// Mechanism names the packages and the method of the role.
+	// Mechanism names the packages that implement the role and how they do it.
 	Mechanism string
 	// StateBytes is memory held, CoreShare a share of one core.
 	StateBytes      float64
--- a/internal/demo/backends.go
+++ b/internal/demo/backends.go
@@ -27,8 +27,8 @@
 // runners are the stand-in engines. The straggler has a fifth of the full speed;
 // the runner that is killed is another one.
 var runners = []struct {
-	name       string
-	placeIndex int
+	name          string
+	locationIndex int
 	// speed is relative to the full speed.
 	speed float64
 }{
@@ -60,7 +60,7 @@
 func startStandIns(daemons []string, rec *recorder) (*standIns, error) {
 	s := &standIns{}
 	for i, r := range runners {
-		a := announcement(r.name, upstream.Runner, modelName, r.placeIndex, runnerSlots)
+		a := announcement(r.name, upstream.Runner, modelName, r.locationIndex, runnerSlots)
 		runner := standin.NewRunner(a, standin.Speed{PrefillPerSecond: prefillTokensPerSecond * r.speed, DecodePerSecond: decodeTokensPerSecond * r.speed})
 		runner.Observe = rec.recordExecution
 		if err := runner.Listen(); err != nil {
@@ -85,12 +85,12 @@
 	return slices.Concat(list[by:], list[:by])
 }
 
-// announcement returns a stand-in's announcement, with a free port of loopback
-// and the time as its incarnation.
-func announcement(name string, kind upstream.Kind, pool string, placeIndex, slots int) upstream.Announcement {
+// announcement returns a stand-in's announcement, with the current time as its
+// incarnation. Its port is zero, which lets the system assign a loopback port.
+func announcement(name string, kind upstream.Kind, pool string, locationIndex, slots int) upstream.Announcement {
 	return upstream.Announcement{
 		Name: name, Kind: kind, Pool: pool, Address: "127.0.0.1:0", Slots: slots,
-		Region: places[placeIndex].Region, DataCentre: places[placeIndex].DataCentre, Incarnation: uint64(time.Now().UnixNano()),
+		Region: locations[locationIndex].Region, DataCentre: locations[locationIndex].DataCentre, Incarnation: uint64(time.Now().UnixNano()),
 	}
 }
 
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -30,8 +30,8 @@
 	readyTimeout = 8 * time.Second
 	// readyRetryDelay is the wait between two attempts of a step.
 	readyRetryDelay = 50 * time.Millisecond
-	// applyTimeout bounds one attempt of a step before the load.
-	applyTimeout = 2 * time.Second
+	// attemptTimeout bounds one attempt of a step before the load.
+	attemptTimeout = 2 * time.Second
 	// killFraction and drainFraction place the kill and the drain in the load, as
 	// shares of loadDuration.
 	killFraction  = 0.4
@@ -183,7 +183,7 @@
 	defer cancel()
 	lastErr := error(nil)
 	for ctx.Err() == nil {
-		attemptCtx, cancelAttempt := context.WithTimeout(ctx, applyTimeout)
+		attemptCtx, cancelAttempt := context.WithTimeout(ctx, attemptTimeout)
 		err := step(attemptCtx)
 		cancelAttempt()
 		if err == nil {
--- a/internal/demo/load.go
+++ b/internal/demo/load.go
@@ -14,18 +14,20 @@
 const (
 	// loadDuration is how long requests keep arriving.
 	loadDuration = 7 * time.Second
-	// completions, lookups and transfers count the requests that arrive over the
-	// load, burstCompletions the further completions that arrive all at once.
-	completions      = 130
-	burstCompletions = 50
-	lookups          = 40
-	transfers        = 24
+	// completionCount, lookupCount and transferCount are the numbers of requests
+	// that arrive over the load, burstCompletionCount that of the further
+	// completions that arrive all at once.
+	completionCount      = 130
+	burstCompletionCount = 50
+	lookupCount          = 40
+	transferCount        = 24
 	// Lengths of prompts and answers are in tokens and span a factor of 100.
 	shortestPrompt, longestPrompt = 40, 4000
 	shortestAnswer, longestAnswer = 4, 400
 	// bytesPerToken is how many bytes of prompt the stand-ins count as a token.
 	bytesPerToken = 4
-	// documentsPerWorkspace is how many texts a workspace's prompts begin with.
+	// documentsPerWorkspace is how many documents a workspace has; each of its
+	// prompts begins with part of one.
 	documentsPerWorkspace = 6
 	// burstFraction places the burst in the load, as a share of loadDuration.
 	burstFraction = 0.45
@@ -53,7 +55,7 @@
 type loadPlanner struct {
 	rng        *rand.Rand
 	workspaces int
-	// documents holds the texts by workspace and number.
+	// documents holds the documents' texts by workspace and number.
 	documents map[[2]int]string
 	keyCount  int
 }
@@ -63,16 +65,16 @@
 func planLoad(seed uint64, workspaces int) []plannedRequest {
 	p := &loadPlanner{rng: rand.New(rand.NewPCG(seed, 0)), workspaces: workspaces, documents: map[[2]int]string{}}
 	out := []plannedRequest{}
-	for range completions {
+	for range completionCount {
 		out = append(out, p.completion(p.drawArrival()))
 	}
-	for range burstCompletions {
+	for range burstCompletionCount {
 		out = append(out, p.completion(time.Duration(burstFraction*float64(loadDuration))))
 	}
-	for i := range lookups {
+	for i := range lookupCount {
 		out = append(out, p.lookup(i))
 	}
-	for i := range transfers {
+	for i := range transferCount {
 		out = append(out, p.transfer(i))
 	}
 	return out
@@ -94,8 +96,8 @@
 	return fmt.Sprintf("demo-%d", p.keyCount)
 }
 
-// completion draws a completion of either form, half of them streamed and a third
-// with a caller's key.
+// completion draws a text or chat completion. Half of all completions are
+// streamed, and a third carry a caller's key.
 func (p *loadPlanner) completion(at time.Duration) plannedRequest {
 	w := p.rng.IntN(p.workspaces)
 	c := client.Completion{Form: client.Text, Model: modelName, Prompt: p.prompt(w), MaxTokens: longestAnswer, Stream: p.rng.IntN(2) == 0}
--- a/internal/demo/recorder.go
+++ b/internal/demo/recorder.go
@@ -36,8 +36,8 @@
 	}
 }
 
-// record adds an event with the time since the recorder's start. It replaces a
-// daemon's own time, which counts from another start.
+// record adds an event with the time since the recorder's start. This replaces
+// the time that a daemon set, which counts from the daemon's own start.
 func (r *recorder) record(e promise.Event) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -79,8 +79,9 @@
 	return append([]promise.Event{}, r.events...)
 }
 
-// prefillTotals returns the prompt tokens processed, those of requests without a
-// complete answer, and of the others those that another live upstream held.
+// prefillTotals counts prompt tokens: total is all that were processed, lost those
+// of requests without a complete answer, and repeated those of the other requests
+// that another live upstream held.
 func (r *recorder) prefillTotals(completed map[requestID]bool) (total, lost, repeated int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/demo/site.go
+++ b/internal/demo/site.go
@@ -16,8 +16,8 @@
 	stopTimeout = 18 * time.Second
 )
 
-// places are the regions and data centres of the daemons.
-var places = []localsite.Location{
+// locations are the regions and data centres of the daemons.
+var locations = []localsite.Location{
 	{Region: "gauteng", DataCentre: "jhb-north"},
 	{Region: "gauteng", DataCentre: "pta-east"},
 	{Region: "western-cape", DataCentre: "cpt-south"},
@@ -27,7 +27,7 @@
 // started yet.
 func newSite(folder string, log *zap.Logger, rec *recorder) (*localsite.Site, error) {
 	return localsite.New(localsite.Options{
-		Folder: folder, Locations: places, Replicas: daemonCount,
+		Folder: folder, Locations: locations, Replicas: daemonCount,
 		Log: log, Observe: rec.record, StopTimeout: stopTimeout,
 	})
 }
--- a/internal/localsite/localsite.go
+++ b/internal/localsite/localsite.go
@@ -22,7 +22,8 @@
 )
 
 const (
-	// portsPerDaemon is the number of addresses of a daemon.
+	// portsPerDaemon is the number of addresses of a daemon: for callers, peers,
+	// upstreams and administration.
 	portsPerDaemon = 4
 	// defaultStopTimeout bounds the graceful shutdown of a daemon.
 	defaultStopTimeout = 12 * time.Second
@@ -59,7 +60,8 @@
 // Site is a group of daemons. Its methods may be called concurrently, except
 // for two calls that start or stop the same daemon.
 type Site struct {
-	options  Options
+	options Options
+	// Settings holds the settings of each daemon, in the order of the locations.
 	Settings []*settings.Settings
 
 	mu      sync.Mutex
--- a/internal/logbench/measure.go
+++ b/internal/logbench/measure.go
@@ -110,7 +110,7 @@
 	claimsInSnapshot     = 10_000
 	entriesAfterSnapshot = 100_000
 	entriesPerWrite      = 1_000
-	// entriesPerApply is about the batch that a replica applies at a time.
+	// entriesPerApply is about as many entries as a replica applies in one batch.
 	entriesPerApply = 10_000
 )
 
--- a/internal/schedbench/sites.go
+++ b/internal/schedbench/sites.go
@@ -12,8 +12,9 @@
 // requestKind is a class of requests with similar prompt and answer lengths.
 type requestKind uint8
 
-// Request kinds: a lookup prompts with a line, a summary with a page or two, a
-// file with a whole restoration file or reconciliation.
+// Request kinds: a lookup has a prompt of a line, a summary one of a page or two,
+// and a file one that holds a whole document, such as a restoration file or a
+// reconciliation.
 const (
 	lookup requestKind = iota
 	summary
@@ -47,7 +48,8 @@
 // engineSpec describes one generation of engines.
 type engineSpec struct {
 	count int
-	// secondsPerToken is the decode time with a batch of one.
+	// prefillTokensPerSecond is the speed of prefill, secondsPerToken the decode
+	// time per token with a batch of one.
 	prefillTokensPerSecond float64
 	secondsPerToken        float64
 	// knee is how many more streams in the batch double the decode time per token.
--- a/internal/standin/control.go
+++ b/internal/standin/control.go
@@ -26,8 +26,8 @@
 
 func newCache(limit int) cache { return cache{maxBlocks: limit} }
 
-// lookupAndStore returns how many leading blocks were cached, then stores all
-// of them.
+// lookupAndStore returns how many of the leading blocks were cached. It stores all
+// blocks and evicts the least recently used.
 func (c *cache) lookupAndStore(blocks []uint64) int {
 	hit := 0
 	for hit < len(blocks) && slices.Contains(c.blocks, blocks[hit]) {
--- a/internal/standin/runner.go
+++ b/internal/standin/runner.go
@@ -33,6 +33,8 @@
 	frames     []upstream.Frame
 	textBytes  int64
 	hasEnded   bool
+	// frameAdded is closed when a frame is added or the stream ends, and then
+	// replaced.
 	frameAdded chan struct{}
 	cancel     context.CancelFunc
 }
@@ -62,7 +64,9 @@
 	lastFence  uint64
 	loaded     map[string]string
 	server     *http.Server
-	slots      chan struct{}
+	// slots holds an element for each stream that runs; its capacity is the number
+	// of slots.
+	slots chan struct{}
 }
 
 // NewRunner returns a runner that isn't listening yet.
@@ -169,7 +173,6 @@
 	r.writeFrames(w, req, x, 0)
 }
 
-// countExecution counts an execution.
 func (r *Runner) countExecution(stream string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -196,8 +199,8 @@
 	return x, true
 }
 
-// generate waits for a slot, then emulates prefill and decoding, one word per
-// token.
+// generate waits for a slot, then emulates prefill and decoding. A prompt counts
+// as one token for each 4 bytes, an answer as one for each word.
 func (r *Runner) generate(ctx context.Context, x *streamState, promptTokensDone int) {
 	select {
 	case r.slots <- struct{}{}:
--- a/internal/standin/service.go
+++ b/internal/standin/service.go
@@ -16,7 +16,8 @@
 // a pause. Its methods may be called concurrently once Listen has returned.
 type Service struct {
 	// Self is the announcement of the service.
-	Self  upstream.Announcement
+	Self upstream.Announcement
+	// Pause is the duration of each call.
 	Pause time.Duration
 	// Observe, unless nil, is called at each execution. It must be set before
 	// Listen and must not block.
