--- a/internal/e2e/faults_test.go
+++ b/internal/e2e/faults_test.go
@@ -43,7 +43,7 @@
 			key := fmt.Sprintf("transfer-%d", i)
 			time.Sleep(time.Duration(i) * 40 * time.Millisecond)
 			site.retryUntil(key, func() error {
-				_, err := site.callTransfer(i%daemons, key)
+				_, err := site.callTransfer(i%daemonCount, key)
 				if err != nil && fault.From(err).Kind == fault.Unknown {
 					return nil
 				}
@@ -79,7 +79,7 @@
 func TestEntryKilledMidStream(t *testing.T) {
 	t.Parallel()
 	site := newTestSite(t)
-	entry := (site.dispatcherIndex(model) + 1) % daemons
+	entry := (site.dispatcherIndex(model) + 1) % daemonCount
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
@@ -176,8 +176,8 @@
 func TestRestartAfterManyChanges(t *testing.T) {
 	t.Parallel()
 	site := newTestSite(t)
-	stopped := (site.leaderIndex() + 1) % daemons
-	running := (stopped + 1) % daemons
+	stopped := (site.leaderIndex() + 1) % daemonCount
+	running := (stopped + 1) % daemonCount
 	require.NoError(t, site.Stop(stopped))
 	const changes = 300
 	version := site.versionInForce(running)
@@ -208,17 +208,17 @@
 	site := newTestSite(t)
 	first, err := site.callTransfer(0, "before")
 	require.NoError(t, err)
-	emptied := (site.leaderIndex() + 1) % daemons
+	emptied := (site.leaderIndex() + 1) % daemonCount
 	site.Kill(emptied)
 	require.NoError(t, os.RemoveAll(filepath.Clean(site.Settings[emptied].DataFolder)))
 	require.NoError(t, site.Start(t.Context(), emptied))
 	site.retryUntil("the replica's return as a voter", func() error { return site.checkIsVoter(emptied) })
 	killed := site.leaderIndex()
 	if killed == emptied {
-		killed = (emptied + 1) % daemons
+		killed = (emptied + 1) % daemonCount
 	}
 	site.Kill(killed)
-	survivor := daemons - emptied - killed
+	survivor := daemonCount - emptied - killed
 	site.retryUntil("the recorded answer", func() error {
 		again, err := site.callTransfer(survivor, "before")
 		if err == nil {
@@ -235,7 +235,7 @@
 func (site *testSite) checkIsVoter(i int) error {
 	id := site.replicaStatus(i)[0].ID
 	members := site.replicaStatus(site.leaderIndex())[0].Members
-	if len(members) != daemons {
+	if len(members) != daemonCount {
 		return fmt.Errorf("the group has %d members, want one for each daemon", len(members))
 	}
 	for _, m := range members {
--- a/internal/e2e/rig_test.go
+++ b/internal/e2e/rig_test.go
@@ -32,7 +32,7 @@
 	// waitTimeout bounds each wait of a test; it does not check speed.
 	waitTimeout   = 40 * time.Second
 	retryInterval = 50 * time.Millisecond
-	daemons       = 3
+	daemonCount   = 3
 	// decodeRate is the output rate of one stream in tokens per second.
 	decodeRate = 50
 )
@@ -50,15 +50,16 @@
 	mu        sync.Mutex
 	startedAt time.Time
 	events    []promise.Event
-	streams   map[string]string
+	// streams maps the key of each request to the stream dispatched last for it.
+	streams map[string]string
 }
 
 func newTestSite(t *testing.T) *testSite {
 	t.Helper()
 	site := &testSite{t: t, startedAt: time.Now(), streams: map[string]string{}}
-	place := localsite.Location{Region: "gauteng", DataCentre: "jhb-north"}
+	location := localsite.Location{Region: "gauteng", DataCentre: "jhb-north"}
 	local, err := localsite.New(localsite.Options{
-		Folder: t.TempDir(), Locations: []localsite.Location{place, place, place}, Replicas: daemons, Log: zap.NewNop(), Observe: site.recordEvent,
+		Folder: t.TempDir(), Locations: []localsite.Location{location, location, location}, Replicas: daemonCount, Log: zap.NewNop(), Observe: site.recordEvent,
 	})
 	require.NoError(t, err)
 	site.Site = local
@@ -217,7 +218,7 @@
 	require.NoError(site.t, err)
 	ctx, cancel := context.WithTimeout(site.t.Context(), waitTimeout)
 	defer cancel()
-	s, err := site.callerClient(entry, (entry+1)%daemons, (entry+2)%daemons).Stream(ctx, client.Request{Method: "POST", Path: "/v1/completions", Body: body, Key: key}, nil)
+	s, err := site.callerClient(entry, (entry+1)%daemonCount, (entry+2)%daemonCount).Stream(ctx, client.Request{Method: "POST", Path: "/v1/completions", Body: body, Key: key}, nil)
 	if err != nil {
 		site.recordFailure(key, err)
 		return "", err
@@ -230,7 +231,7 @@
 func (site *testSite) callTransfer(entry int, key string) (string, error) {
 	ctx, cancel := context.WithTimeout(site.t.Context(), waitTimeout)
 	defer cancel()
-	reply, err := site.callerClient(entry, (entry+1)%daemons, (entry+2)%daemons).Do(ctx, client.Request{Method: "POST", Path: "/services/" + service + "/transfers", Body: []byte(key), Key: key})
+	reply, err := site.callerClient(entry, (entry+1)%daemonCount, (entry+2)%daemonCount).Do(ctx, client.Request{Method: "POST", Path: "/services/" + service + "/transfers", Body: []byte(key), Key: key})
 	if err != nil {
 		site.recordFailure(key, err)
 		return "", err
@@ -261,7 +262,7 @@
 func (site *testSite) leaderIndex() int {
 	found := -1
 	site.retryUntil("a leader", func() error {
-		for i := range daemons {
+		for i := range daemonCount {
 			if site.Daemon(i) != nil && leadsLog(site, i) {
 				found = i
 				return nil
@@ -276,7 +277,7 @@
 func (site *testSite) dispatcherIndex(pool string) int {
 	found := -1
 	site.retryUntil("a dispatcher", func() error {
-		for i := range daemons {
+		for i := range daemonCount {
 			if site.Daemon(i) != nil && dispatchesPool(site, i, pool) {
 				found = i
 				return nil
--- a/internal/matrix/apply.go
+++ b/internal/matrix/apply.go
@@ -26,7 +26,9 @@
 const (
 	// inForceBound is the target for an accepted configuration to be in force on
 	// all daemons.
-	inForceBound  = 5 * time.Second
+	inForceBound = 5 * time.Second
+	// watchInterval is the interval at which a replica applies committed commands
+	// and a follower checks its watch.
 	watchInterval = 50 * time.Millisecond
 	// watchRetryDelay is the wait before a follower watches the next replica;
 	// watchIdleTimeout ends a watch that receives not even keepalives.
@@ -40,8 +42,8 @@
 	missedChangeCount = 300
 )
 
-// configSite is the configuration's part of a simulation: replicas, daemons
-// that follow them, and operators.
+// configSite is the part of a simulation that distributes the configuration:
+// replicas, daemons that follow them, and operators.
 type configSite struct {
 	sim           *simulation
 	committed     []state.Command
@@ -119,6 +121,8 @@
 	s.onStep(stepCommitted)
 }
 
+// catchUp applies the committed commands that a replica lacks, unless the replica
+// is in the minority.
 func (s *configSite) catchUp(r *configReplica) {
 	for r.minorityUntil <= s.sim.now() && r.appliedCount < len(s.committed) {
 		r.machine.Apply(s.committed[r.appliedCount])
--- a/internal/matrix/applyfaults.go
+++ b/internal/matrix/applyfaults.go
@@ -7,18 +7,18 @@
 	"github.com/verbenastep/verbenastep/core/promise"
 )
 
-// siteFault is a row of the table for an apply.
-type siteFault struct {
+// applyFault is a row of the table for an apply.
+type applyFault struct {
 	name  string
 	bound time.Duration
 	// inject causes the fault; subject is the apply under test.
 	inject func(s *configSite, subject *operator)
 }
 
-// siteFaults returns the rows. A change must be in force within 5 s; for a
+// applyFaults returns the rows. A change must be in force within 5 s; for a
 // partitioned, paused or stopped daemon this counts from the end of that state.
-func siteFaults() []siteFault {
-	return []siteFault{
+func applyFaults() []applyFault {
+	return []applyFault{
 		{"log leader dies", inForceBound, func(s *configSite, _ *operator) { s.sim.log.loseLeader() }},
 		{"log leader dies after a commit", inForceBound, func(s *configSite, _ *operator) { s.sim.log.losesNextReply = true }},
 		{"operators race on one base", inForceBound, func(s *configSite, o *operator) { s.apply("rival", o.base, configFiles("rival's")) }},
@@ -73,7 +73,7 @@
 
 // runApply applies one change and injects a fault at a step of it, repeated
 // every repeatDelay up to the given times.
-func runApply(f siteFault, at step, times int) cellResult {
+func runApply(f applyFault, at step, times int) cellResult {
 	sim := &simulation{requestKind: "apply"}
 	sim.startedAt = time.Now()
 	s := newConfigSite(sim)
@@ -113,7 +113,7 @@
 	v.recoveryTime = max(0, done-lastFault)
 	v.outcome = "held"
 	if done == 0 {
-		v.unendedCallers = []string{"a daemon"}
+		v.unendedCallers = []string{"an operator without an answer or a daemon without the newest version"}
 	}
 	if s.pendingDamage != damageNone {
 		v.skipReason = "no delta followed"
--- a/internal/matrix/clock.go
+++ b/internal/matrix/clock.go
@@ -1,10 +1,10 @@
-// Package matrix tests every fault at every step of the system's work. It runs
-// the decision code of core: the path of a request (core/claims), the
-// dispatcher (core/sched) and the replicated state (core/state, core/config).
-// Their interfaces are served by small fakes: messages, an engine, and a log
-// whose consensus is assumed to work. Each cell of the resulting tables holds
-// the result of the promise checker and the time until all callers had their
-// results.
+// Package matrix injects each kind of fault at each step of a request, of a
+// graceful shutdown and of a configuration change. It runs the decision code of
+// core: the path of a request (core/claims), the dispatcher (core/sched) and the
+// replicated state (core/state, core/config). Small fakes stand for the rest:
+// messages, an engine, and a log whose consensus is assumed to work. Each cell of
+// the resulting tables holds the result of the promise checker and the time until
+// all callers had their results. Only this package's tests use it.
 //
 // Everything runs on one goroutine that sleeps from event to event. Inside
 // testing/synctest a run therefore takes no real time and is deterministic.
--- a/internal/matrix/drain.go
+++ b/internal/matrix/drain.go
@@ -9,17 +9,18 @@
 	"github.com/verbenastep/verbenastep/core/state"
 )
 
-// Steps of a graceful shutdown.
+// Steps of a graceful shutdown. stepDirectoryTTL is reached while directory
+// answers may still name the daemon.
 const (
-	stepAnnounced  step = "announced"
-	stepLifetime   step = "lifetime"
-	stepClosed     step = "closed"
-	stepHandedOver step = "handed over"
-	stepStopped    step = "stopped"
+	stepAnnounced    step = "announced"
+	stepDirectoryTTL step = "lifetime"
+	stepClosed       step = "closed"
+	stepHandedOver   step = "handed over"
+	stepStopped      step = "stopped"
 )
 
 func drainSteps() []step {
-	return []step{stepAnnounced, stepLifetime, stepClosed, stepHandedOver, stepStopped}
+	return []step{stepAnnounced, stepDirectoryTTL, stepClosed, stepHandedOver, stepStopped}
 }
 
 const (
@@ -36,14 +37,14 @@
 var arrivalIntervals = map[requestKind]time.Duration{streamRequest: 250 * time.Millisecond, serviceCall: 40 * time.Millisecond}
 
 // drain shuts a daemon down in the order of internal/daemon: leave the
-// directory, serve for the lifetime of directory answers, close, wait for
-// running requests, hand over the lease, stop. The daemon restarts after
-// restartDelay.
+// directory, serve for the TTL of directory answers, close, wait for running
+// requests, hand over the lease, stop. It calls reached at each step. The daemon
+// restarts after restartDelay.
 func (d *daemon) drain(reached func(step)) {
 	d.sim.recordEvent(promise.Event{Kind: promise.Drain, Daemon: d.name})
 	d.isLeaving = true
 	reached(stepAnnounced)
-	d.runAfter(drainTime/2, func() { reached(stepLifetime) })
+	d.runAfter(drainTime/2, func() { reached(stepDirectoryTTL) })
 	d.runAfter(drainTime, func() {
 		d.isClosed = true
 		reached(stepClosed)
--- a/internal/matrix/engine.go
+++ b/internal/matrix/engine.go
@@ -10,6 +10,8 @@
 	"github.com/verbenastep/verbenastep/core/promise"
 )
 
+// Sizes and times of the engines' answers: an answer has answerFrames frames of
+// frameBytes bytes each; callDuration is the service time of a plain call.
 const (
 	answerFrames  = 20
 	frameBytes    = 8
@@ -39,8 +41,8 @@
 	connections []*connection
 }
 
-// engine emulates an upstream of either kind. slowdown is the factor on its
-// service times.
+// engine emulates an upstream: a runner or a plain service, depending on the
+// simulation's kind of request. slowdown is the factor on its service times.
 type engine struct {
 	process
 	incarnation uint64
--- a/internal/matrix/matrix_test.go
+++ b/internal/matrix/matrix_test.go
@@ -101,7 +101,7 @@
 	for times, name := range []string{"once", "twice in a row"} {
 		t.Run(name, func(t *testing.T) {
 			all, counts := []cellResult{}, cellCounts{}
-			for _, f := range siteFaults() {
+			for _, f := range applyFaults() {
 				t.Run(f.name, func(t *testing.T) {
 					for _, s := range applySteps() {
 						v := cellResult{}
--- a/internal/matrix/session.go
+++ b/internal/matrix/session.go
@@ -50,7 +50,9 @@
 	return session{daemon: d, pending: map[uint64]*pendingOffer{}}
 }
 
-func (s *session) entry() string { return fmt.Sprintf("%s#%d", s.daemon.name, s.daemon.generation) }
+// entryID identifies the entry to dispatchers; it changes when the daemon
+// restarts.
+func (s *session) entryID() string { return fmt.Sprintf("%s#%d", s.daemon.name, s.daemon.generation) }
 
 // maintain opens a session with the lease holder, or sends a heartbeat on the
 // current one.
@@ -64,7 +66,7 @@
 	}
 	if s.dispatcher != nil && sim.now()-s.lastHeartbeat >= heartbeatInterval {
 		s.lastHeartbeat = sim.now()
-		s.sendToHost(func(h *dispatchHost) { h.recordHeartbeat(s.entry()) })
+		s.sendToHost(func(h *dispatchHost) { h.recordHeartbeat(s.entryID()) })
 	}
 }
 
@@ -90,17 +92,18 @@
 		offers = append(offers, s.buildOffer(id, o))
 	}
 	slices.SortFunc(offers, func(a, b sched.Offer) int { return cmp.Compare(a.ID.Number, b.ID.Number) })
-	from, entry := s.daemon, s.entry()
+	from, entry := s.daemon, s.entryID()
 	s.sendToHost(func(h *dispatchHost) { h.resync(from, entry, offers) })
 }
 
 func (s *session) buildOffer(id uint64, o *pendingOffer) sched.Offer {
 	return sched.Offer{
-		ID: sched.ID{Entry: s.entry(), Number: id}, Workspace: workspaceName, Tier: o.attempt.tier, Weight: 1,
+		ID: sched.ID{Entry: s.entryID(), Number: id}, Workspace: workspaceName, Tier: o.attempt.tier, Weight: 1,
 		PromptTokens: promptTokens, MaxTokens: maxTokens, Deadline: o.attempt.deadline, Fingerprint: fingerprint(o.attempt.key), RunningOn: o.upstream,
 	}
 }
 
+// fingerprint returns the 64-bit FNV-1a hash of a key.
 func fingerprint(key string) uint64 {
 	sum := uint64(14695981039346656037)
 	for _, b := range []byte(key) {
@@ -127,7 +130,7 @@
 }
 
 func (s *session) release(a *attempt, outcome sched.Outcome) {
-	id, entry := a.offerNumber, s.entry()
+	id, entry := a.offerNumber, s.entryID()
 	delete(s.pending, id)
 	s.sendToHost(func(h *dispatchHost) {
 		h.release(sched.Release{ID: sched.ID{Entry: entry, Number: id}, Outcome: outcome, OutputTokens: maxTokens})
--- a/internal/matrix/world.go
+++ b/internal/matrix/world.go
@@ -63,8 +63,8 @@
 // damagePlan holds the damage to apply to the next frame and the next message.
 type damagePlan struct {
 	frame damage
-	// linkMessage damages the next message between the entry link and its
-	// dispatcher.
+	// linkMessage damages the next message between an entry, the daemon in link,
+	// and its dispatcher.
 	linkMessage damage
 	link        *daemon
 }
@@ -131,6 +131,8 @@
 	return sim
 }
 
+// runToDeadline is a condition for clock.run that never holds, so that the run
+// ends at its time limit.
 func runToDeadline() bool { return false }
 
 func (sim *simulation) recordEvent(e promise.Event) {
