--- a/internal/demo/backends.go
+++ b/internal/demo/backends.go
@@ -24,7 +24,7 @@
 	serviceDelay = 20 * time.Millisecond
 )
 
-// runners are the stand-in engines. The straggler has a fifth of the full speed;
+// runners lists the stand-in runners. The straggler has a fifth of the full speed;
 // the runner that is killed is another one.
 var runners = []struct {
 	name          string
--- a/internal/e2e/rig_test.go
+++ b/internal/e2e/rig_test.go
@@ -113,8 +113,8 @@
 }
 
 // retryUntil repeats a step until it succeeds, and fails the test after
-// waitTimeout.
-func (site *testSite) retryUntil(what string, step func() error) {
+// waitTimeout with a message that names what was awaited.
+func (site *testSite) retryUntil(awaited string, step func() error) {
 	site.t.Helper()
 	deadline := time.Now().Add(waitTimeout)
 	for {
@@ -122,7 +122,7 @@
 		if err == nil {
 			return
 		}
-		require.True(site.t, time.Now().Before(deadline), "timed out waiting for %s: %v", what, err)
+		require.True(site.t, time.Now().Before(deadline), "timed out waiting for %s: %v", awaited, err)
 		time.Sleep(retryInterval)
 	}
 }
--- a/internal/matrix/engine.go
+++ b/internal/matrix/engine.go
@@ -133,11 +133,11 @@
 // deliverDamaged delivers one frame with the planned damage applied.
 func (c *connection) deliverDamaged(f claims.Frame, text string) {
 	sim := c.owner.daemon.sim
-	what := damageNone
+	kind := damageNone
 	if c.owner.isSubject() {
-		what = consume(&sim.pendingDamage.frame)
+		kind = consume(&sim.pendingDamage.frame)
 	}
-	switch what {
+	switch kind {
 	case damageSilent:
 		c.isSilent = true
 		return
--- a/internal/schedbench/report.go
+++ b/internal/schedbench/report.go
@@ -9,8 +9,8 @@
 const (
 	// benchSeed is the seed of all runs.
 	benchSeed = 20261203
-	// Targets of the scheduling policy, as ratios; see checkTopTier,
-	// runHeavyWorkspace and checkAgainstBaselines.
+	// Targets of the scheduling policy, as ratios. They are checked in
+	// checkTopTier, runHeavyWorkspace (maxNeighbourLoss) and checkAgainstBaselines.
 	minTopTierRatio  = 0.99
 	maxNeighbourLoss = 0.05
 	minGoodputRatio  = 1.3
